--- a/internal/edge/host/counts.go
+++ b/internal/edge/host/counts.go
@@ -6,32 +6,32 @@
 	"time"
 
 	"hawthornfield.org/hawthornfield/internal/core/ident"
-	"hawthornfield.org/hawthornfield/internal/edge/query"
-	"hawthornfield.org/hawthornfield/internal/owner/deal"
-	"hawthornfield.org/hawthornfield/internal/owner/stripe"
+	"hawthornfield.org/hawthornfield/internal/edge/poll"
+	"hawthornfield.org/hawthornfield/internal/owner/assign"
+	"hawthornfield.org/hawthornfield/internal/owner/ranges"
 )
 
 // counts are what this VM saw of keys and servers since the leader was last told.
 type counts struct {
 	mu    sync.Mutex
-	cells map[ident.Service]query.Cells
-	sums  map[ident.Server]deal.Sum
+	cells map[ident.Service]poll.CellCounts
+	sums  map[ident.Server]assign.LatencySum
 }
 
 func newCounts() *counts {
-	return &counts{cells: map[ident.Service]query.Cells{}, sums: map[ident.Server]deal.Sum{}}
+	return &counts{cells: map[ident.Service]poll.CellCounts{}, sums: map[ident.Server]assign.LatencySum{}}
 }
 
 // asked notes a request for a key.
 func (c *counts) asked(svc ident.Service, key ident.Key) {
-	cell, ok := stripe.CellOf(key)
+	cell, ok := ranges.CellOf(key)
 	if !ok {
 		return
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.cells[svc] == nil {
-		c.cells[svc] = query.Cells{}
+		c.cells[svc] = poll.CellCounts{}
 	}
 	c.cells[svc][cell]++
 }
@@ -42,21 +42,21 @@
 	defer c.mu.Unlock()
 	sum := c.sums[s]
 	sum.N++
-	sum.Took += took
+	sum.Total += took
 	c.sums[s] = sum
 }
 
 // take returns what was counted and begins anew.
-func (c *counts) take() (map[ident.Service]query.Cells, map[ident.Server]deal.Sum) {
+func (c *counts) take() (map[ident.Service]poll.CellCounts, map[ident.Server]assign.LatencySum) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	cells, sums := c.cells, c.sums
-	c.cells, c.sums = map[ident.Service]query.Cells{}, map[ident.Server]deal.Sum{}
+	c.cells, c.sums = map[ident.Service]poll.CellCounts{}, map[ident.Server]assign.LatencySum{}
 	return cells, sums
 }
 
 // back puts what could not be told back.
-func (c *counts) back(cells map[ident.Service]query.Cells, sums map[ident.Server]deal.Sum) {
+func (c *counts) back(cells map[ident.Service]poll.CellCounts, sums map[ident.Server]assign.LatencySum) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for svc, all := range cells {
@@ -67,7 +67,7 @@
 	}
 	for s, sum := range sums {
 		have := c.sums[s]
-		c.sums[s] = deal.Sum{N: have.N + sum.N, Took: have.Took + sum.Took}
+		c.sums[s] = assign.LatencySum{N: have.N + sum.N, Total: have.Total + sum.Total}
 	}
-	maps.DeleteFunc(c.cells, func(_ ident.Service, all query.Cells) bool { return len(all) == 0 })
+	maps.DeleteFunc(c.cells, func(_ ident.Service, all poll.CellCounts) bool { return len(all) == 0 })
 }
--- a/internal/edge/host/courier.go
+++ b/internal/edge/host/courier.go
@@ -8,13 +8,13 @@
 
 	"go.uber.org/fx"
 
+	"hawthornfield.org/hawthornfield/internal/core/clock"
 	"hawthornfield.org/hawthornfield/internal/core/group"
 	"hawthornfield.org/hawthornfield/internal/core/ident"
-	"hawthornfield.org/hawthornfield/internal/core/tick"
-	"hawthornfield.org/hawthornfield/internal/edge/query"
+	"hawthornfield.org/hawthornfield/internal/edge/poll"
 	"hawthornfield.org/hawthornfield/internal/edge/state"
-	"hawthornfield.org/hawthornfield/internal/owner/lead"
-	"hawthornfield.org/hawthornfield/internal/owner/stripe"
+	"hawthornfield.org/hawthornfield/internal/owner/elect"
+	"hawthornfield.org/hawthornfield/internal/owner/ranges"
 )
 
 // courier asks the leader for news, again and again, and puts them in place. While
@@ -22,7 +22,7 @@
 type courier struct {
 	group  group.Group
 	p      courierParts
-	client *query.Client
+	client *poll.Client
 
 	life   string // of the leader whose numbers follow
 	seqs   map[ident.Service]uint64
@@ -35,7 +35,7 @@
 type courierParts struct {
 	fx.In
 	Config Config
-	Board  *query.Board
+	Board  *poll.Hub
 	Reign  *reign
 	Fleet  *fleet
 	Book   *book
@@ -47,7 +47,7 @@
 }
 
 func newCourier(lc fx.Lifecycle, p courierParts) *courier {
-	c := &courier{p: p, client: query.NewClient(), seqs: map[ident.Service]uint64{}, others: p.Config.Seeds}
+	c := &courier{p: p, client: poll.NewClient(), seqs: map[ident.Service]uint64{}, others: p.Config.Seeds}
 	duties(lc, &c.group, c.run)
 	return c
 }
@@ -83,8 +83,8 @@
 
 // hello is the part of a question that any VM may read. It says what this VM knows, or
 // the answer holds all servers: a new leader asks the former one five times a second.
-func (c *courier) hello() *query.Ask {
-	a := &query.Ask{VM: c.p.Config.VM, Addr: c.p.Config.Peers.String(), Power: c.p.Config.Power}
+func (c *courier) hello() *poll.Request {
+	a := &poll.Request{VM: c.p.Config.VM, Addr: c.p.Config.Peers.String(), CPUs: c.p.Config.CPUs}
 	a.Lease, _ = c.p.Board.Lease()
 	a.Rules = uint64(c.p.State.Rules.Newest())
 	_, a.Servers = c.p.Board.Revs()
@@ -92,32 +92,32 @@
 }
 
 // question is what the leader needs to know, and what this VM has.
-func (c *courier) question() *query.Ask {
+func (c *courier) question() *poll.Request {
 	a := c.hello()
-	a.Life, a.Seqs = c.life, c.seqs
+	a.Incarnation, a.Seqs = c.life, c.seqs
 	a.Servers = c.p.Fleet.known(time.Now())
-	a.Cells, a.Sums = c.p.Counts.take()
-	a.Reports, a.Cases = c.p.Guard.reports(a.Lease.Life), c.cases
+	a.Cells, a.LatencySums = c.p.Counts.take()
+	a.Reports, a.Cases = c.p.Guard.reports(a.Lease.Incarnation), c.cases
 	return a
 }
 
 // ask asks the leader, and reports whether it answered as one.
-func (c *courier) ask(ctx context.Context, lease lead.Lease) bool {
-	if lease.Life == "" || lease.Holder == c.p.Config.VM {
+func (c *courier) ask(ctx context.Context, lease elect.Lease) bool {
+	if lease.Incarnation == "" || lease.Holder == c.p.Config.VM {
 		return false
 	}
 	a := c.question()
-	asked := tick.Now()
-	n, err := c.client.Ask(ctx, lease.Addr, a, c.hear)
-	if err != nil || !n.Leads {
-		c.p.Counts.back(a.Cells, a.Sums)
+	asked := clock.Now()
+	n, err := c.client.Poll(ctx, lease.Addr, a, c.hear)
+	if err != nil || !n.IsLeader {
+		c.p.Counts.back(a.Cells, a.LatencySums)
 		if !c.lost && ctx.Err() == nil {
 			c.p.Log.Warn("leader lost", "holder", lease.Holder, "epoch", lease.Epoch, "err", err)
 		}
 		c.lost = true
 		c.take(n, lease.Addr)
 		if err == nil && c.ended(n, lease) {
-			c.p.Reign.loop.Send(lead.LostMsg{Epoch: lease.Epoch})
+			c.p.Reign.loop.Send(elect.SteppedDownMsg{Epoch: lease.Epoch})
 		}
 		return false
 	}
@@ -125,57 +125,57 @@
 		c.p.Log.Info("leader regained", "holder", n.Lease.Holder, "epoch", n.Lease.Epoch)
 	}
 	c.lost = false
-	c.hear(query.Heartbeat{Epoch: n.Lease.Epoch, Away: n.Away}) // one of an earlier version says it at the end only
-	c.p.Reign.loop.Send(lead.RankMsg{N: n.Rank})
-	c.p.Fleet.witness(n.Steady) // first: it decides how a list without some servers is read
+	c.hear(poll.Heartbeat{Epoch: n.Lease.Epoch, StoreDown: n.StoreDown}) // one of an earlier version says it at the end only
+	c.p.Reign.loop.Send(elect.RankMsg{N: n.ClaimRank})
+	c.p.Fleet.witness(n.StoreUpFor) // first: it decides how a list without some servers is read
 	c.take(n, lease.Addr)
 	c.sure(asked, n)
-	c.p.Fleet.share(n.Count + 1) // the leader beside them
+	c.p.Fleet.share(n.VMCount + 1) // the leader beside them
 	c.meet(n.VMs)
 	c.apply(n)
-	c.p.Guard.told(n.Lease.Life, a.Reports)
-	if !n.Away {
-		c.p.Board.SetTold(n.Begun)
+	c.p.Guard.told(n.Lease.Incarnation, a.Reports)
+	if !n.StoreDown {
+		c.p.Board.SetSynced(n.ReceivedAt)
 	}
 	return true
 }
 
 // hear takes in the heartbeat of a leader whose answer has begun.
-func (c *courier) hear(b query.Heartbeat) {
-	c.p.Reign.loop.Send(lead.HeardMsg{Epoch: b.Epoch, Troubled: b.Away})
+func (c *courier) hear(b poll.Heartbeat) {
+	c.p.Reign.loop.Send(elect.HeartbeatMsg{Epoch: b.Epoch, RenewOverdue: b.StoreDown})
 }
 
 // ended tells the decision who leads when the holder of a lease gives no orders any
 // more: it says that it does not lead, or its VM runs another process.
-func (c *courier) ended(n query.News, lease lead.Lease) bool {
-	rests := n.Life == lease.Life && !n.Leads && n.Lease.Epoch >= lease.Epoch
-	replaced := n.VM == lease.Holder && n.Life != lease.Life
+func (c *courier) ended(n poll.Response, lease elect.Lease) bool {
+	rests := n.Incarnation == lease.Incarnation && !n.IsLeader && n.Lease.Epoch >= lease.Epoch
+	replaced := n.VM == lease.Holder && n.Incarnation != lease.Incarnation
 	if !rests && !replaced {
 		return false
 	}
-	c.p.Reign.loop.Send(lead.EndedMsg{Epoch: lease.Epoch})
+	c.p.Reign.loop.Send(elect.TermEndedMsg{Epoch: lease.Epoch})
 	return true
 }
 
 // askFormer asks whoever led before this VM whether it has ended: until it is known
 // to have, keys of servers that do not answer must wait for its term.
 func (c *courier) askFormer(ctx context.Context) {
-	lease, may := c.p.Reign.model().Former(tick.Now())
+	lease, may := c.p.Reign.model().Previous(clock.Now())
 	if !may {
 		return
 	}
-	if n, err := c.client.Ask(ctx, lease.Addr, c.hello(), nil); err == nil {
+	if n, err := c.client.Poll(ctx, lease.Addr, c.hello(), nil); err == nil {
 		c.ended(n, lease)
 	}
 }
 
 // take takes in what any VM may tell.
-func (c *courier) take(n query.News, from netip.AddrPort) {
-	if n.Settled {
-		c.p.Reign.loop.Send(lead.SettledMsg{})
+func (c *courier) take(n poll.Response, from netip.AddrPort) {
+	if n.ClusterFormed {
+		c.p.Reign.loop.Send(elect.ClusterFormedMsg{})
 	}
-	if n.Lease.Life != "" {
-		c.p.Reign.loop.Send(lead.SeeMsg{Lease: n.Lease})
+	if n.Lease.Incarnation != "" {
+		c.p.Reign.loop.Send(elect.LeaseMsg{Lease: n.Lease})
 	}
 	if n.Newest > 0 {
 		c.p.Fetch.name(n.Newest, from)
@@ -190,10 +190,10 @@
 
 // sure takes in for how long the leader's rules are the newest. The time counts from the
 // question: when the answer was written nobody here knows.
-func (c *courier) sure(asked time.Time, n query.News) {
+func (c *courier) sure(asked time.Time, n poll.Response) {
 	if c.p.Book.has(n.Newest) {
-		c.p.State.Rules.Vouch(asked.Add(n.Sure))
-		c.p.Board.SetSeen(n.Seen)
+		c.p.State.Rules.SetFreshUntil(asked.Add(n.RulesFreshFor))
+		c.p.Board.SetRulesCursor(n.RulesCursor)
 	}
 }
 
@@ -212,9 +212,9 @@
 }
 
 // apply puts newer owners of keys in place.
-func (c *courier) apply(n query.News) {
-	if n.Lease.Life != c.life {
-		c.life, c.seqs, c.cases = n.Lease.Life, map[ident.Service]uint64{}, 0
+func (c *courier) apply(n poll.Response) {
+	if n.Lease.Incarnation != c.life {
+		c.life, c.seqs, c.cases = n.Lease.Incarnation, map[ident.Service]uint64{}, 0
 	}
 	if n.Cases != nil {
 		c.p.Guard.take(c.life, n.Cases.List)
@@ -225,7 +225,7 @@
 		if !ok {
 			continue
 		}
-		old, _ := svc.Finder().(*stripe.View)
+		old, _ := svc.Finder().(*ranges.View)
 		svc.SetFinder(old.Apply(change.Epoch, change.Seq, change.Full, change.Spans))
 		c.seqs[name] = change.Seq
 	}
@@ -239,7 +239,7 @@
 	c.next++
 	at := c.others[c.next%len(c.others)]
 	a := c.hello()
-	if n, err := c.client.Ask(ctx, at, a, nil); err == nil {
+	if n, err := c.client.Poll(ctx, at, a, nil); err == nil {
 		c.take(n, at)
 	}
 }
--- a/internal/edge/host/dealer.go
+++ b/internal/edge/host/dealer.go
@@ -6,15 +6,15 @@
 	"sync/atomic"
 	"time"
 
+	"hawthornfield.org/hawthornfield/internal/core/clock"
 	"hawthornfield.org/hawthornfield/internal/core/group"
 	"hawthornfield.org/hawthornfield/internal/core/ident"
 	"hawthornfield.org/hawthornfield/internal/core/kinds"
 	"hawthornfield.org/hawthornfield/internal/core/loop"
-	"hawthornfield.org/hawthornfield/internal/core/tick"
 	"hawthornfield.org/hawthornfield/internal/edge/feed"
-	"hawthornfield.org/hawthornfield/internal/edge/query"
-	"hawthornfield.org/hawthornfield/internal/owner/deal"
-	"hawthornfield.org/hawthornfield/internal/owner/stripe"
+	"hawthornfield.org/hawthornfield/internal/edge/poll"
+	"hawthornfield.org/hawthornfield/internal/owner/assign"
+	"hawthornfield.org/hawthornfield/internal/owner/ranges"
 	"hawthornfield.org/hawthornfield/internal/plat/object"
 )
 
@@ -28,47 +28,47 @@
 	badAt time.Time
 }
 
-func (d *dealer) name() string { return d.r.plat.Own + "keys-" + string(d.svc) }
+func (d *dealer) name() string { return d.r.plat.OwnPrefix + "keys-" + string(d.svc) }
 
 // Run carries out a command.
 func (d *dealer) Run(ctx context.Context, cmd loop.Cmd, send func(loop.Msg)) {
 	r := d.r
 	switch cmd := cmd.(type) {
-	case deal.ReadCmd:
+	case assign.ReadCmd:
 		r.group.Go(func(context.Context) error { send(d.read(ctx)); return nil })
-	case deal.WriteCmd:
+	case assign.WriteCmd:
 		r.group.Go(func(context.Context) error { send(d.write(ctx, cmd)); return nil })
-	case deal.OrderCmd:
+	case assign.OrderCmd:
 		r.group.Go(func(context.Context) error { send(d.order(ctx, cmd)); return nil })
-	case deal.ServedCmd:
+	case assign.PublishCmd:
 		r.serve(d.svc, cmd)
-	case deal.BehindCmd:
+	case assign.StaleEpochCmd:
 		r.behind(d.svc, cmd.Epoch)
-	case deal.NoteCmd:
-		r.log.Info(cmd.What, "service", d.svc, "server", cmd.Server, "former", cmd.Former, "rows", cmd.Rows, "why", cmd.Why)
+	case assign.LogCmd:
+		r.log.Info(cmd.Event, "service", d.svc, "server", cmd.Server, "former", cmd.PrevOwner, "rows", cmd.Rows, "why", cmd.Reason)
 	}
 }
 
 // serve publishes who serves what, here and for those who ask.
-func (r *reign) serve(svc ident.Service, cmd deal.ServedCmd) {
+func (r *reign) serve(svc ident.Service, cmd assign.PublishCmd) {
 	r.mu.Lock()
 	r.seq++
 	seq := r.seq
 	r.mu.Unlock()
-	view := r.board.Publish(svc, query.Change{Epoch: cmd.Epoch, Seq: seq, Full: cmd.Full, Spans: cmd.Changes})
+	view := r.board.Publish(svc, poll.Change{Epoch: cmd.Epoch, Seq: seq, Full: cmd.Full, Spans: cmd.Changes})
 	if s, ok := r.state.Service(svc); ok {
 		s.SetFinder(view)
 	}
 }
 
-func (d *dealer) read(ctx context.Context) deal.ReadMsg {
+func (d *dealer) read(ctx context.Context) assign.ReadResultMsg {
 	o, err := d.r.plat.Store.Get(ctx, d.name())
-	msg := deal.ReadMsg{Version: o.Version, Kind: kinds.Of(err)}
+	msg := assign.ReadResultMsg{Version: o.Version, Kind: kinds.Of(err)}
 	if err == nil {
-		if msg.Table, err = stripe.Decode(o.Value); err != nil {
+		if msg.Table, err = ranges.Decode(o.Value); err != nil {
 			msg.Kind = kinds.Of(err)
 		}
-		if n := msg.Table.Lost(); n > 0 {
+		if n := msg.Table.LostRows(); n > 0 {
 			d.r.log.Warn("the key table has rows that name nobody; their keys wait for all grants there may be", "service", d.svc, "rev", o.Version, "rows", n)
 		}
 		if err != nil && d.complains(o.Version) {
@@ -83,7 +83,7 @@
 
 // complains reports whether a version of the table that cannot be read should be logged.
 func (d *dealer) complains(v object.Version) bool {
-	now := tick.Now()
+	now := clock.Now()
 	if v == d.bad && now.Sub(d.badAt) < complainEvery {
 		return false
 	}
@@ -91,16 +91,16 @@
 	return true
 }
 
-func (d *dealer) write(ctx context.Context, cmd deal.WriteCmd) deal.WroteMsg {
+func (d *dealer) write(ctx context.Context, cmd assign.WriteCmd) assign.WriteResultMsg {
 	b, err := cmd.Table.Encode()
 	if err != nil {
-		return deal.WroteMsg{Kind: kinds.Of(err)}
+		return assign.WriteResultMsg{Kind: kinds.Of(err)}
 	}
 	version, err := d.r.plat.Store.Put(ctx, d.name(), b, cmd.Old)
 	if err != nil {
 		d.r.log.Warn("table not written", "service", d.svc, "old", cmd.Old, "err", err)
 	}
-	return deal.WroteMsg{Version: version, Kind: kinds.Of(err)}
+	return assign.WriteResultMsg{Version: version, Kind: kinds.Of(err)}
 }
 
 // Times of orders.
@@ -116,21 +116,21 @@
 	releasesAtOnce = 4
 )
 
-func (d *dealer) order(ctx context.Context, cmd deal.OrderCmd) deal.OrderedMsg {
-	msg := deal.OrderedMsg{Server: cmd.Server, Born: cmd.Born}
+func (d *dealer) order(ctx context.Context, cmd assign.OrderCmd) assign.OrderResultMsg {
+	msg := assign.OrderResultMsg{Server: cmd.Server, Incarnation: cmd.Incarnation}
 	if len(cmd.Orders) > 0 && cmd.Orders[0].Release {
-		msg.Done = d.releases(ctx, cmd)
+		msg.Results = d.releases(ctx, cmd)
 		return msg
 	}
-	msg.Done = d.grants(ctx, cmd)
+	msg.Results = d.grants(ctx, cmd)
 	return msg
 }
 
 // grants gives keys, a few spans at a time, until too many in a row are not answered:
 // each may be obeyed without an answer, and keeps its keys from others.
-func (d *dealer) grants(ctx context.Context, cmd deal.OrderCmd) []deal.Done {
+func (d *dealer) grants(ctx context.Context, cmd assign.OrderCmd) []assign.OrderResult {
 	var mu sync.Mutex
-	var all []deal.Done
+	var all []assign.OrderResult
 	missed := 0
 	d.each(len(cmd.Orders), grantsAtOnce, func(i int) bool {
 		done := d.grant(ctx, cmd, cmd.Orders[i])
@@ -144,23 +144,23 @@
 		if done.Kind == kinds.None || done.Kind == kinds.Fenced {
 			missed = 0
 		}
-		return missed < deal.Misses && done.Kind != kinds.Misrouted
+		return missed < assign.MaxMissedGrants && done.Kind != kinds.Misrouted
 	})
 	return all
 }
 
 // grant gives one span, if the authority still lasts.
-func (d *dealer) grant(ctx context.Context, cmd deal.OrderCmd, o deal.Order) deal.Done {
-	done := deal.Done{Order: o}
-	due := tick.Now()
+func (d *dealer) grant(ctx context.Context, cmd assign.OrderCmd, o assign.Order) assign.OrderResult {
+	done := assign.OrderResult{Order: o}
+	due := clock.Now()
 	defer d.r.pace.begin(ctx)()
-	now := tick.Now()
+	now := clock.Now()
 	done.Waited = now.Sub(due)
 	if !now.Before(cmd.Until) {
 		return done
 	}
 	done.Sent = now
-	grant := feed.Grant{Span: o.Span, Fence: o.Fence, Hold: o.Hold, Token: o.Token}
+	grant := feed.Grant{Span: o.Span, Fence: o.Fence, TTL: o.TTL, Token: o.Token}
 	done.Kind = kinds.Of(d.call(ctx, grantWait, func(ctx context.Context) error {
 		return d.r.plat.Orders.Grant(ctx, cmd.Addr, cmd.Server, grant)
 	}))
@@ -193,8 +193,8 @@
 
 // releases takes keys back, several spans at a time: each answer waits for the work
 // that runs on its keys.
-func (d *dealer) releases(ctx context.Context, cmd deal.OrderCmd) []deal.Done {
-	all := make([]deal.Done, len(cmd.Orders))
+func (d *dealer) releases(ctx context.Context, cmd assign.OrderCmd) []assign.OrderResult {
+	all := make([]assign.OrderResult, len(cmd.Orders))
 	d.each(len(all), releasesAtOnce, func(i int) bool {
 		all[i] = d.release(ctx, cmd, cmd.Orders[i])
 		return true
@@ -202,15 +202,15 @@
 	return all
 }
 
-func (d *dealer) release(ctx context.Context, cmd deal.OrderCmd, o deal.Order) deal.Done {
+func (d *dealer) release(ctx context.Context, cmd assign.OrderCmd, o assign.Order) assign.OrderResult {
 	defer d.r.pace.begin(ctx)()
-	done := deal.Done{Order: o, Sent: tick.Now(), Kind: kinds.Down}
+	done := assign.OrderResult{Order: o, Sent: clock.Now(), Kind: kinds.Unavailable}
 	if !done.Sent.Before(cmd.Until) {
 		return done
 	}
 	err := d.call(ctx, releaseWait, func(ctx context.Context) error {
 		var err error
-		done.Given, err = d.r.plat.Orders.Release(ctx, cmd.Addr, cmd.Server, o.Span, o.Fence)
+		done.Token, err = d.r.plat.Orders.Release(ctx, cmd.Addr, cmd.Server, o.Span, o.Fence)
 		return err
 	})
 	done.Kind = kinds.Of(err)
--- a/internal/edge/host/divide_test.go
+++ b/internal/edge/host/divide_test.go
@@ -12,7 +12,7 @@
 	"hawthornfield.org/hawthornfield/internal/core/ident"
 	"hawthornfield.org/hawthornfield/internal/edge/feed"
 	"hawthornfield.org/hawthornfield/internal/edge/relay"
-	"hawthornfield.org/hawthornfield/internal/owner/stripe"
+	"hawthornfield.org/hawthornfield/internal/owner/ranges"
 	"hawthornfield.org/hawthornfield/internal/rules/match"
 )
 
@@ -31,7 +31,7 @@
 // all reports whether so many lookups of random keys are answered in a row.
 func (w *world) all(n int) bool {
 	for range n {
-		if status, _ := w.get(0, "/lookup/7", strconv.Itoa(rand.IntN(stripe.Keys))); status != http.StatusOK {
+		if status, _ := w.get(0, "/lookup/7", strconv.Itoa(rand.IntN(ranges.KeySpace))); status != http.StatusOK {
 			return false
 		}
 	}
--- a/internal/edge/host/doors.go
+++ b/internal/edge/host/doors.go
@@ -12,10 +12,10 @@
 	"go.uber.org/fx"
 
 	"hawthornfield.org/hawthornfield/internal/core/group"
-	"hawthornfield.org/hawthornfield/internal/edge/door"
 	"hawthornfield.org/hawthornfield/internal/edge/front"
+	"hawthornfield.org/hawthornfield/internal/edge/httpd"
 	"hawthornfield.org/hawthornfield/internal/edge/meter"
-	"hawthornfield.org/hawthornfield/internal/edge/query"
+	"hawthornfield.org/hawthornfield/internal/edge/poll"
 	"hawthornfield.org/hawthornfield/internal/edge/state"
 )
 
@@ -33,14 +33,14 @@
 	p                                  doorParts
 	been                               atomic.Bool // ready
 	notice                             time.Duration
-	callers, operators, peers, metrics door.Door
+	callers, operators, peers, metrics httpd.Listener
 }
 
 type doorParts struct {
 	fx.In
 	Front   *front.Front
 	State   *state.State
-	Board   *query.Board
+	Board   *poll.Hub
 	Meter   *meter.Meter
 	Reign   *reign
 	Courier *courier
@@ -57,14 +57,14 @@
 	serve := func(h http.Handler) *http.Server {
 		return &http.Server{Handler: h, ReadHeaderTimeout: headerWait, IdleTimeout: callerIdle, ErrorLog: quiet}
 	}
-	d.callers.Web = serve(p.Front.Handler())
-	d.callers.Ahead = p.Front.Ahead()
-	d.peers.Web = serve(p.Board.Handler(func(a *query.Ask) {
+	d.callers.Server = serve(p.Front.Handler())
+	d.callers.Pipeline = p.Front.Pipeline()
+	d.peers.Server = serve(p.Board.Handler(func(a *poll.Request) {
 		p.Reign.heard(a)
 		p.Guard.heard(a.Reports)
 	}))
-	d.metrics.Web = serve(p.Guard.handler(p.Meter.Handler()))
-	d.operators.Web = serve(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
+	d.metrics.Server = serve(p.Guard.handler(p.Meter.Handler()))
+	d.operators.Server = serve(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		if err := d.ready(); err != nil {
 			http.Error(w, err.Error(), http.StatusServiceUnavailable)
 			return
@@ -72,16 +72,16 @@
 		w.WriteHeader(http.StatusOK)
 	}))
 	for _, one := range []struct {
-		door *door.Door
+		door *httpd.Listener
 		at   netip.AddrPort
 		stop func(context.Context) error
 	}{
-		{&d.peers, cfg.Peers, d.peers.End},
-		{&d.metrics, cfg.Metrics, d.metrics.End},
-		{&d.operators, cfg.Operators, d.operators.End},
+		{&d.peers, cfg.Peers, d.peers.Close},
+		{&d.metrics, cfg.Metrics, d.metrics.Close},
+		{&d.operators, cfg.Operators, d.operators.Close},
 		{&d.callers, cfg.Callers, d.retire},
 	} {
-		lc.Append(fx.Hook{OnStart: func(context.Context) error { return one.door.Open(one.at) }, OnStop: one.stop})
+		lc.Append(fx.Hook{OnStart: func(context.Context) error { return one.door.Start(one.at) }, OnStop: one.stop})
 	}
 	return d
 }
@@ -89,10 +89,10 @@
 // retire takes leave of callers: say not ready, let somebody else lead, let the
 // balancer notice while everything is still served, finish what is in flight.
 func (d *doors) retire(ctx context.Context) error {
-	d.p.Front.Closing()
+	d.p.Front.SetClosing()
 	d.p.Reign.leave()
 	notice := cmp.Or(d.notice, DefaultNotice)
-	d.p.Log.Info("shutting down", "flying", d.p.Front.Flying(), "notice", notice)
+	d.p.Log.Info("shutting down", "flying", d.p.Front.InFlight(), "notice", notice)
 	group.Sleep(ctx, notice)
-	return d.callers.Shut(ctx)
+	return d.callers.Shutdown(ctx)
 }
--- a/internal/edge/host/doubt_test.go
+++ b/internal/edge/host/doubt_test.go
@@ -13,7 +13,7 @@
 // of which it cannot know whether they still are the newest.
 func TestAVMThatCannotKnowTheNewestRulesDoesNotSayThatNothingIsThere(t *testing.T) {
 	w := newWorld(t, 1)
-	w.cfgs[0].Bounds.Apply = 2 * time.Second
+	w.cfgs[0].Bounds.RulesApply = 2 * time.Second
 	w.rules("/lookup/")
 	w.serve("ledger", "r1")
 	h := w.start(0)
@@ -32,7 +32,7 @@
 		status, _ := w.get(0, "/nobody/", "")
 		return status == http.StatusServiceUnavailable
 	})
-	assert.Assert(t, time.Since(barred) <= w.cfgs[0].Bounds.Apply+time.Second, "later than rules are in force elsewhere")
+	assert.Assert(t, time.Since(barred) <= w.cfgs[0].Bounds.RulesApply+time.Second, "later than rules are in force elsewhere")
 	status, _ := w.get(0, "/receipt/1", "")
 	assert.Equal(t, status, http.StatusOK, "what it has rules for it serves")
 	w.ways[0].bar(false)
--- a/internal/edge/host/fetch.go
+++ b/internal/edge/host/fetch.go
@@ -13,7 +13,7 @@
 	"hawthornfield.org/hawthornfield/internal/core/group"
 	"hawthornfield.org/hawthornfield/internal/core/ident"
 	"hawthornfield.org/hawthornfield/internal/edge/front"
-	"hawthornfield.org/hawthornfield/internal/edge/query"
+	"hawthornfield.org/hawthornfield/internal/edge/poll"
 	"hawthornfield.org/hawthornfield/internal/edge/state"
 )
 
@@ -23,7 +23,7 @@
 type fetcher struct {
 	group  group.Group
 	p      fetchParts
-	client *query.Client
+	client *poll.Client
 	wake   chan struct{}
 
 	mu     sync.Mutex
@@ -34,7 +34,7 @@
 type fetchParts struct {
 	fx.In
 	Config Config
-	Board  *query.Board
+	Board  *poll.Hub
 	Book   *book
 	Front  *front.Front
 	State  *state.State
@@ -42,7 +42,7 @@
 }
 
 func newFetcher(lc fx.Lifecycle, p fetchParts) *fetcher {
-	f := &fetcher{p: p, client: query.NewClient(), wake: make(chan struct{}, 1), others: p.Config.Seeds}
+	f := &fetcher{p: p, client: poll.NewClient(), wake: make(chan struct{}, 1), others: p.Config.Seeds}
 	duties(lc, &f.group, f.run)
 	return f
 }
@@ -53,7 +53,7 @@
 
 // name takes in that another VM has a revision of the rules.
 func (f *fetcher) name(rev uint64, at netip.AddrPort) {
-	f.p.State.Rules.Hear(ident.Revision(rev))
+	f.p.State.Rules.NoteRevision(ident.Revision(rev))
 	f.mu.Lock()
 	news := f.pull.name(rev, at)
 	f.mu.Unlock()
@@ -93,7 +93,7 @@
 		group.Sleep(ctx, headStart)
 	}
 	for ctx.Err() == nil {
-		came := f.p.Board.Came() // before the look at what is held, so that none is missed
+		came := f.p.Board.RulesContext() // before the look at what is held, so that none is missed
 		held, want := f.wanted()
 		if want == 0 {
 			return
--- a/internal/edge/host/fleet.go
+++ b/internal/edge/host/fleet.go
@@ -14,11 +14,11 @@
 	"hawthornfield.org/hawthornfield/internal/core/group"
 	"hawthornfield.org/hawthornfield/internal/core/ident"
 	"hawthornfield.org/hawthornfield/internal/edge/feed"
-	"hawthornfield.org/hawthornfield/internal/edge/query"
+	"hawthornfield.org/hawthornfield/internal/edge/poll"
 	"hawthornfield.org/hawthornfield/internal/edge/state"
 	"hawthornfield.org/hawthornfield/internal/load/gate"
 	"hawthornfield.org/hawthornfield/internal/load/poison"
-	"hawthornfield.org/hawthornfield/internal/node/census"
+	"hawthornfield.org/hawthornfield/internal/node/member"
 	"hawthornfield.org/hawthornfield/internal/plat/object"
 )
 
@@ -27,11 +27,11 @@
 	group group.Group
 	plat  Platform
 	state *state.State
-	board *query.Board
+	board *poll.Hub
 	log   *slog.Logger
 
 	mu       sync.Mutex
-	census   census.Census[feed.Server]
+	census   member.Set[feed.Server]
 	services map[ident.Service]feed.Service
 	vms      int
 	onChange func([]feed.Server)
@@ -45,10 +45,10 @@
 	logged   map[ident.Server]bool      // entries with a fault that were named
 }
 
-func newFleet(lc fx.Lifecycle, cfg Config, p Platform, s *state.State, b *query.Board, log *slog.Logger) *fleet {
+func newFleet(lc fx.Lifecycle, cfg Config, p Platform, s *state.State, b *poll.Hub, log *slog.Logger) *fleet {
 	f := &fleet{plat: p, state: s, board: b, log: log, services: map[ident.Service]feed.Service{}, vms: 1, drain: cfg.Bounds.Drain, logged: map[ident.Server]bool{}, dropped: map[ident.Server]bool{}}
 	w := &watcher{
-		prefix: p.Servers, board: b, fresh: p.Store, stale: p.Lagging, log: log,
+		prefix: p.Servers, board: b, fresh: p.Store, stale: p.StaleStore, log: log,
 		told:   func() bool { _, servers := b.Revs(); return servers > 0 },
 		listed: f.listed, changed: f.changed, down: f.down, up: f.up,
 	}
@@ -59,16 +59,16 @@
 func (f *fleet) down() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.census.Down()
+	f.census.StoreDown()
 }
 
 // up notes that the store answered.
 func (f *fleet) up() {
 	now := time.Now()
-	f.board.SetTouch(now)
+	f.board.SetStoreContact(now)
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.census.Up(now)
+	f.census.StoreUp(now)
 }
 
 // witness takes in for how long the store has answered another VM without a break.
@@ -79,7 +79,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := time.Now()
-	if f.census.Witness(now, now.Add(-steady)) {
+	if f.census.StoreSeenByPeer(now, now.Add(-steady)) {
 		f.log.Info("the store was there while this VM did not reach it", "rev", f.rev, "steady", steady)
 		f.publish(f.rev)
 	}
@@ -88,13 +88,13 @@
 func (f *fleet) listed(all []object.Object, at object.Cursor) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	var list []census.Entry[feed.Server]
+	var list []member.Entry[feed.Server]
 	for _, o := range all {
 		if e, ok := f.decode(o); ok {
 			list = append(list, e)
 		}
 	}
-	if f.census.List(time.Now(), uint64(at), list) {
+	if f.census.ReplaceAll(time.Now(), uint64(at), list) {
 		f.publish(uint64(at))
 	}
 }
@@ -103,7 +103,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := time.Now()
-	f.census.Up(now)
+	f.census.StoreUp(now)
 	news := false
 	for _, c := range all {
 		e, ok := f.decode(c.Object)
@@ -119,14 +119,14 @@
 }
 
 // decode reads an entry. One that cannot be read names no server.
-func (f *fleet) decode(o object.Object) (census.Entry[feed.Server], bool) {
+func (f *fleet) decode(o object.Object) (member.Entry[feed.Server], bool) {
 	name := strings.TrimPrefix(o.Name, f.plat.Servers)
-	e := census.Entry[feed.Server]{Name: ident.Server(name), Rev: uint64(o.Version)}
+	e := member.Entry[feed.Server]{Name: ident.Server(name), Rev: uint64(o.Version)}
 	if o.Version == 0 {
 		return e, false
 	}
 	srv, err := f.plat.Decode.Server(name, o.Value)
-	fault := srv.Unread
+	fault := srv.InvalidFields
 	if err != nil {
 		fault = err.Error()
 	}
@@ -138,7 +138,7 @@
 		return e, false
 	}
 	srv.Rev = e.Rev
-	e.Value, e.Going = srv, srv.Leaving
+	e.Value, e.Leaving = srv, srv.Leaving
 	return e, true
 }
 
@@ -167,7 +167,7 @@
 		list = append(list, e.Value)
 	}
 	f.note(list)
-	f.board.SetServers(query.ServerList{Rev: f.rev, List: list})
+	f.board.SetServers(poll.ServerList{Rev: f.rev, List: list})
 	f.spread(list)
 	if f.onChange != nil {
 		f.onChange(list)
@@ -301,15 +301,15 @@
 }
 
 // life tells what is known of a server, and whether it says that it leaves.
-func (f *fleet) life(s ident.Server) (life poison.Life, leaving bool) {
+func (f *fleet) life(s ident.Server) (life poison.Liveness, leaving bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	e, listed := f.census.Has(s)
 	switch {
-	case f.census.Doubtful(time.Now()):
-		return poison.Unknown, e.Going
+	case f.census.Uncertain(time.Now()):
+		return poison.Unknown, e.Leaving
 	case listed:
-		return poison.Alive, e.Going
+		return poison.Alive, e.Leaving
 	}
 	return poison.Gone, false
 }
--- a/internal/edge/host/fleet_test.go
+++ b/internal/edge/host/fleet_test.go
@@ -10,13 +10,13 @@
 
 	"hawthornfield.org/hawthornfield/internal/core/ident"
 	"hawthornfield.org/hawthornfield/internal/edge/feed"
-	"hawthornfield.org/hawthornfield/internal/edge/query"
+	"hawthornfield.org/hawthornfield/internal/edge/poll"
 	"hawthornfield.org/hawthornfield/internal/edge/state"
 )
 
 func newTestFleet() *fleet {
 	return &fleet{
-		state: state.New(nil), board: query.NewBoard("vm-2", "a"), log: slog.New(slog.DiscardHandler),
+		state: state.New(nil), board: poll.NewHub("vm-2", "a"), log: slog.New(slog.DiscardHandler),
 		services: map[ident.Service]feed.Service{}, dropped: map[ident.Server]bool{},
 	}
 }
@@ -28,10 +28,10 @@
 func TestAListWithoutNewsIsKnownAllTheSame(t *testing.T) {
 	f := newTestFleet()
 	list := []feed.Server{{Name: "lookup-1", Service: "lookup", Rev: 3}}
-	f.take(query.ServerList{Rev: 5, List: list})
+	f.take(poll.ServerList{Rev: 5, List: list})
 	_, rev := f.board.Revs()
 	assert.Equal(t, rev, uint64(5))
-	f.take(query.ServerList{Rev: 9, List: list})
+	f.take(poll.ServerList{Rev: 9, List: list})
 	_, rev = f.board.Revs()
 	assert.Equal(t, rev, uint64(9))
 }
@@ -44,13 +44,13 @@
 	f := newTestFleet()
 	one := feed.Server{Name: "lookup-1", Service: "lookup", Rev: 3}
 	two := feed.Server{Name: "lookup-2", Service: "lookup", Rev: 6}
-	f.take(query.ServerList{Rev: 5, List: []feed.Server{one, {Name: "lookup-0", Service: "lookup", Rev: 2}}})
+	f.take(poll.ServerList{Rev: 5, List: []feed.Server{one, {Name: "lookup-0", Service: "lookup", Rev: 2}}})
 	now := time.Now()
 	assert.Equal(t, f.known(now), uint64(5))
-	f.take(query.ServerList{Rev: 6, Part: true, List: []feed.Server{two}, Sum: query.SumOf([]feed.Server{one, two})})
+	f.take(poll.ServerList{Rev: 6, Part: true, List: []feed.Server{two}, Sum: poll.SumOf([]feed.Server{one, two})})
 	assert.Equal(t, f.known(now), uint64(0))
 	assert.Equal(t, f.known(now), uint64(6), "not again at once, should the two differ for good reason")
-	f.take(query.ServerList{Rev: 6, List: []feed.Server{one, two}})
+	f.take(poll.ServerList{Rev: 6, List: []feed.Server{one, two}})
 	assert.Assert(t, slices.Equal(f.list(), []feed.Server{one, two}))
 	assert.Equal(t, f.known(now.Add(wholeEvery)), uint64(6))
 }
--- a/internal/edge/host/gauges.go
+++ b/internal/edge/host/gauges.go
@@ -7,14 +7,14 @@
 	"go.uber.org/fx"
 
 	"hawthornfield.org/hawthornfield/internal/audit/record"
+	"hawthornfield.org/hawthornfield/internal/core/clock"
 	"hawthornfield.org/hawthornfield/internal/core/flow"
 	"hawthornfield.org/hawthornfield/internal/core/group"
-	"hawthornfield.org/hawthornfield/internal/core/tick"
 	"hawthornfield.org/hawthornfield/internal/edge/meter"
-	"hawthornfield.org/hawthornfield/internal/edge/query"
+	"hawthornfield.org/hawthornfield/internal/edge/poll"
 	"hawthornfield.org/hawthornfield/internal/edge/state"
 	"hawthornfield.org/hawthornfield/internal/load/gate"
-	"hawthornfield.org/hawthornfield/internal/owner/lead"
+	"hawthornfield.org/hawthornfield/internal/owner/elect"
 )
 
 // gaugeEvery is how often the gauges are brought up to date: more often than anybody
@@ -33,7 +33,7 @@
 	Platform Platform
 	Meter    *meter.Meter
 	Reign    *reign
-	Board    *query.Board
+	Board    *poll.Hub
 	State    *state.State
 	Record   *record.Writer
 	Courier  *courier
@@ -50,7 +50,7 @@
 
 func (g *gauges) run(ctx context.Context) error {
 	for group.Sleep(ctx, gaugeEvery) {
-		g.lead(tick.Now())
+		g.lead(clock.Now())
 		g.rules(time.Now())
 		g.calls()
 		g.bytes()
@@ -72,7 +72,7 @@
 func (g *gauges) lead(now time.Time) {
 	m := g.p.Reign.model()
 	leads, left := 0.0, 0.0
-	if m.Stage() == lead.Lead {
+	if m.Role() == elect.Leader {
 		leads, left = 1, m.Until().Sub(now).Seconds()
 	}
 	g.set("leads", leads)
@@ -106,11 +106,11 @@
 
 // bytes tells what control sends and receives, by cause.
 func (g *gauges) bytes() {
-	tell := func(cause string, f *flow.Flow) {
+	tell := func(cause string, f *flow.Counter) {
 		g.p.Meter.Tagged(map[string]string{"cause": cause}).Gauge("control_bytes").Update(float64(f.Bytes()))
 	}
-	tell("exchange", &g.p.Courier.client.Flow)
-	tell("rules", &g.p.Fetch.client.Flow)
+	tell("exchange", &g.p.Courier.client.Counter)
+	tell("rules", &g.p.Fetch.client.Counter)
 	for cause, f := range g.p.Platform.Bytes {
 		tell(cause, f)
 	}
--- a/internal/edge/host/host.go
+++ b/internal/edge/host/host.go
@@ -21,40 +21,40 @@
 	"hawthornfield.org/hawthornfield/internal/core/group"
 	"hawthornfield.org/hawthornfield/internal/core/ident"
 	"hawthornfield.org/hawthornfield/internal/core/kinds"
-	"hawthornfield.org/hawthornfield/internal/edge/door"
 	"hawthornfield.org/hawthornfield/internal/edge/feed"
 	"hawthornfield.org/hawthornfield/internal/edge/front"
+	"hawthornfield.org/hawthornfield/internal/edge/httpd"
 	"hawthornfield.org/hawthornfield/internal/edge/meter"
-	"hawthornfield.org/hawthornfield/internal/edge/query"
+	"hawthornfield.org/hawthornfield/internal/edge/poll"
 	"hawthornfield.org/hawthornfield/internal/edge/relay"
 	"hawthornfield.org/hawthornfield/internal/edge/state"
 	"hawthornfield.org/hawthornfield/internal/plat/object"
-	"hawthornfield.org/hawthornfield/internal/rules/force"
+	"hawthornfield.org/hawthornfield/internal/rules/revs"
 )
 
 // Config is what a VM learns from its settings.
 type Config struct {
-	VM        ident.VM
-	Centre    ident.Centre
-	Callers   netip.AddrPort // requests
-	Operators netip.AddrPort // readiness
-	Peers     netip.AddrPort // other entry VMs
-	Metrics   netip.AddrPort
-	Store     netip.AddrPort
-	Seeds     []netip.AddrPort // some other VMs, which may be gone
-	History   time.Duration    // how far back the store's watches reach
-	Bounds    Bounds
-	Power     float64       // processors that this VM may use, in parts of one; zero: not known
-	Unknown   []string      // fields of the settings that were passed over
-	Notice    time.Duration // how long the balancer needs to see that a VM leaves; zero is DefaultNotice
+	VM            ident.VM
+	Centre        ident.Centre
+	Callers       netip.AddrPort // requests
+	Operators     netip.AddrPort // readiness
+	Peers         netip.AddrPort // other entry VMs
+	Metrics       netip.AddrPort
+	Store         netip.AddrPort
+	Seeds         []netip.AddrPort // some other VMs, which may be gone
+	History       time.Duration    // how far back the store's watches reach
+	Bounds        Bounds
+	CPUs          float64       // processors that this VM may use, in parts of one; zero: not known
+	UnknownFields []string      // fields of the settings that were passed over
+	Notice        time.Duration // how long the balancer needs to see that a VM leaves; zero is DefaultNotice
 }
 
 // Bounds are what the platform promises and demands.
 type Bounds struct {
 	Drain       time.Duration // a server that leaves gets nothing later than this after it said so
 	Grace       time.Duration // from the signal to stop until the process is killed
-	Apply       time.Duration // rules are in force everywhere within this
-	HoldMax     time.Duration // longest grant
+	RulesApply  time.Duration // rules are in force everywhere within this
+	MaxGrant    time.Duration // longest grant
 	RetryWindow time.Duration
 	RetryRatio  float64 // repeats allowed in a window, as a part of the requests
 	RetrySlack  float64 // and beside them
@@ -62,19 +62,19 @@
 
 // Platform is what the adapter brings.
 type Platform struct {
-	Store   object.Store // linearizable
-	Lagging object.Store // cheaper; lists and watches may be seconds behind
-	Decode  feed.Platform
-	Orders  feed.Orders
-	Names   relay.Names
-	After   func(time.Duration) string
-	Servers string // kind of the servers' entries, with its slash
-	Rules   string // object that holds the rules
-	Own     string // kind of the system's own objects, with its slash
+	Store            object.Store // linearizable
+	StaleStore       object.Store // cheaper; lists and watches may be seconds behind
+	Decode           feed.Platform
+	Orders           feed.Orders
+	Headers          relay.Headers
+	FormatRetryAfter func(time.Duration) string
+	Servers          string // kind of the servers' entries, with its slash
+	Rules            string // object that holds the rules
+	OwnPrefix        string // kind of the system's own objects, with its slash
 	// Calls counts the calls to the store by kind; nil when nobody counts.
 	Calls func() map[string]int64
 	// Bytes are what goes to the store and to backend servers for control, by cause.
-	Bytes map[string]*flow.Flow
+	Bytes map[string]*flow.Counter
 }
 
 // Host is one entry VM. Make one with New.
@@ -105,7 +105,7 @@
 // Start wires the parts, opens the listeners and starts all duties.
 func (h *Host) Start(ctx context.Context) error {
 	h.app = fx.New(
-		fx.WithLogger(func() fxevent.Logger { return door.Quiet{Log: h.log} }),
+		fx.WithLogger(func() fxevent.Logger { return httpd.ErrorLogger{Log: h.log} }),
 		fx.Supply(h.cfg, h.plat, h.base, h.log),
 		fx.StartTimeout(startWait), fx.StopTimeout(h.stopWait()),
 		fx.Provide(newCounts, newMeter, newRecord, newState, newRelay, newFront, newBoard, newFleet, newQuarantine, newBook, newReign, newFetcher, newCourier, newGauges, newDoors),
@@ -114,8 +114,8 @@
 	if err := h.app.Err(); err != nil {
 		return err
 	}
-	if len(h.cfg.Unknown) > 0 {
-		h.log.Info("settings passed over", "fields", h.cfg.Unknown)
+	if len(h.cfg.UnknownFields) > 0 {
+		h.log.Info("settings passed over", "fields", h.cfg.UnknownFields)
 	}
 	h.log.Info("start", "centre", h.cfg.Centre, "callers", h.cfg.Callers, "peers", h.cfg.Peers)
 	return h.app.Start(ctx)
@@ -173,8 +173,8 @@
 
 func newState() *state.State { return state.New(nil) }
 
-func newBoard(cfg Config) *query.Board {
-	return query.NewBoard(cfg.VM, string(cfg.VM)+"-"+strconv.FormatUint(rand.Uint64(), 36))
+func newBoard(cfg Config) *poll.Hub {
+	return poll.NewHub(cfg.VM, string(cfg.VM)+"-"+strconv.FormatUint(rand.Uint64(), 36))
 }
 
 // dial is the longest wait for a connection to a backend server within a region.
@@ -185,7 +185,7 @@
 const idle = 30 * time.Second
 
 func newRelay(lc fx.Lifecycle, p Platform) *relay.Relay {
-	r := relay.New(relay.Config{Names: p.Names, Dial: dial, Idle: idle})
+	r := relay.New(relay.Config{Headers: p.Headers, Dial: dial, Idle: idle})
 	closes(lc, r)
 	return r
 }
@@ -198,8 +198,8 @@
 func newFront(lc fx.Lifecycle, cfg Config, p Platform, s *state.State, r *relay.Relay, w *record.Writer, m *meter.Meter, c *counts, g *quarantine) *front.Front {
 	f := &front.Front{
 		VM: cfg.VM, Centre: cfg.Centre, State: s, Relay: r, Record: w, Meter: m, Guard: g,
-		Limit: config.Limit{Request: config.SpanOf(defaultRequest)},
-		Names: p.Names, Hold: mostHeld, Patience: patience, After: p.After, Asked: c.asked, Answered: c.answered,
+		Limit:   config.Limit{Request: config.SpanOf(defaultRequest)},
+		Headers: p.Headers, BufferLimit: mostHeld, MaxOwnerWait: patience, FormatRetryAfter: p.FormatRetryAfter, OnKeyRequest: c.asked, OnAnswer: c.answered,
 	}
 	lc.Append(fx.Hook{
 		OnStart: func(context.Context) error { f.Start(); return nil },
@@ -224,8 +224,8 @@
 	if d.p.Front.IsClosing() {
 		return kinds.New(kinds.Closing, "shutting down")
 	}
-	if d.p.State.Rules.State() != force.Serve {
-		return kinds.New(kinds.Down, "no rules yet")
+	if d.p.State.Rules.State() != revs.Serve {
+		return kinds.New(kinds.Unavailable, "no rules yet")
 	}
 	if d.been.Load() {
 		return nil
--- a/internal/edge/host/host_test.go
+++ b/internal/edge/host/host_test.go
@@ -98,7 +98,7 @@
 	})
 	for at, b := range w.back {
 		if string(b.name) == by {
-			w.store.write("servers/"+by, feed.Server{Name: b.name, Service: "lookup", Addr: at, Slots: 4, Born: 1, Leaving: true})
+			w.store.write("servers/"+by, feed.Server{Name: b.name, Service: "lookup", Addr: at, Slots: 4, Incarnation: 1, Leaving: true})
 		}
 	}
 	w.within(patient, "served by the other", func() bool {
--- a/internal/edge/host/link_test.go
+++ b/internal/edge/host/link_test.go
@@ -13,9 +13,9 @@
 
 	"hawthornfield.org/hawthornfield/internal/core/group"
 	"hawthornfield.org/hawthornfield/internal/core/ident"
-	"hawthornfield.org/hawthornfield/internal/edge/query"
-	"hawthornfield.org/hawthornfield/internal/owner/lead"
-	"hawthornfield.org/hawthornfield/internal/owner/stripe"
+	"hawthornfield.org/hawthornfield/internal/edge/poll"
+	"hawthornfield.org/hawthornfield/internal/owner/elect"
+	"hawthornfield.org/hawthornfield/internal/owner/ranges"
 )
 
 // link is a network link with a rate that all connections share. It counts what leaves.
@@ -82,7 +82,7 @@
 
 // thin is a VM that leads and does nothing else, behind a link with a rate.
 type thin struct {
-	*query.Board
+	*poll.Hub
 	link  *link
 	seq   uint64
 	asked atomic.Int64 // questions
@@ -95,11 +95,11 @@
 	at := free(w.t)
 	l, err := net.Listen("tcp", at.String())
 	assert.NilError(w.t, err)
-	board := query.NewBoard("leader", "leader-1")
-	lease := lead.Lease{Epoch: thinEpoch, Holder: "leader", Life: "leader-1", Addr: at}
+	board := poll.NewHub("leader", "leader-1")
+	lease := elect.Lease{Epoch: thinEpoch, Holder: "leader", Incarnation: "leader-1", Addr: at}
 	board.SetLease(lease, true)
-	th := &thin{Board: board, link: &link{Listener: l, rate: rate}}
-	web := &http.Server{Handler: board.Handler(func(*query.Ask) { th.asked.Add(1) })}
+	th := &thin{Hub: board, link: &link{Listener: l, rate: rate}}
+	web := &http.Server{Handler: board.Handler(func(*poll.Request) { th.asked.Add(1) })}
 	var g group.Group
 	g.Go(func(context.Context) error { _ = web.Serve(th.link); return nil })
 	w.t.Cleanup(func() {
@@ -113,9 +113,9 @@
 // move gives all keys of a service to a server, in a change of its own.
 func (th *thin) move(to ident.Server) uint64 {
 	th.seq++
-	th.Publish("lookup", query.Change{
+	th.Publish("lookup", poll.Change{
 		Epoch: thinEpoch, Seq: th.seq, Full: th.seq == 1,
-		Spans: []stripe.Served{{Span: stripe.Span{First: 0, Last: stripe.Keys - 1}, Server: to}},
+		Spans: []ranges.Assignment{{Span: ranges.Span{First: 0, Last: ranges.KeySpace - 1}, Server: to}},
 	})
 	return th.seq
 }
@@ -127,7 +127,7 @@
 		if !ok {
 			return false
 		}
-		view, _ := svc.Finder().(*stripe.View)
+		view, _ := svc.Finder().(*ranges.View)
 		return view != nil && view.Seq == seq
 	}
 }
--- a/internal/edge/host/quarantine.go
+++ b/internal/edge/host/quarantine.go
@@ -9,10 +9,10 @@
 
 	"go.uber.org/fx"
 
+	"hawthornfield.org/hawthornfield/internal/core/clock"
 	"hawthornfield.org/hawthornfield/internal/core/group"
 	"hawthornfield.org/hawthornfield/internal/core/ident"
-	"hawthornfield.org/hawthornfield/internal/core/tick"
-	"hawthornfield.org/hawthornfield/internal/edge/query"
+	"hawthornfield.org/hawthornfield/internal/edge/poll"
 	"hawthornfield.org/hawthornfield/internal/load/poison"
 )
 
@@ -27,7 +27,7 @@
 
 	mu    sync.Mutex
 	table *poison.Table
-	named map[poison.Print]bool // wide prints of what is quarantined, and logged as that
+	named map[poison.Fingerprint]bool // wide prints of what is quarantined, and logged as that
 
 	object quarantineObject
 }
@@ -35,14 +35,14 @@
 type quarantineParts struct {
 	fx.In
 	Platform Platform
-	Board    *query.Board
+	Board    *poll.Hub
 	Fleet    *fleet
 	Log      *slog.Logger
 }
 
 func newQuarantine(lc fx.Lifecycle, p quarantineParts) *quarantine {
-	q := &quarantine{p: p, table: poison.NewTable(), named: map[poison.Print]bool{}}
-	q.object = quarantineObject{name: p.Platform.Own + "quarantine", log: p.Log, readAt: time.Now()}
+	q := &quarantine{p: p, table: poison.NewTable(), named: map[poison.Fingerprint]bool{}}
+	q.object = quarantineObject{name: p.Platform.OwnPrefix + "quarantine", log: p.Log, readAt: time.Now()}
 	p.Board.SetCases(q)
 	duties(lc, &q.group, q.settle, q.keep)
 	return q
@@ -52,10 +52,10 @@
 const settleEvery = 250 * time.Millisecond
 
 func (q *quarantine) settle(ctx context.Context) error {
-	life := func(s ident.Server) poison.Life { life, _ := q.p.Fleet.life(s); return life }
+	life := func(s ident.Server) poison.Liveness { life, _ := q.p.Fleet.life(s); return life }
 	for group.Sleep(ctx, settleEvery) {
 		if q.armed.Load() {
-			q.change(func(now time.Time) { q.table.Settle(now, life) })
+			q.change(func(now time.Time) { q.table.Reconcile(now, life) })
 		}
 	}
 	return nil
@@ -64,7 +64,7 @@
 // change changes the table, tells the log what is quarantined by that, and wakes the
 // VMs that wait for news.
 func (q *quarantine) change(f func(now time.Time)) {
-	now := tick.Now()
+	now := clock.Now()
 	q.mu.Lock()
 	before := q.table.Seq()
 	f(now)
@@ -81,15 +81,15 @@
 
 // note logs which requests came into quarantine and which left it. The caller holds mu.
 func (q *quarantine) note(now time.Time) {
-	barred := map[poison.Print]bool{}
+	barred := map[poison.Fingerprint]bool{}
 	for _, c := range q.table.Quarantined(now) {
-		p := c.Print.Wide()
+		p := c.Fingerprint.AnyCaller()
 		if !q.named[p] && !barred[p] {
 			var servers []ident.Server
 			for _, crash := range c.Crashes {
 				servers = append(servers, crash.Server)
 			}
-			q.p.Log.Warn("request quarantined", "print", p.String(), "servers", servers, "for", q.table.Barred(now, c.Print))
+			q.p.Log.Warn("request quarantined", "print", p.String(), "servers", servers, "for", q.table.QuarantineLeft(now, c.Fingerprint))
 		}
 		barred[p] = true
 	}
@@ -108,42 +108,42 @@
 	}
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	return q.table.Knows(*h)
+	return q.table.Suspected(*h)
 }
 
-// Barred is for how much longer a request may reach no server.
-func (q *quarantine) Barred(p poison.Print) time.Duration {
+// QuarantineLeft is for how much longer a request may reach no server.
+func (q *quarantine) QuarantineLeft(p poison.Fingerprint) time.Duration {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	return q.table.Barred(tick.Now(), p)
+	return q.table.QuarantineLeft(clock.Now(), p)
 }
 
-// Broke takes in that a server broke off under a request, and returns how many have.
+// ReportCrash takes in that a server broke off under a request, and returns how many have.
 // Servers that leave break off what they do not finish.
-func (q *quarantine) Broke(p poison.Print, s ident.Server, id ident.Request) int {
+func (q *quarantine) ReportCrash(p poison.Fingerprint, s ident.Server, id ident.Request) int {
 	if _, leaving := q.p.Fleet.life(s); leaving {
 		return 0
 	}
 	n := 0
-	q.change(func(now time.Time) { n = q.table.Accuse(now, p, s) })
+	q.change(func(now time.Time) { n = q.table.RecordCrash(now, p, s) })
 	if n > 1 {
-		q.p.Log.Warn("another server broke off under a request", "print", p.Wide().String(), "id", id, "server", s, "crashes", n)
+		q.p.Log.Warn("another server broke off under a request", "print", p.AnyCaller().String(), "id", id, "server", s, "crashes", n)
 	}
 	return n
 }
 
 // Answered takes in that a request under suspicion was answered by a server.
-func (q *quarantine) Answered(p poison.Print) {
+func (q *quarantine) Answered(p poison.Fingerprint) {
 	q.change(func(now time.Time) { q.table.Clear(now, p) })
 }
 
 // Since lists the requests under suspicion that changed after a number.
-func (q *quarantine) Since(seq uint64) query.Cases {
+func (q *quarantine) Since(seq uint64) poll.Cases {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	c := query.Cases{Seq: q.table.Seq()}
+	c := poll.Cases{Seq: q.table.Seq()}
 	if c.Seq > seq {
-		c.List = q.table.Since(tick.Now(), seq)
+		c.List = q.table.ChangesSince(clock.Now(), seq)
 	}
 	return c
 }
@@ -152,40 +152,40 @@
 func (q *quarantine) reports(leader string) []poison.Report {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	return q.table.Reports(tick.Now(), leader)
+	return q.table.Reports(clock.Now(), leader)
 }
 
 // told notes that a leader has got reports.
 func (q *quarantine) told(leader string, all []poison.Report) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.table.Told(leader, all)
+	q.table.MarkReported(leader, all)
 }
 
 // heard takes in the reports of another VM, if this one leads.
 func (q *quarantine) heard(all []poison.Report) {
 	if _, leads := q.p.Board.Lease(); leads && len(all) > 0 {
-		q.change(func(now time.Time) { q.table.Hear(now, all) })
+		q.change(func(now time.Time) { q.table.AddReports(now, all) })
 	}
 }
 
 // take takes in what the leader tells.
 func (q *quarantine) take(leader string, all []poison.Verdict) {
-	q.change(func(now time.Time) { q.table.Take(now, leader, all) })
+	q.change(func(now time.Time) { q.table.ApplyVerdicts(now, leader, all) })
 }
 
 // count counts the requests under suspicion, and those of them in quarantine.
 func (q *quarantine) count() (suspects, quarantined int) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	return q.table.Len(), len(q.table.Quarantined(tick.Now()))
+	return q.table.Len(), len(q.table.Quarantined(clock.Now()))
 }
 
 // verdicts lists what is in quarantine.
 func (q *quarantine) verdicts() []poison.Verdict {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	return q.table.Quarantine(tick.Now())
+	return q.table.Quarantine(clock.Now())
 }
 
 // readEvery is how often a VM that no leader tells anything reads what is kept.
@@ -195,17 +195,17 @@
 // changed. A VM that hears no leader reads it, since it may serve callers all the same, and
 // so does one that starts, at once.
 func (q *quarantine) keep(ctx context.Context) error {
-	q.merge(q.object.read(ctx, q.p.Platform.Lagging))
+	q.merge(q.object.read(ctx, q.p.Platform.StaleStore))
 	for group.Sleep(ctx, settleEvery) {
 		lease, leads := q.p.Board.Lease()
 		switch {
 		case leads:
-			q.lead(ctx, lease.Life)
-		case q.p.Board.Told(time.Now()):
+			q.lead(ctx, lease.Incarnation)
+		case q.p.Board.Synced(time.Now()):
 			q.object.leader, q.object.readAt = "", time.Now()
 		case time.Since(q.object.readAt) >= readEvery:
 			q.object.leader, q.object.readAt = "", time.Now()
-			q.merge(q.object.read(ctx, q.p.Platform.Lagging))
+			q.merge(q.object.read(ctx, q.p.Platform.StaleStore))
 		}
 	}
 	return nil
--- a/internal/edge/host/quarantine_test.go
+++ b/internal/edge/host/quarantine_test.go
@@ -8,20 +8,20 @@
 
 	"gotest.tools/v3/assert"
 
+	"hawthornfield.org/hawthornfield/internal/core/clock"
 	"hawthornfield.org/hawthornfield/internal/core/ident"
-	"hawthornfield.org/hawthornfield/internal/core/tick"
 	"hawthornfield.org/hawthornfield/internal/load/poison"
-	"hawthornfield.org/hawthornfield/internal/rules/force"
+	"hawthornfield.org/hawthornfield/internal/rules/revs"
 )
 
 // printOf is the print of a lookup that [world.get] sends VM i.
-func (w *world) printOf(i int, path string) poison.Print {
+func (w *world) printOf(i int, path string) poison.Fingerprint {
 	at := url.URL{Host: w.cfgs[i].Callers.String()}
-	return poison.HeadOf(http.MethodGet, at.Host, path).Of("127.0.0.1", poison.BodyOf(nil))
+	return poison.HeadOf(http.MethodGet, at.Host, path).Fingerprint("127.0.0.1", poison.BodyOf(nil))
 }
 
-func (w *world) barred(i int, p poison.Print) func() bool {
-	return func() bool { return w.vms[i].d.p.Guard.Barred(p) > 0 }
+func (w *world) barred(i int, p poison.Fingerprint) func() bool {
+	return func() bool { return w.vms[i].d.p.Guard.QuarantineLeft(p) > 0 }
 }
 
 // Guards against a crashing request of which each VM knows only its own crashes.
@@ -35,7 +35,7 @@
 		w.within(patient, "ready", w.ready(i))
 	}
 	for i, s := range []ident.Server{"gone-1", "gone-2", "gone-3"} {
-		w.vms[i].d.p.Guard.Broke(p, s, "r")
+		w.vms[i].d.p.Guard.ReportCrash(p, s, "r")
 	}
 	for i := range 3 {
 		w.within(patient, "knows the request", w.barred(i, p))
@@ -58,7 +58,7 @@
 	w.within(patient, "leads", func() bool { return w.leads() == 0 })
 	p := w.printOf(0, "/lookup/x")
 	for _, s := range []ident.Server{"gone-1", "gone-2", "gone-3"} {
-		w.vms[0].d.p.Guard.Broke(p, s, "r")
+		w.vms[0].d.p.Guard.ReportCrash(p, s, "r")
 	}
 	w.within(patient, "kept", func() bool {
 		w.store.mu.Lock()
@@ -83,7 +83,7 @@
 		w.within(patient, "ready", w.ready(i))
 	}
 	for _, s := range []ident.Server{"gone-1", "gone-2", "gone-3"} {
-		w.vms[0].d.p.Guard.Broke(p, s, "r")
+		w.vms[0].d.p.Guard.ReportCrash(p, s, "r")
 	}
 	for i := range 2 {
 		w.within(patient, "knows the request", w.barred(i, p))
@@ -118,11 +118,11 @@
 	p := w.printOf(0, "/lookup/x")
 	crasher := poison.NewTable()
 	for _, s := range []ident.Server{"gone-1", "gone-2", "gone-3"} {
-		crasher.Accuse(tick.Now(), p, s)
+		crasher.RecordCrash(clock.Now(), p, s)
 	}
-	w.store.write("own/quarantine", keptCases{At: time.Now(), Cases: crasher.Quarantine(tick.Now())})
+	w.store.write("own/quarantine", keptCases{At: time.Now(), Cases: crasher.Quarantine(clock.Now())})
 	h := w.start(0)
-	w.within(patient, "serves", func() bool { return h.d.p.State.Rules.State() == force.Serve })
+	w.within(patient, "serves", func() bool { return h.d.p.State.Rules.State() == revs.Serve })
 	assert.Assert(t, w.barred(0, p)())
 	assert.NilError(t, h.Close())
 }
--- a/internal/edge/host/quarobj.go
+++ b/internal/edge/host/quarobj.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"hawthornfield.org/hawthornfield/internal/core/kinds"
-	"hawthornfield.org/hawthornfield/internal/edge/query"
+	"hawthornfield.org/hawthornfield/internal/edge/poll"
 	"hawthornfield.org/hawthornfield/internal/load/poison"
 	"hawthornfield.org/hawthornfield/internal/plat/object"
 )
@@ -24,15 +24,15 @@
 
 // keptCases is the object's form. At is the time of day at which the ages were right.
 type keptCases struct {
-	At    time.Time                   `json:"at"`
-	Cases query.Parts[poison.Verdict] `json:"cases"`
+	At    time.Time                  `json:"at"`
+	Cases poll.Parts[poison.Verdict] `json:"cases"`
 }
 
 // signature names cases and their crashes, and leaves out ages, which always change.
 func signature(all []poison.Verdict) string {
 	text := ""
 	for _, v := range all {
-		text += v.Print.String()
+		text += v.Fingerprint.String()
 		for _, c := range v.Crashes {
 			text += " " + string(c.Server)
 		}
@@ -44,7 +44,7 @@
 // read returns what the object holds, and false where the store does not say.
 func (c *quarantineObject) read(ctx context.Context, store object.Store) ([]poison.Verdict, bool) {
 	o, err := store.Get(ctx, c.name)
-	if kinds.Of(err) == kinds.Absent {
+	if kinds.Of(err) == kinds.NotFound {
 		c.version, c.held = 0, ""
 		return nil, true
 	}
--- a/internal/edge/host/quarops.go
+++ b/internal/edge/host/quarops.go
@@ -17,16 +17,16 @@
 	engine.NoRoute(gin.WrapH(metrics))
 	engine.GET(quarantinePath, func(c *gin.Context) { c.JSON(http.StatusOK, q.verdicts()) })
 	engine.DELETE(quarantinePath+"/:print", func(c *gin.Context) {
-		var p poison.Print
+		var p poison.Fingerprint
 		if err := p.UnmarshalText([]byte(c.Param("print"))); err != nil {
 			c.String(http.StatusBadRequest, "%s\n", err)
 			return
 		}
-		if q.Barred(p) == 0 {
+		if q.QuarantineLeft(p) == 0 {
 			c.String(http.StatusNotFound, "not in quarantine here\n")
 			return
 		}
-		q.change(func(now time.Time) { q.table.Lift(now, p) })
+		q.change(func(now time.Time) { q.table.Release(now, p) })
 		q.p.Log.Info("quarantine lifted by an operator", "print", p.String())
 		c.Status(http.StatusNoContent)
 	})
--- a/internal/edge/host/reign.go
+++ b/internal/edge/host/reign.go
@@ -11,16 +11,16 @@
 
 	"go.uber.org/fx"
 
+	"hawthornfield.org/hawthornfield/internal/core/clock"
 	"hawthornfield.org/hawthornfield/internal/core/group"
 	"hawthornfield.org/hawthornfield/internal/core/ident"
 	"hawthornfield.org/hawthornfield/internal/core/kinds"
 	"hawthornfield.org/hawthornfield/internal/core/loop"
-	"hawthornfield.org/hawthornfield/internal/core/tick"
 	"hawthornfield.org/hawthornfield/internal/edge/feed"
-	"hawthornfield.org/hawthornfield/internal/edge/query"
+	"hawthornfield.org/hawthornfield/internal/edge/poll"
 	"hawthornfield.org/hawthornfield/internal/edge/state"
-	"hawthornfield.org/hawthornfield/internal/owner/deal"
-	"hawthornfield.org/hawthornfield/internal/owner/lead"
+	"hawthornfield.org/hawthornfield/internal/owner/assign"
+	"hawthornfield.org/hawthornfield/internal/owner/elect"
 )
 
 // tickEvery is how often the decisions are told the time.
@@ -57,7 +57,7 @@
 	group group.Group
 	cfg   Config
 	plat  Platform
-	board *query.Board
+	board *poll.Hub
 	fleet *fleet
 	state *state.State
 	count *counts
@@ -71,12 +71,12 @@
 	seq   uint64
 }
 
-func newReign(lc fx.Lifecycle, cfg Config, p Platform, b *query.Board, f *fleet, s *state.State, c *counts, log *slog.Logger) *reign {
+func newReign(lc fx.Lifecycle, cfg Config, p Platform, b *poll.Hub, f *fleet, s *state.State, c *counts, log *slog.Logger) *reign {
 	r := &reign{cfg: cfg, plat: p, board: b, fleet: f, state: s, count: c, log: log, deals: map[ident.Service]*loop.Loop{}}
 	lc.Append(fx.Hook{
 		OnStart: func(context.Context) error {
-			model := lead.New(tick.Now(), cfg.VM, b.Life(), cfg.Peers, lead.WithDelay(delay(cfg.Power)))
-			r.loop = loop.New(model, loop.RunnerFunc(r.run), loop.WithClock(tick.Now))
+			model := elect.New(clock.Now(), cfg.VM, b.Incarnation(), cfg.Peers, elect.WithDelay(delay(cfg.CPUs)))
+			r.loop = loop.New(model, loop.RunnerFunc(r.run), loop.WithClock(clock.Now))
 			r.fleet.follow(r.hosts)
 			r.group.Go(r.ticks)
 			return nil
@@ -98,30 +98,30 @@
 // leave stops leading for good, so that another VM takes over at once.
 func (r *reign) leave() {
 	if r.loop != nil { // it is made as the VM starts, which may have failed before
-		r.loop.Send(lead.LeaveMsg{})
+		r.loop.Send(elect.LeaveMsg{})
 	}
 }
 
 // model returns the decision's present state.
-func (r *reign) model() lead.Model { return r.loop.Model().(lead.Model) }
+func (r *reign) model() elect.Model { return r.loop.Model().(elect.Model) }
 
 func (r *reign) ticks(ctx context.Context) error {
 	for group.Sleep(ctx, tickEvery) {
-		r.loop.Send(lead.TickMsg{})
+		r.loop.Send(elect.TickMsg{})
 		m := r.model()
-		if m.Stage() != lead.Lead {
+		if m.Role() != elect.Leader {
 			continue
 		}
-		r.board.SetAway(m.Troubled(tick.Now()))
-		if r.board.Stronger(time.Now(), r.cfg.Power*muchStronger, lead.Reign) {
-			r.loop.Send(lead.YieldMsg{})
+		r.board.SetStoreDown(m.RenewOverdue(clock.Now()))
+		if r.board.HasStronger(time.Now(), r.cfg.CPUs*muchStronger, elect.MinTenure) {
+			r.loop.Send(elect.StepDownMsg{})
 		}
 		r.begin()
-		auth := deal.Authority{
-			Epoch: m.Lease().Epoch, Until: m.Until(), Bar: m.Bar(), Long: m.Troubled(tick.Now()),
+		auth := assign.Authority{
+			Epoch: m.Lease().Epoch, Until: m.Until(), OldTermEnd: m.OldTermEnd(), LongGrants: m.RenewOverdue(clock.Now()),
 		}
 		for _, l := range r.all() {
-			l.Send(deal.TickMsg{Authority: auth})
+			l.Send(assign.TickMsg{Authority: auth})
 		}
 		r.report()
 	}
@@ -134,22 +134,22 @@
 	r.loads(cells, sums)
 }
 
-func (r *reign) loads(cells map[ident.Service]query.Cells, sums map[ident.Server]deal.Sum) {
+func (r *reign) loads(cells map[ident.Service]poll.CellCounts, sums map[ident.Server]assign.LatencySum) {
 	if len(cells) == 0 && len(sums) == 0 {
 		return
 	}
 	for svc, l := range r.all() {
-		l.Send(deal.LoadMsg{Cells: cells[svc], Servers: sums})
+		l.Send(assign.LoadMsg{Cells: cells[svc], Servers: sums})
 	}
 }
 
 // heard takes in what another VM told as it asked.
-func (r *reign) heard(a *query.Ask) {
-	if a.Lease.Life != "" {
-		r.loop.Send(lead.SeeMsg{Lease: a.Lease})
+func (r *reign) heard(a *poll.Request) {
+	if a.Lease.Incarnation != "" {
+		r.loop.Send(elect.LeaseMsg{Lease: a.Lease})
 	}
 	if _, leads := r.board.Lease(); leads {
-		r.loads(a.Cells, a.Sums)
+		r.loads(a.Cells, a.LatencySums)
 	}
 }
 
@@ -169,7 +169,7 @@
 		r.mu.Lock()
 		_, runs := r.deals[svc]
 		if !runs {
-			r.deals[svc] = loop.New(deal.New(deal.WithMost(r.cfg.Bounds.HoldMax)), &dealer{r: r, svc: svc}, loop.WithClock(tick.Now))
+			r.deals[svc] = loop.New(assign.New(assign.WithMaxGrant(r.cfg.Bounds.MaxGrant)), &dealer{r: r, svc: svc}, loop.WithClock(clock.Now))
 		}
 		r.mu.Unlock()
 		if !runs {
@@ -182,7 +182,7 @@
 // that this VM's is not above.
 func (r *reign) behind(svc ident.Service, epoch uint64) {
 	r.log.Warn("the key table is another leader's", "service", svc, "table", epoch, "epoch", r.model().Lease().Epoch)
-	r.loop.Send(lead.RaiseMsg{Epoch: epoch})
+	r.loop.Send(elect.EpochMsg{Epoch: epoch})
 }
 
 func (r *reign) endDeals() {
@@ -198,47 +198,47 @@
 // hosts tells the deals which servers there are.
 func (r *reign) hosts(list []feed.Server) {
 	for svc, l := range r.all() {
-		var hosts []deal.Host
+		var hosts []assign.Server
 		for _, s := range list {
 			if s.Service == svc {
-				hosts = append(hosts, deal.Host{Name: s.Name, Addr: s.Addr, Born: s.Born, Slots: s.Slots, Leaving: s.Leaving, Cold: s.Cold})
+				hosts = append(hosts, assign.Server{Name: s.Name, Addr: s.Addr, Incarnation: s.Incarnation, Slots: s.Slots, Leaving: s.Leaving, Cold: s.Cold})
 			}
 		}
-		l.Send(deal.HostsMsg{Hosts: hosts})
+		l.Send(assign.ServersMsg{Servers: hosts})
 	}
 }
 
 // run carries out what the decision who leads wants.
 func (r *reign) run(_ context.Context, cmd loop.Cmd, send func(loop.Msg)) {
 	switch cmd := cmd.(type) {
-	case lead.ReadCmd:
+	case elect.ReadCmd:
 		r.group.Go(func(ctx context.Context) error { send(r.read(ctx)); return nil })
-	case lead.WriteCmd:
+	case elect.WriteCmd:
 		r.group.Go(func(ctx context.Context) error { send(r.write(ctx, cmd)); return nil })
-	case lead.ChangeCmd:
+	case elect.RoleChangeCmd:
 		r.change(cmd)
 	}
 }
 
-func (r *reign) read(ctx context.Context) lead.ReadMsg {
-	msg := lead.ReadMsg{Asked: tick.Now()}
-	o, err := r.plat.Store.Get(ctx, r.plat.Own+leaseName)
+func (r *reign) read(ctx context.Context) elect.ReadMsg {
+	msg := elect.ReadMsg{Asked: clock.Now()}
+	o, err := r.plat.Store.Get(ctx, r.plat.OwnPrefix+leaseName)
 	msg.Kind, msg.Version = kinds.Of(err), o.Version
 	if err == nil && json.Unmarshal(o.Value, &msg.Lease) != nil {
-		msg.Lease = lead.Lease{} // a part of it would name a leader that there never was
+		msg.Lease = elect.Lease{} // a part of it would name a leader that there never was
 		r.log.Error("the lease cannot be read; it will be written anew", "rev", o.Version)
 	}
 	return msg
 }
 
-func (r *reign) write(ctx context.Context, cmd lead.WriteCmd) lead.WroteMsg {
-	msg := lead.WroteMsg{Asked: tick.Now(), Lease: cmd.Lease}
+func (r *reign) write(ctx context.Context, cmd elect.WriteCmd) elect.WroteMsg {
+	msg := elect.WroteMsg{Asked: clock.Now(), Lease: cmd.Lease}
 	b, err := json.Marshal(cmd.Lease)
 	if err != nil {
 		msg.Kind = kinds.Internal
 		return msg
 	}
-	msg.Version, err = r.plat.Store.Put(ctx, r.plat.Own+leaseName, b, cmd.Old)
+	msg.Version, err = r.plat.Store.Put(ctx, r.plat.OwnPrefix+leaseName, b, cmd.Old)
 	msg.Kind = kinds.Of(err)
 	if err != nil {
 		r.log.Warn("lease not written", "epoch", cmd.Lease.Epoch, "old", cmd.Old, "err", err)
@@ -247,13 +247,13 @@
 }
 
 // change takes in who leads now.
-func (r *reign) change(cmd lead.ChangeCmd) {
-	leads := cmd.Stage == lead.Lead
-	r.log.Info("lead", "stage", cmd.Stage, "holder", cmd.Lease.Holder, "epoch", cmd.Lease.Epoch, "why", cmd.Why)
+func (r *reign) change(cmd elect.RoleChangeCmd) {
+	leads := cmd.Role == elect.Leader
+	r.log.Info("lead", "stage", cmd.Role, "holder", cmd.Lease.Holder, "epoch", cmd.Lease.Epoch, "why", cmd.Reason)
 	r.board.SetLease(cmd.Lease, leads)
 	// A leader that only rests, because the store does not confirm it, keeps what it
 	// knows of its grants: it goes on when the store is back, if nobody else leads then.
-	if !leads && cmd.Lease.Life != r.board.Life() {
+	if !leads && cmd.Lease.Incarnation != r.board.Incarnation() {
 		r.group.Go(func(context.Context) error { r.endDeals(); return nil })
 	}
 }
--- a/internal/edge/host/rely_test.go
+++ b/internal/edge/host/rely_test.go
@@ -8,9 +8,9 @@
 
 	"gotest.tools/v3/assert"
 
+	"hawthornfield.org/hawthornfield/internal/core/clock"
 	"hawthornfield.org/hawthornfield/internal/core/ident"
-	"hawthornfield.org/hawthornfield/internal/core/tick"
-	"hawthornfield.org/hawthornfield/internal/edge/query"
+	"hawthornfield.org/hawthornfield/internal/edge/poll"
 	"hawthornfield.org/hawthornfield/internal/plat/object"
 )
 
@@ -83,10 +83,10 @@
 	w.within(patient, "ready", w.ready(0))
 	c, far := h.d.p.Courier, object.Cursor(1_000_000)
 	rev, _ := h.d.p.Board.Revs()
-	c.sure(tick.Now(), query.News{Leads: true, Newest: rev + 1, Sure: time.Minute, Seen: far})
-	assert.Assert(t, h.d.p.Board.Seen() < far)
-	c.sure(tick.Now(), query.News{Leads: true, Newest: rev, Sure: time.Minute, Seen: far})
-	assert.Equal(t, h.d.p.Board.Seen(), far)
+	c.sure(clock.Now(), poll.Response{IsLeader: true, Newest: rev + 1, RulesFreshFor: time.Minute, RulesCursor: far})
+	assert.Assert(t, h.d.p.Board.RulesCursor() < far)
+	c.sure(clock.Now(), poll.Response{IsLeader: true, Newest: rev, RulesFreshFor: time.Minute, RulesCursor: far})
+	assert.Equal(t, h.d.p.Board.RulesCursor(), far)
 	assert.NilError(t, h.Close())
 }
 
@@ -122,6 +122,6 @@
 	leader.move("l1")
 	h := w.start(0)
 	w.within(patient, "ready", w.ready(0))
-	w.within(patient, "nobody vouches", func() bool { return !h.d.p.State.Rules.Sure(tick.Now()) })
+	w.within(patient, "nobody vouches", func() bool { return !h.d.p.State.Rules.Fresh(clock.Now()) })
 	assert.NilError(t, h.Close())
 }
--- a/internal/edge/host/stop_test.go
+++ b/internal/edge/host/stop_test.go
@@ -26,7 +26,7 @@
 	w.within(patient, "relies on the others", func() bool { _, ok := h.d.p.Book.relies(time.Now()); return ok })
 	time.Sleep(500 * time.Millisecond) // a watch of the store that began before ends
 	before, brought := h.d.p.State.Rules.Current().Rev, w.ways[1].versions()
-	h.d.p.Front.Closing()
+	h.d.p.Front.SetClosing()
 	w.store.write("config/main", grown(3000))
 	w.within(patient, "the new rules are known", func() bool { return h.d.p.State.Rules.Newest() > before })
 	time.Sleep(2 * fetchWait)
--- a/internal/edge/host/thin_test.go
+++ b/internal/edge/host/thin_test.go
@@ -15,7 +15,7 @@
 	"hawthornfield.org/hawthornfield/internal/core/group"
 	"hawthornfield.org/hawthornfield/internal/core/ident"
 	"hawthornfield.org/hawthornfield/internal/edge/feed"
-	"hawthornfield.org/hawthornfield/internal/edge/query"
+	"hawthornfield.org/hawthornfield/internal/edge/poll"
 )
 
 // newRev is above what the store of a test gives out.
@@ -24,7 +24,7 @@
 // manyRoutes is a configuration of some 4,200 routes as the store holds it, 0.7 MB of
 // text with names that do not repeat. Only a handful are rules that a VM compiles: what
 // these tests ask is how the text travels.
-func manyRoutes(t *testing.T) query.Raw {
+func manyRoutes(t *testing.T) poll.Raw {
 	const routes, chars = 4200, "abcdefghijklmnopqrstuvwxyz0123456789"
 	name := func(n int) string {
 		b := make([]byte, n)
@@ -44,7 +44,7 @@
 	}{grown(10), text.String()}
 	b, err := json.Marshal(rules)
 	assert.NilError(t, err)
-	return query.Raw{Rev: newRev, Data: b}
+	return poll.Raw{Rev: newRev, Data: b}
 }
 
 // inForce is within which rules that the store accepted must be in force on every VM
@@ -61,7 +61,7 @@
 	w := newWorld(t, 1)
 	leader, h := w.follower(250_000)
 	w.ways[0].bar(true)
-	time.Sleep(query.Wait) // questions from before
+	time.Sleep(poll.PollTimeout) // questions from before
 
 	leader.SetRules(manyRoutes(t))
 	told := time.Now()
@@ -98,7 +98,7 @@
 		w.within(patient, "ready", w.ready(i))
 		w.ways[i].bar(true)
 	}
-	time.Sleep(query.Wait)
+	time.Sleep(poll.PollTimeout)
 
 	raw := manyRoutes(t)
 	before := leader.link.bytes()
@@ -128,7 +128,7 @@
 	w.store.mu.Lock()
 	next := w.store.rev + 1
 	w.store.mu.Unlock()
-	leader.SetRules(query.Raw{Rev: next, Data: []byte("{}")})
+	leader.SetRules(poll.Raw{Rev: next, Data: []byte("{}")})
 	time.Sleep(headStart / 4)
 	w.rules("/new/")
 	w.within(patient, "new rules", func() bool {
@@ -149,11 +149,11 @@
 	w := newWorld(t, 1)
 	leader, h := w.follower(70_000)
 
-	list := query.ServerList{Rev: newRev}
+	list := poll.ServerList{Rev: newRev}
 	for i := range 1400 {
 		list.List = append(list.List, feed.Server{
 			Name: ident.Server(fmt.Sprintf("i-%010d", i)), Service: "ledger", Addr: netip.MustParseAddrPort("10.1.2.3:8000"),
-			Centre: "here", Slots: 4, Born: int64(i), Rev: uint64(i),
+			Centre: "here", Slots: 4, Incarnation: int64(i), Rev: uint64(i),
 		})
 	}
 	text, err := json.Marshal(list)
@@ -165,7 +165,7 @@
 		return servers == newRev
 	})
 	t.Logf("%d bytes took %v", len(text), time.Since(told))
-	assert.Assert(t, time.Since(told) > query.Gone, "the answer was slow")
+	assert.Assert(t, time.Since(told) > poll.PeerTimeout, "the answer was slow")
 	seq := leader.move("l1")
 	w.within(time.Second, "the next change of owners is known", w.moved(0, seq))
 	assert.Equal(t, w.leads(), -1)
@@ -181,7 +181,7 @@
 	w := newWorld(t, 1)
 	leader, h := w.follower(1_000_000)
 	w.ways[0].bar(true)
-	leader.SetRules(query.Raw{Rev: newRev, Data: []byte(`"for a later version"`)})
+	leader.SetRules(poll.Raw{Rev: newRev, Data: []byte(`"for a later version"`)})
 	w.within(patient, "the newest revision is known", func() bool {
 		return h.d.p.State.Rules.Newest() == newRev
 	})
@@ -189,7 +189,7 @@
 	const while = 2 * time.Second
 	time.Sleep(while)
 	asked = leader.asked.Load() - asked
-	assert.Assert(t, asked <= int64(while/query.Wait)+1, "%d questions in %v", asked, while)
+	assert.Assert(t, asked <= int64(while/poll.PollTimeout)+1, "%d questions in %v", asked, while)
 	assert.NilError(t, h.Close())
 	assert.Equal(t, strings.Count(w.text.String(), "rules fetched"), 1, "%s", w.text.String())
 	assert.Equal(t, strings.Count(w.text.String(), "rules refused"), 1, "%s", w.text.String())
--- a/internal/edge/host/told.go
+++ b/internal/edge/host/told.go
@@ -4,34 +4,34 @@
 	"time"
 
 	"hawthornfield.org/hawthornfield/internal/edge/feed"
-	"hawthornfield.org/hawthornfield/internal/edge/query"
-	"hawthornfield.org/hawthornfield/internal/node/census"
+	"hawthornfield.org/hawthornfield/internal/edge/poll"
+	"hawthornfield.org/hawthornfield/internal/node/member"
 )
 
 // take takes in the list that another VM told, or the part of it that changed.
-func (f *fleet) take(l query.ServerList) {
+func (f *fleet) take(l poll.ServerList) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if l.Rev < f.rev || l.Rev == f.rev && (l.Part || !f.doubt) {
 		return
 	}
-	list := make([]census.Entry[feed.Server], len(l.List))
+	list := make([]member.Entry[feed.Server], len(l.List))
 	for i, s := range l.List {
-		list[i] = census.Entry[feed.Server]{Name: s.Name, Rev: s.Rev, Value: s, Going: s.Leaving}
+		list[i] = member.Entry[feed.Server]{Name: s.Name, Rev: s.Rev, Value: s, Leaving: s.Leaving}
 	}
 	now := time.Now()
 	var news bool
 	if l.Part {
-		news = f.census.ToldPart(now, l.Rev, list, l.Gone)
+		news = f.census.MergePeerDelta(now, l.Rev, list, l.Gone)
 	} else {
-		news = f.census.Told(now, l.Rev, list)
+		news = f.census.MergePeer(now, l.Rev, list)
 	}
 	if news {
 		f.publish(l.Rev)
 	} else {
 		f.pass(l.Rev)
 	}
-	f.doubt = l.Part && l.Rev == f.rev && l.Sum != query.SumOf(f.list())
+	f.doubt = l.Part && l.Rev == f.rev && l.Sum != poll.SumOf(f.list())
 }
 
 // wholeEvery is the least time between two questions for the whole list: a VM may
@@ -58,5 +58,5 @@
 // centres. The caller holds mu.
 func (f *fleet) pass(rev uint64) {
 	f.rev = rev
-	f.board.SetServers(query.ServerList{Rev: rev, List: f.list()})
+	f.board.SetServers(poll.ServerList{Rev: rev, List: f.list()})
 }
--- a/internal/edge/host/watch.go
+++ b/internal/edge/host/watch.go
@@ -6,10 +6,10 @@
 	"log/slog"
 	"time"
 
+	"hawthornfield.org/hawthornfield/internal/core/clock"
 	"hawthornfield.org/hawthornfield/internal/core/group"
 	"hawthornfield.org/hawthornfield/internal/core/kinds"
-	"hawthornfield.org/hawthornfield/internal/core/tick"
-	"hawthornfield.org/hawthornfield/internal/edge/query"
+	"hawthornfield.org/hawthornfield/internal/edge/poll"
 	"hawthornfield.org/hawthornfield/internal/plat/object"
 )
 
@@ -21,7 +21,7 @@
 // noticed yet.
 type watcher struct {
 	prefix  string
-	board   *query.Board
+	board   *poll.Hub
 	fresh   object.Store
 	stale   object.Store
 	log     *slog.Logger
@@ -74,7 +74,7 @@
 		if _, leads := w.board.Lease(); leads {
 			return w.fresh
 		}
-		if w.board.Told(time.Now()) && w.told() {
+		if w.board.Synced(time.Now()) && w.told() {
 			return w.stale
 		}
 		if !group.Sleep(ctx, tellPoll) {
@@ -101,8 +101,8 @@
 }
 
 func (w *watcher) list(ctx context.Context, store object.Store) (object.Cursor, bool) {
-	asked := tick.Now()
-	turn := w.board.Turn()
+	asked := clock.Now()
+	turn := w.board.LeaderContext()
 	inner, cancel := context.WithCancel(ctx)
 	defer cancel()
 	defer context.AfterFunc(turn, cancel)()
@@ -151,13 +151,13 @@
 	for ctx.Err() == nil {
 		at = w.doze(ctx, at)
 		store := w.store()
-		asked, began := tick.Now(), time.Now()
+		asked, began := clock.Now(), time.Now()
 		all, next, err := w.wait(ctx, store, at)
 		switch {
 		case errors.Is(err, errTurned):
 			w.lost = 0
 			return // from now on the other store is watched; begin with its list
-		case kinds.Of(err) == kinds.Absent:
+		case kinds.Of(err) == kinds.NotFound:
 			return // the history is gone
 		case kinds.Of(err) == kinds.TooLarge || kinds.Of(err) == kinds.Malformed:
 			// The answer would be the same each time, until the store forgets what it
@@ -171,7 +171,7 @@
 		w.well()
 		w.lost = 0
 		at = next
-		answered := tick.Now()
+		answered := clock.Now()
 		if len(all) > 0 {
 			w.changed(all, at)
 		}
@@ -201,7 +201,7 @@
 }
 
 func (w *watcher) gather(ctx context.Context) {
-	if w.board.Told(time.Now()) {
+	if w.board.Synced(time.Now()) {
 		w.pause(ctx, gatherTold)
 		return
 	}
@@ -213,7 +213,7 @@
 func (w *watcher) pause(ctx context.Context, d time.Duration) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	defer context.AfterFunc(w.board.Turn(), cancel)()
+	defer context.AfterFunc(w.board.LeaderContext(), cancel)()
 	group.Sleep(ctx, d)
 }
 
@@ -223,7 +223,7 @@
 // wait watches until something changed or this VM begins or ceases to lead: a watch
 // that lags, begun before, would go on for seconds on the VM that all others rely on.
 func (w *watcher) wait(ctx context.Context, store object.Store, at object.Cursor) ([]object.Change, object.Cursor, error) {
-	turn := w.board.Turn()
+	turn := w.board.LeaderContext()
 	inner, cancel := context.WithCancel(ctx)
 	defer cancel()
 	defer context.AfterFunc(turn, cancel)()
--- a/internal/edge/host/watch_test.go
+++ b/internal/edge/host/watch_test.go
@@ -11,8 +11,8 @@
 
 	"hawthornfield.org/hawthornfield/internal/core/group"
 	"hawthornfield.org/hawthornfield/internal/core/kinds"
-	"hawthornfield.org/hawthornfield/internal/edge/query"
-	"hawthornfield.org/hawthornfield/internal/owner/lead"
+	"hawthornfield.org/hawthornfield/internal/edge/poll"
+	"hawthornfield.org/hawthornfield/internal/owner/elect"
 	"hawthornfield.org/hawthornfield/internal/plat/object"
 )
 
@@ -33,10 +33,10 @@
 func (s *forgetful) Watch(ctx context.Context, _ string, at object.Cursor) ([]object.Change, object.Cursor, error) {
 	s.watches++
 	if time.Now().Before(s.until) {
-		return nil, 0, kinds.New(kinds.Absent, "this history is gone")
+		return nil, 0, kinds.New(kinds.NotFound, "this history is gone")
 	}
 	<-ctx.Done()
-	return nil, at, kinds.Wrap(kinds.Down, ctx.Err(), "watch")
+	return nil, at, kinds.Wrap(kinds.Unavailable, ctx.Err(), "watch")
 }
 
 // briefly is how long the store takes.
@@ -45,11 +45,11 @@
 	case <-time.After(4 * time.Millisecond):
 		return nil
 	case <-ctx.Done():
-		return kinds.Wrap(kinds.Down, ctx.Err(), "list")
+		return kinds.Wrap(kinds.Unavailable, ctx.Err(), "list")
 	}
 }
 
-func newWatcher(b *query.Board, fresh, stale object.Store) *watcher {
+func newWatcher(b *poll.Hub, fresh, stale object.Store) *watcher {
 	return &watcher{
 		prefix: "servers/", board: b, fresh: fresh, stale: stale, log: slog.New(slog.DiscardHandler),
 		told:   func() bool { return true },
@@ -72,8 +72,8 @@
 func TestAForgetfulStoreIsNotAskedAllTheTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := &forgetful{until: time.Now().Add(10 * time.Second)}
-		board := query.NewBoard("vm-2", "a")
-		board.SetTold(time.Now())
+		board := poll.NewHub("vm-2", "a")
+		board.SetSynced(time.Now())
 		watchFor(t, newWatcher(board, nil, store), 20*time.Second, func() {})
 		assert.Assert(t, store.lists <= 9, "%d lists", store.lists)
 		assert.Assert(t, store.lists >= 5, "it is tried again: %d lists", store.lists)
@@ -86,12 +86,12 @@
 	synctest.Test(t, func(t *testing.T) {
 		stale := &forgetful{until: time.Now().Add(time.Hour)}
 		fresh := &forgetful{}
-		board := query.NewBoard("vm-2", "a")
-		board.SetTold(time.Now())
+		board := poll.NewHub("vm-2", "a")
+		board.SetSynced(time.Now())
 		watchFor(t, newWatcher(board, fresh, stale), 50*time.Millisecond, func() {
 			time.Sleep(4 * time.Second)
 			assert.Equal(t, fresh.lists, 0)
-			board.SetLease(lead.Lease{Epoch: 2, Holder: "vm-2", Life: "a"}, true)
+			board.SetLease(elect.Lease{Epoch: 2, Holder: "vm-2", Incarnation: "a"}, true)
 		})
 		assert.Equal(t, fresh.lists, 1)
 		assert.Equal(t, fresh.watches, 1)
@@ -104,11 +104,11 @@
 	synctest.Test(t, func(t *testing.T) {
 		for _, told := range []bool{true, false} {
 			fresh, stale := &forgetful{}, &forgetful{}
-			board := query.NewBoard("vm-2", "a")
+			board := poll.NewHub("vm-2", "a")
 			watchFor(t, newWatcher(board, fresh, stale), time.Second, func() {
 				if told {
 					time.Sleep(tellWait / 2)
-					board.SetTold(time.Now())
+					board.SetSynced(time.Now())
 				}
 			})
 			if told {
@@ -146,7 +146,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		s := &crowded{}
 		var newest object.Version
-		w := newWatcher(query.NewBoard("vm-1", "life"), s, s)
+		w := newWatcher(poll.NewHub("vm-1", "life"), s, s)
 		w.listed = func(all []object.Object, _ object.Cursor) { newest = all[0].Version }
 		watchFor(t, w, 10*time.Second, func() {})
 		assert.Assert(t, newest >= 5, "lists: %d", s.lists)
@@ -166,7 +166,7 @@
 		ctx, cancel := context.WithTimeout(ctx, 2*time.Second)
 		defer cancel()
 		<-ctx.Done()
-		return nil, 0, kinds.Wrap(kinds.Down, ctx.Err(), "list")
+		return nil, 0, kinds.Wrap(kinds.Unavailable, ctx.Err(), "list")
 	}
 	return s.forgetful.List(ctx, prefix)
 }
@@ -175,13 +175,13 @@
 func TestANewLeaderDoesNotWaitForAListOfBefore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := &swallowing{back: time.Now().Add(2500 * time.Millisecond)}
-		board := query.NewBoard("vm-2", "a")
+		board := poll.NewHub("vm-2", "a")
 		known := false
 		w := newWatcher(board, store, store)
 		w.listed = func([]object.Object, object.Cursor) { known = true }
 		watchFor(t, w, 50*time.Millisecond, func() {
 			time.Sleep(2600 * time.Millisecond)
-			board.SetLease(lead.Lease{Epoch: 2, Holder: "vm-2", Life: "a"}, true)
+			board.SetLease(elect.Lease{Epoch: 2, Holder: "vm-2", Incarnation: "a"}, true)
 		})
 		assert.Assert(t, known)
 	})
--- a/internal/edge/host/world_test.go
+++ b/internal/edge/host/world_test.go
@@ -25,7 +25,7 @@
 	"hawthornfield.org/hawthornfield/internal/core/kinds"
 	"hawthornfield.org/hawthornfield/internal/edge/feed"
 	"hawthornfield.org/hawthornfield/internal/edge/relay"
-	"hawthornfield.org/hawthornfield/internal/owner/stripe"
+	"hawthornfield.org/hawthornfield/internal/owner/ranges"
 	"hawthornfield.org/hawthornfield/internal/plat/object"
 	"hawthornfield.org/hawthornfield/internal/rules/match"
 )
@@ -74,7 +74,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.barred {
-		return kinds.New(kinds.Down, "barred")
+		return kinds.New(kinds.Unavailable, "barred")
 	}
 	return nil
 }
@@ -114,7 +114,7 @@
 	defer g.store.mu.Unlock()
 	o, ok := g.objects[name]
 	if !ok {
-		return o, kinds.New(kinds.Absent, name)
+		return o, kinds.New(kinds.NotFound, name)
 	}
 	return o, nil
 }
@@ -175,7 +175,7 @@
 		case <-timer.C:
 			return nil, at, nil
 		case <-ctx.Done():
-			return nil, 0, kinds.Wrap(kinds.Down, ctx.Err(), "watch")
+			return nil, 0, kinds.Wrap(kinds.Unavailable, ctx.Err(), "watch")
 		}
 	}
 }
@@ -205,7 +205,7 @@
 	name ident.Server
 	web  *httptest.Server
 	mu   sync.Mutex
-	held map[stripe.Span]time.Time
+	held map[ranges.Span]time.Time
 	ran  int
 }
 
@@ -254,12 +254,12 @@
 	b := w.back[to]
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.held[g.Span] = time.Now().Add(g.Hold)
+	b.held[g.Span] = time.Now().Add(g.TTL)
 	return nil
 }
 
 // Release takes keys back.
-func (w *world) Release(_ context.Context, to netip.AddrPort, _ ident.Server, s stripe.Span, _ uint64) (string, error) {
+func (w *world) Release(_ context.Context, to netip.AddrPort, _ ident.Server, s ranges.Span, _ uint64) (string, error) {
 	b := w.back[to]
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -302,13 +302,13 @@
 
 // serve adds a backend server and its entry.
 func (w *world) serve(svc ident.Service, name ident.Server) *backend {
-	b := &backend{name: name, held: map[stripe.Span]time.Time{}}
+	b := &backend{name: name, held: map[ranges.Span]time.Time{}}
 	b.web = httptest.NewServer(b)
 	w.t.Cleanup(b.web.Close)
 	at, err := netip.ParseAddrPort(strings.TrimPrefix(b.web.URL, "http://"))
 	assert.NilError(w.t, err)
 	w.back[at] = b
-	w.store.write("servers/"+string(name), feed.Server{Name: name, Service: svc, Addr: at, Centre: "here", Slots: 4, Born: 1})
+	w.store.write("servers/"+string(name), feed.Server{Name: name, Service: svc, Addr: at, Centre: "here", Slots: 4, Incarnation: 1})
 	return b
 }
 
@@ -336,11 +336,11 @@
 	if d, odd := w.decoders[i]; odd {
 		decode = d
 	}
-	names := relay.OwnNames()
-	names.Kept = []string{relay.HeaderKey}
+	names := relay.DefaultHeaders()
+	names.PassThrough = []string{relay.HeaderKey}
 	h := New(cfg, Platform{
-		Store: way, Lagging: lagging{way}, Decode: decode, Orders: w, Names: names,
-		Servers: "servers/", Rules: "config/main", Own: "own/",
+		Store: way, StaleStore: lagging{way}, Decode: decode, Orders: w, Headers: names,
+		Servers: "servers/", Rules: "config/main", OwnPrefix: "own/",
 	}, w.log)
 	assert.NilError(w.t, h.Start(w.t.Context()))
 	w.vms, w.ways = append(w.vms, h), append(w.ways, way)
--- a/internal/edge/keeper/assign.go
+++ b/internal/edge/leases/assign.go
@@ -1,4 +1,4 @@
-package keeper
+package leases
 
 import (
 	"slices"
--- a/internal/edge/keeper/commit.go
+++ b/internal/edge/leases/commit.go
@@ -1,4 +1,4 @@
-package keeper
+package leases
 
 import (
 	"context"
@@ -11,14 +11,14 @@
 	"hawthornfield.org/hawthornfield/internal/core/loop"
 	"hawthornfield.org/hawthornfield/internal/core/wire"
 	"hawthornfield.org/hawthornfield/internal/owner/commit"
-	"hawthornfield.org/hawthornfield/internal/owner/seat"
+	"hawthornfield.org/hawthornfield/internal/owner/lessor"
 	"hawthornfield.org/hawthornfield/internal/plat/vmlist"
 )
 
 // startWriter starts the one writer of a service's table on this VM. The
 // decisions are owner/commit's; here are its calls to the store.
-func (k *Keeper) startWriter(svc ident.Service, b *book) {
-	model := commit.New(commit.Config{Self: k.VM, Service: svc, Store: k.Times.Store})
+func (k *Manager) startWriter(svc ident.Service, b *book) {
+	model := commit.New(commit.Config{Self: k.VM, Service: svc, Store: k.Times.StoreTimeout})
 	b.writer = loop.New(model, loop.RunnerFunc(func(ctx context.Context, cmd loop.Cmd, send func(loop.Msg)) {
 		k.runWriter(ctx, svc, cmd, send)
 	}))
@@ -27,12 +27,12 @@
 // edit passes a seat's write on. The seat's loop must never wait for the writer
 // while the writer waits for it, so the answer goes the way of answers, which
 // have room always.
-func (k *Keeper) edit(c *chair, cmd seat.PutTableCmd, answer func(loop.Msg)) {
+func (k *Manager) edit(c *chair, cmd lessor.PutTableCmd, answer func(loop.Msg)) {
 	c.answer.Store(&answer)
 	k.books[c.seatName.svc].writer.Send(commit.EditMsg{Cmd: cmd})
 }
 
-func (k *Keeper) runWriter(ctx context.Context, svc ident.Service, cmd loop.Cmd, send func(loop.Msg)) {
+func (k *Manager) runWriter(ctx context.Context, svc ident.Service, cmd loop.Cmd, send func(loop.Msg)) {
 	var call func(context.Context) loop.Msg
 	switch cmd := cmd.(type) {
 	case commit.ReadCmd:
@@ -57,7 +57,7 @@
 	})
 }
 
-func (k *Keeper) answerSeat(svc ident.Service, cmd commit.AnswerCmd) {
+func (k *Manager) answerSeat(svc ident.Service, cmd commit.AnswerCmd) {
 	c, ok := k.seats[seatName{svc, cmd.Server}]
 	if !ok {
 		return
@@ -69,7 +69,7 @@
 
 // postEdit sends a message to another VM's writer, unless the authority behind
 // it ended while it waited here.
-func (k *Keeper) postEdit(svc ident.Service, cmd commit.SendCmd) {
+func (k *Manager) postEdit(svc ident.Service, cmd commit.SendCmd) {
 	if !cmd.Valid(time.Now()) {
 		return
 	}
@@ -88,10 +88,10 @@
 	k.Peers.Send(cmd.To, b)
 }
 
-func (k *Keeper) deliverWriter(svc ident.Service, msg loop.Msg) error {
+func (k *Manager) deliverWriter(svc ident.Service, msg loop.Msg) error {
 	b, ok := k.books[svc]
 	if !ok {
-		return kinds.New(kinds.Absent, "no such service here")
+		return kinds.New(kinds.NotFound, "no such service here")
 	}
 	b.writer.Send(msg)
 	return nil
@@ -125,24 +125,24 @@
 	return picked
 }
 
-func (k *Keeper) readForWriter(ctx context.Context, svc ident.Service, cmd commit.ReadCmd) loop.Msg {
-	m := k.readTable(ctx, svc).(seat.TableMsg)
-	return commit.ReadMsg{Cmd: cmd, Table: m.Table, Version: m.Version, Kind: m.Kind}
+func (k *Manager) readForWriter(ctx context.Context, svc ident.Service, cmd commit.ReadCmd) loop.Msg {
+	m := k.readTable(ctx, svc).(lessor.TableMsg)
+	return commit.ReadResultMsg{Cmd: cmd, Table: m.Table, Version: m.Version, Kind: m.Kind}
 }
 
 // writeTable writes the table with the edits of several seats in it, unless the
 // authority behind one of them ended while it waited here.
-func (k *Keeper) writeTable(ctx context.Context, svc ident.Service, cmd commit.WriteCmd) loop.Msg {
+func (k *Manager) writeTable(ctx context.Context, svc ident.Service, cmd commit.WriteCmd) loop.Msg {
 	b, err := cmd.Table.Encode()
 	if err != nil {
-		return commit.WroteMsg{Cmd: cmd, Kind: kinds.Down}
+		return commit.WriteResultMsg{Cmd: cmd, Kind: kinds.Unavailable}
 	}
 	if !cmd.Valid(time.Now()) {
-		return commit.WroteMsg{Cmd: cmd, Kind: kinds.Down, Late: true}
+		return commit.WriteResultMsg{Cmd: cmd, Kind: kinds.Unavailable, Expired: true}
 	}
 	v, err := k.Store.Put(ctx, tableObject(svc), b, cmd.Old)
 	if err == nil {
 		k.publish(svc, cmd.Table, v)
 	}
-	return commit.WroteMsg{Cmd: cmd, Version: v, Kind: outcome(err)}
+	return commit.WriteResultMsg{Cmd: cmd, Version: v, Kind: outcome(err)}
 }
--- a/internal/edge/keeper/fleet_test.go
+++ b/internal/edge/leases/fleet_test.go
@@ -1,4 +1,4 @@
-package keeper
+package leases
 
 import (
 	"context"
@@ -47,7 +47,7 @@
 type fleet struct {
 	store   *tally
 	vms     []vmlist.VM
-	keepers map[ident.VM]*Keeper
+	keepers map[ident.VM]*Manager
 	servers []config.Server
 	tab     table.Table
 
@@ -127,7 +127,7 @@
 func (h *holder) reply(done bool, why string) server.Reply {
 	now := time.Since(h.start)
 	return server.Reply{
-		Done: done, Why: why, Fence: h.fence, Rev: h.rev, Left: max(h.end-now, 0), Mark: server.Mark{Boot: 1, At: now},
+		Done: done, Reason: why, Fence: h.fence, Rev: h.rev, Left: max(h.end-now, 0), Mark: server.Mark{Boot: 1, At: now},
 	}
 }
 
@@ -135,11 +135,11 @@
 	now, end := time.Since(h.start), o.Mark.At+o.TTL
 	switch {
 	case now >= end:
-		return h.reply(false, server.WhyLate)
+		return h.reply(false, server.ReasonLate)
 	case o.Fence.Less(h.fence):
-		return h.reply(false, server.WhyFence)
+		return h.reply(false, server.ReasonFence)
 	case !revoke && !o.Full && (now >= h.end || h.rev != o.Rev):
-		return h.reply(false, server.WhyRev)
+		return h.reply(false, server.ReasonRev)
 	}
 	h.fence = o.Fence
 	if revoke || o.Full {
@@ -211,7 +211,7 @@
 
 func newFleet(tb testing.TB, seed uint64, vms, servers int) *fleet {
 	f := &fleet{
-		store: &tally{Store: objmem.New()}, keepers: map[ident.VM]*Keeper{}, rng: rand.New(rand.NewPCG(seed, 11)),
+		store: &tally{Store: objmem.New()}, keepers: map[ident.VM]*Manager{}, rng: rand.New(rand.NewPCG(seed, 11)),
 		origin: map[netip.AddrPort]*holder{}, names: map[ident.Server]*holder{}, served: map[ident.Slice]time.Time{},
 	}
 	for i := range vms {
@@ -244,7 +244,7 @@
 
 func (f *fleet) config(list []config.Server) config.Service {
 	return config.Service{
-		Name: "lookup", Divided: true, Checks: true, Slices: uint32(fleetShare * len(f.servers)), Servers: list,
+		Name: "lookup", Divided: true, FenceChecks: true, Slices: uint32(fleetShare * len(f.servers)), Servers: list,
 	}
 }
 
@@ -287,13 +287,13 @@
 
 func (f *fleet) start() {
 	part := map[ident.VM][]config.Server{}
-	var places []Place
+	var places []Target
 	for _, s := range f.servers {
-		places = append(places, Place{"lookup", s.Name, s.Centre})
+		places = append(places, Target{"lookup", s.Name, s.Centre})
 	}
-	pairs := Deal(places, f.vms)
+	pairs := AssignAll(places, f.vms)
 	for i, s := range f.servers {
-		for _, vm := range []ident.VM{pairs[places[i]].Lead, pairs[places[i]].Deputy} {
+		for _, vm := range []ident.VM{pairs[places[i]].Leader, pairs[places[i]].Deputy} {
 			part[vm] = append(part[vm], s)
 		}
 	}
--- a/internal/edge/keeper/form.go
+++ b/internal/edge/leases/form.go
@@ -1,4 +1,4 @@
-package keeper
+package leases
 
 import (
 	"sync"
@@ -7,7 +7,7 @@
 	"github.com/cespare/xxhash/v2"
 
 	"hawthornfield.org/hawthornfield/internal/core/ident"
-	"hawthornfield.org/hawthornfield/internal/owner/seat"
+	"hawthornfield.org/hawthornfield/internal/owner/lessor"
 	"hawthornfield.org/hawthornfield/internal/plat/server"
 )
 
@@ -32,10 +32,10 @@
 	Clear bool           `cbor:"8,keyasint,omitempty"`
 }
 
-func formOf(m seat.BeatMsg) *beatForm {
+func formOf(m lessor.HeartbeatMsg) *beatForm {
 	return &beatForm{
-		Epoch: m.Epoch, Left: m.Left.Milliseconds(), Echo: m.Echo.Milliseconds(), Born: m.Born,
-		Boot: m.Mark.Boot, At: m.Mark.At, Rev: m.Rev, Clear: m.Clear,
+		Epoch: m.Epoch, Left: m.Left.Milliseconds(), Echo: m.Echo.Milliseconds(), Born: m.Incarnation,
+		Boot: m.Mark.Boot, At: m.Mark.At, Rev: m.Rev, Clear: m.NoStandby,
 	}
 }
 
@@ -48,10 +48,10 @@
 	return time.Duration(max(-longest, min(n, longest))) * time.Millisecond
 }
 
-func (f *beatForm) msg(from ident.VM) seat.BeatMsg {
-	return seat.BeatMsg{
-		From: from, Epoch: f.Epoch, Left: millis(f.Left), Echo: millis(f.Echo), Born: f.Born,
-		Mark: server.Mark{Boot: f.Boot, At: f.At}, Rev: f.Rev, Clear: f.Clear,
+func (f *beatForm) msg(from ident.VM) lessor.HeartbeatMsg {
+	return lessor.HeartbeatMsg{
+		From: from, Epoch: f.Epoch, Left: millis(f.Left), Echo: millis(f.Echo), Incarnation: f.Born,
+		Mark: server.Mark{Boot: f.Boot, At: f.At}, Rev: f.Rev, NoStandby: f.Clear,
 	}
 }
 
@@ -62,8 +62,8 @@
 	Born  int64       `cbor:"3,keyasint"`
 }
 
-func (f *askForm) msg(from ident.VM) seat.AskMsg {
-	return seat.AskMsg{From: from, Epoch: f.Epoch, At: millis(f.At), Born: f.Born}
+func (f *askForm) msg(from ident.VM) lessor.ClockMsg {
+	return lessor.ClockMsg{From: from, Epoch: f.Epoch, At: millis(f.At), Incarnation: f.Born}
 }
 
 // desks finds seats by eight bytes. Two seats whose bytes are the same are left
@@ -76,7 +76,7 @@
 
 func (n seatName) sum() uint64 { return xxhash.Sum64String(string(n.svc) + "\x00" + string(n.srv)) }
 
-func (k *Keeper) desk(sum uint64) *chair {
+func (k *Manager) desk(sum uint64) *chair {
 	k.desks.once.Do(func() { k.desks.by = desksOf(k.seats, seatName.sum) })
 	return k.desks.by[sum]
 }
@@ -99,7 +99,7 @@
 }
 
 // name writes on a letter whose it is.
-func (k *Keeper) name(l *letter, name seatName) {
+func (k *Manager) name(l *letter, name seatName) {
 	if s := name.sum(); k.desk(s) != nil {
 		l.Seat = s
 		return
@@ -108,7 +108,7 @@
 }
 
 // chairOf finds the seat of a letter.
-func (k *Keeper) chairOf(l *letter) (*chair, bool) {
+func (k *Manager) chairOf(l *letter) (*chair, bool) {
 	if l.Seat != 0 {
 		c := k.desk(l.Seat)
 		return c, c != nil
--- a/internal/edge/keeper/form_test.go
+++ b/internal/edge/leases/form_test.go
@@ -1,4 +1,4 @@
-package keeper
+package leases
 
 import (
 	"math"
@@ -11,7 +11,7 @@
 	"hawthornfield.org/hawthornfield/internal/core/ident"
 	"hawthornfield.org/hawthornfield/internal/core/wire"
 	"hawthornfield.org/hawthornfield/internal/fake/seeds"
-	"hawthornfield.org/hawthornfield/internal/owner/seat"
+	"hawthornfield.org/hawthornfield/internal/owner/lessor"
 	"hawthornfield.org/hawthornfield/internal/plat/server"
 )
 
@@ -20,15 +20,15 @@
 // term has ended.
 func TestABeatOnItsWayNeverGivesMore(t *testing.T) {
 	seeds.Check(t, func(t *rapid.T) {
-		m := seat.BeatMsg{
-			From:  "vm-1",
-			Epoch: ident.Epoch(rapid.Uint64().Draw(t, "epoch")),
-			Left:  time.Duration(rapid.Int64Range(0, math.MaxInt64).Draw(t, "left")),
-			Echo:  time.Duration(rapid.Int64Range(0, math.MaxInt64).Draw(t, "echo")),
-			Born:  rapid.Int64().Draw(t, "born"),
-			Mark:  server.Mark{Boot: rapid.Uint64().Draw(t, "boot"), At: time.Duration(rapid.Int64().Draw(t, "at"))},
-			Rev:   ident.Revision(rapid.Uint64().Draw(t, "rev")),
-			Clear: rapid.Bool().Draw(t, "clear"),
+		m := lessor.HeartbeatMsg{
+			From:        "vm-1",
+			Epoch:       ident.Epoch(rapid.Uint64().Draw(t, "epoch")),
+			Left:        time.Duration(rapid.Int64Range(0, math.MaxInt64).Draw(t, "left")),
+			Echo:        time.Duration(rapid.Int64Range(0, math.MaxInt64).Draw(t, "echo")),
+			Incarnation: rapid.Int64().Draw(t, "born"),
+			Mark:        server.Mark{Boot: rapid.Uint64().Draw(t, "boot"), At: time.Duration(rapid.Int64().Draw(t, "at"))},
+			Rev:         ident.Revision(rapid.Uint64().Draw(t, "rev")),
+			NoStandby:   rapid.Bool().Draw(t, "clear"),
 		}
 		b, err := wire.Encode(letter{Seat: 1, Beat: formOf(m)})
 		assert.NilError(t, err)
@@ -44,8 +44,8 @@
 
 func TestABeatIsShort(t *testing.T) {
 	now := time.Date(2026, 10, 1, 6, 0, 0, 0, time.UTC)
-	b, err := wire.Encode(letter{Seat: seatName{"lookup", "lookup-07"}.sum(), Beat: formOf(seat.BeatMsg{
-		Epoch: 300, Left: 29 * time.Minute, Echo: 40 * 24 * time.Hour, Born: now.UnixNano(),
+	b, err := wire.Encode(letter{Seat: seatName{"lookup", "lookup-07"}.sum(), Beat: formOf(lessor.HeartbeatMsg{
+		Epoch: 300, Left: 29 * time.Minute, Echo: 40 * 24 * time.Hour, Incarnation: now.UnixNano(),
 		Mark: server.Mark{Boot: 1 << 63, At: 40 * 24 * time.Hour}, Rev: 100_000,
 	})})
 	assert.NilError(t, err)
--- a/internal/edge/keeper/keeper.go
+++ b/internal/edge/leases/keeper.go
@@ -1,4 +1,4 @@
-// Package keeper runs the authority over backend servers on one entry VM: a
+// Package leases runs the authority over backend servers on one entry VM: a
 // seat for each server of each divided service, joined to the object API, to
 // the servers' control side and to the other entry VMs.
 //
@@ -7,7 +7,7 @@
 // process's clock immediately before the order is sent. A process that was
 // paused between deciding and sending would otherwise give an order that its
 // successor knows nothing of.
-package keeper
+package leases
 
 import (
 	"context"
@@ -25,7 +25,7 @@
 	"hawthornfield.org/hawthornfield/internal/edge/state"
 	"hawthornfield.org/hawthornfield/internal/owner/commit"
 	"hawthornfield.org/hawthornfield/internal/owner/lease"
-	"hawthornfield.org/hawthornfield/internal/owner/seat"
+	"hawthornfield.org/hawthornfield/internal/owner/lessor"
 	"hawthornfield.org/hawthornfield/internal/owner/table"
 	"hawthornfield.org/hawthornfield/internal/plat/object"
 	"hawthornfield.org/hawthornfield/internal/plat/server"
@@ -64,14 +64,14 @@
 	Log     *slog.Logger
 }
 
-// Keeper runs the seats of one VM. Make one with New.
-type Keeper struct {
+// Manager runs the seats of one VM. Make one with New.
+type Manager struct {
 	Options
 	group  group.Group
 	effect group.Group
 
 	answered atomic.Pointer[Answered]
-	told     atomic.Pointer[Tables]
+	told     atomic.Pointer[TableHooks]
 
 	seats map[seatName]*chair
 	books map[ident.Service]*book
@@ -86,7 +86,7 @@
 	dealt dealt // level.go
 	desks desks // form.go
 
-	places []Place // all seats that are dealt out
+	places []Target // all seats that are dealt out
 }
 
 type seatName struct {
@@ -107,7 +107,7 @@
 }
 
 // New starts the seats. Nothing is sent before SetVMs says who leads which.
-func New(o Options) *Keeper {
+func New(o Options) *Manager {
 	if o.Times == (lease.Times{}) {
 		o.Times = lease.Default()
 	}
@@ -117,7 +117,7 @@
 	if o.Log == nil {
 		o.Log = slog.Default()
 	}
-	k := &Keeper{
+	k := &Manager{
 		Options: o,
 		seats:   map[seatName]*chair{},
 		books:   map[ident.Service]*book{},
@@ -139,15 +139,15 @@
 	return k
 }
 
-func (k *Keeper) addService(name ident.Service, svc *state.Service) {
+func (k *Manager) addService(name ident.Service, svc *state.Service) {
 	k.books[name] = &book{svc: svc}
 	k.startWriter(name, k.books[name])
 	for i := range svc.Servers {
 		cfg := &svc.Servers[i]
 		at := &serverAt{name: cfg.Name, control: cfg.Control, centre: cfg.Centre}
 		c := &chair{seatName: seatName{name, cfg.Name}, svc: svc, cfg: at}
-		model := seat.New(seat.Config{
-			Self: k.VM, Service: name, Server: cfg.Name, Checks: svc.Checks, Times: k.Times, Stand: svc.Stand,
+		model := lessor.New(lessor.Config{
+			Self: k.VM, Service: name, Server: cfg.Name, FenceChecks: svc.FenceChecks, Times: k.Times, Standby: svc.Standby,
 		})
 		k.left.Add(1)
 		c.loop = loop.New(model, loop.RunnerFunc(func(ctx context.Context, cmd loop.Cmd, send func(loop.Msg)) {
@@ -158,7 +158,7 @@
 }
 
 // Close stops all seats without handing over: call Leave first.
-func (k *Keeper) Close() error {
+func (k *Manager) Close() error {
 	err := k.group.Close()
 	for _, c := range k.seats {
 		if e := c.loop.Close(); err == nil {
@@ -177,8 +177,8 @@
 }
 
 // Leave hands every seat over and waits for it, at most until ctx ends.
-func (k *Keeper) Leave(ctx context.Context) {
-	k.tell(seat.LeaveMsg{})
+func (k *Manager) Leave(ctx context.Context) {
+	k.tell(lessor.LeaveMsg{})
 	done := make(chan struct{})
 	k.effect.Go(func(context.Context) error {
 		k.left.Wait()
@@ -196,14 +196,14 @@
 	}
 }
 
-func (k *Keeper) tell(msg loop.Msg) {
+func (k *Manager) tell(msg loop.Msg) {
 	for _, c := range k.seats {
 		c.loop.Send(msg)
 	}
 }
 
 // SetVMs assigns the seats to the live VMs, and passes on which VMs are gone.
-func (k *Keeper) SetVMs(list []vmlist.VM) {
+func (k *Manager) SetVMs(list []vmlist.VM) {
 	var live []vmlist.VM
 	for _, vm := range list {
 		switch vm.State {
@@ -214,83 +214,83 @@
 		}
 	}
 	for name, b := range k.books {
-		b.writer.Send(commit.HubsMsg{VMs: hubs(name, live)})
+		b.writer.Send(commit.CoordinatorsMsg{VMs: hubs(name, live)})
 	}
 	pairs := k.deal(live)
 	for _, c := range k.seats {
-		lead, deputy := pairs[c.place()].Lead, pairs[c.place()].Deputy
+		lead, deputy := pairs[c.place()].Leader, pairs[c.place()].Deputy
 		if deputy == k.VM {
 			deputy = lead // for a seat that this VM still holds from before
 		}
-		c.loop.Send(seat.PlanMsg{Lead: lead == k.VM, Deputy: deputy})
+		c.loop.Send(lessor.RoleMsg{Lead: lead == k.VM, Deputy: deputy})
 	}
 }
 
-func (k *Keeper) markGone(vm ident.VM) {
+func (k *Manager) markGone(vm ident.VM) {
 	k.mu.Lock()
 	known := k.gone[vm]
 	k.gone[vm] = true
 	k.mu.Unlock()
 	if !known {
-		k.tell(seat.GoneMsg{VM: vm})
+		k.tell(lessor.VMGoneMsg{VM: vm})
 	}
 }
 
 // Suspect passes on that a VM seems frozen, cut off or lost.
-func (k *Keeper) Suspect(vm ident.VM) {
+func (k *Manager) Suspect(vm ident.VM) {
 	for _, b := range k.books {
 		b.writer.Send(commit.SuspectMsg{VM: vm})
 	}
-	k.tell(seat.SuspectMsg{VM: vm})
+	k.tell(lessor.SuspectMsg{VM: vm})
 }
 
 // Drain moves all keys away from a backend server, or takes that back.
-func (k *Keeper) Drain(svc ident.Service, srv ident.Server, on bool) {
+func (k *Manager) Drain(svc ident.Service, srv ident.Server, on bool) {
 	c, ok := k.seats[seatName{svc, srv}]
 	if !ok {
 		return
 	}
 	if on {
-		c.loop.Send(seat.DrainMsg{})
+		c.loop.Send(lessor.DrainMsg{})
 		return
 	}
-	c.loop.Send(seat.UndrainMsg{})
+	c.loop.Send(lessor.UndrainMsg{})
 }
 
 // Answered is told of each answer of a backend server: its own word, nil if the
 // answer had none, and how long the call took.
-type Answered func(srv ident.Server, word *server.Word, took time.Duration)
+type Answered func(srv ident.Server, word *server.Status, took time.Duration)
 
 // OnAnswer says who is told.
-func (k *Keeper) OnAnswer(f Answered) { k.answered.Store(&f) }
+func (k *Manager) OnAnswer(f Answered) { k.answered.Store(&f) }
 
 // ServerGone passes on that the platform lists a backend server as gone: no
 // lease of it can exist.
-func (k *Keeper) ServerGone(svc ident.Service, srv ident.Server) {
+func (k *Manager) ServerGone(svc ident.Service, srv ident.Server) {
 	if c, ok := k.seats[seatName{svc, srv}]; ok {
-		c.loop.Send(seat.ServerGoneMsg{})
+		c.loop.Send(lessor.ServerGoneMsg{})
 	}
 }
 
 // Move asks the holder of a server's seat to give keys away. Other VMs ignore
 // it, so any VM may be told.
-func (k *Keeper) Move(svc ident.Service, from ident.Server, moves []table.Move) {
+func (k *Manager) Move(svc ident.Service, from ident.Server, moves []table.Move) {
 	if c, ok := k.seats[seatName{svc, from}]; ok {
-		c.loop.Send(seat.MoveMsg{Moves: moves})
+		c.loop.Send(lessor.MoveMsg{Moves: moves})
 	}
 }
 
 // SetAlive says whether a server may be given keys: it answers, and does not
 // leave.
-func (k *Keeper) SetAlive(srv ident.Server, ok bool) {
+func (k *Manager) SetAlive(srv ident.Server, ok bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.alive[srv] = ok
 }
 
-// Takes reports whether a server may be given keys. One that was not looked at
+// Accepting reports whether a server may be given keys. One that was not looked at
 // yet may.
-func (k *Keeper) Takes(srv ident.Server) bool {
+func (k *Manager) Accepting(srv ident.Server) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	up, known := k.alive[srv]
@@ -299,33 +299,33 @@
 
 // usable lists the servers of a service that may be given keys, without one. The
 // seats that this VM holds know of a silent server long before the roster does.
-func (k *Keeper) usable(svc *state.Service, not ident.Server) []ident.Server {
+func (k *Manager) usable(svc *state.Service, not ident.Server) []ident.Server {
 	var all []ident.Server
 	for _, s := range svc.Servers {
-		if s.Name != not && k.Takes(s.Name) && !k.silent(seatName{svc.Name, s.Name}) {
+		if s.Name != not && k.Accepting(s.Name) && !k.silent(seatName{svc.Name, s.Name}) {
 			all = append(all, s.Name)
 		}
 	}
 	return all
 }
 
-func (k *Keeper) silent(name seatName) bool {
+func (k *Manager) silent(name seatName) bool {
 	c, ok := k.seats[name]
-	return ok && c.loop.Model().(seat.Seat).Silent()
+	return ok && c.loop.Model().(lessor.Lessor).Unresponsive()
 }
 
 // Status is one seat's state, for operators.
 type Status struct {
 	Service ident.Service `json:"service"`
 	Server  ident.Server  `json:"server"`
-	seat.Status
+	lessor.Status
 }
 
 // Status lists the seats of this VM.
-func (k *Keeper) Status() []Status {
+func (k *Manager) Status() []Status {
 	all := make([]Status, 0, len(k.seats))
 	for _, c := range k.seats {
-		m := c.loop.Model().(seat.Seat)
+		m := c.loop.Model().(lessor.Lessor)
 		all = append(all, Status{Service: c.seatName.svc, Server: c.srv, Status: m.Status()})
 	}
 	slices.SortFunc(all, func(a, b Status) int {
@@ -335,10 +335,10 @@
 }
 
 // Held lists the servers whose seats this VM holds.
-func (k *Keeper) Held() map[ident.Server]bool {
+func (k *Manager) Held() map[ident.Server]bool {
 	held := map[ident.Server]bool{}
 	for _, c := range k.seats {
-		if _, ok := c.loop.Model().(seat.Seat).Holds(time.Now()); ok {
+		if _, ok := c.loop.Model().(lessor.Lessor).Holds(time.Now()); ok {
 			held[c.srv] = true
 		}
 	}
--- a/internal/edge/keeper/keeper_test.go
+++ b/internal/edge/leases/keeper_test.go
@@ -1,4 +1,4 @@
-package keeper
+package leases
 
 import (
 	"context"
@@ -19,7 +19,7 @@
 	"hawthornfield.org/hawthornfield/internal/fake/objmem"
 	"hawthornfield.org/hawthornfield/internal/fake/origin"
 	"hawthornfield.org/hawthornfield/internal/owner/commit"
-	"hawthornfield.org/hawthornfield/internal/owner/seat"
+	"hawthornfield.org/hawthornfield/internal/owner/lessor"
 	"hawthornfield.org/hawthornfield/internal/owner/table"
 	"hawthornfield.org/hawthornfield/internal/plat/server"
 	"hawthornfield.org/hawthornfield/internal/plat/vmlist"
@@ -66,7 +66,7 @@
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, byte(i)}), 80)
 }
 
-func launch(store *objmem.Store) (*Keeper, *control, *state.Service) {
+func launch(store *objmem.Store) (*Manager, *control, *state.Service) {
 	c := &control{by: map[netip.AddrPort]*origin.Origin{}}
 	cfg := config.Service{Name: "lookup", Divided: true, Slices: 16}
 	for i, name := range []ident.Server{"a", "b", "c"} {
@@ -115,15 +115,15 @@
 		store := objmem.New()
 		k, c, _ := launch(store)
 		chair := k.seats[seatName{"lookup", "a"}]
-		cmd := seat.OrderCmd{Guard: seat.Guard{Until: time.Now().Add(time.Second)}}
+		cmd := lessor.OrderCmd{Guard: lessor.Guard{Until: time.Now().Add(time.Second)}}
 		time.Sleep(time.Second)
-		msg := k.order(t.Context(), chair, cmd).(seat.ReplyMsg)
-		assert.Equal(t, msg.Kind, kinds.Down)
+		msg := k.order(t.Context(), chair, cmd).(lessor.ReplyMsg)
+		assert.Equal(t, msg.Kind, kinds.Unavailable)
 		assert.Equal(t, c.orders, 0)
 		before := store.Usage().Writes
-		wrote := k.writeTable(t.Context(), "lookup", commit.WriteCmd{Guard: cmd.Guard}).(commit.WroteMsg)
-		assert.Equal(t, wrote.Kind, kinds.Down)
-		assert.Assert(t, wrote.Late, "the edits whose authority lasts could not be told from those without")
+		wrote := k.writeTable(t.Context(), "lookup", commit.WriteCmd{Guard: cmd.Guard}).(commit.WriteResultMsg)
+		assert.Equal(t, wrote.Kind, kinds.Unavailable)
+		assert.Assert(t, wrote.Expired, "the edits whose authority lasts could not be told from those without")
 		assert.Equal(t, store.Usage().Writes, before)
 		assert.NilError(t, k.Close())
 	})
@@ -134,14 +134,14 @@
 // twice; taken for a success, two VMs could hold it.
 func TestOutcomesKeepWhatSafetyDependsOn(t *testing.T) {
 	for in, want := range map[kinds.Kind]kinds.Kind{
-		kinds.Ambiguous: kinds.Ambiguous, kinds.Conflict: kinds.Conflict, kinds.Absent: kinds.Absent,
-		kinds.Down: kinds.Down, kinds.TooLarge: kinds.Down, kinds.Malformed: kinds.Down,
+		kinds.Ambiguous: kinds.Ambiguous, kinds.Conflict: kinds.Conflict, kinds.NotFound: kinds.NotFound,
+		kinds.Unavailable: kinds.Unavailable, kinds.TooLarge: kinds.Unavailable, kinds.Malformed: kinds.Unavailable,
 	} {
 		assert.Equal(t, outcome(kinds.New(in, "x")), want)
 	}
 	assert.Equal(t, outcome(nil), kinds.None)
 	assert.Equal(t, unanswered(kinds.New(kinds.Ambiguous, "x")), kinds.Ambiguous)
-	assert.Equal(t, unanswered(kinds.New(kinds.Malformed, "x")), kinds.Down)
+	assert.Equal(t, unanswered(kinds.New(kinds.Malformed, "x")), kinds.Unavailable)
 }
 
 func TestAssignKeepsServerLeadAndDeputyApart(t *testing.T) {
@@ -179,10 +179,10 @@
 	tab, err := table.New("lookup", 12, "a", "b", "c")
 	assert.NilError(t, err)
 	for x := range ident.Slice(12) {
-		tab, err = tab.Assigned(table.Move{Slice: x, To: []ident.Server{"a", "b", "c"}[x%3]})
+		tab, err = tab.WithAssigned(table.Move{Slice: x, To: []ident.Server{"a", "b", "c"}[x%3]})
 		assert.NilError(t, err)
 	}
-	next, err := tab.Moved("a", 0, Spread(nil, tab, "a", []ident.Server{"b", "c"})...)
+	next, err := tab.WithMoves("a", 0, Spread(nil, tab, "a", []ident.Server{"b", "c"})...)
 	assert.NilError(t, err)
 	assert.Equal(t, len(next.SetOf("b").Slices), 6)
 	assert.Equal(t, len(next.SetOf("c").Slices), 6)
@@ -193,13 +193,13 @@
 // exactly one message for a seat that exists, and nothing else.
 func FuzzHandle(f *testing.F) {
 	for _, l := range []letter{
-		{Svc: "lookup", Srv: "a", Beat: formOf(seat.BeatMsg{Epoch: 3})},
+		{Svc: "lookup", Srv: "a", Beat: formOf(lessor.HeartbeatMsg{Epoch: 3})},
 		{Seat: seatName{"lookup", "a"}.sum(), Beat: &beatForm{Epoch: 3, Left: 1 << 62, Echo: -1 << 63}},
-		{Svc: "lookup", Srv: "a", Yield: &seat.YieldMsg{Below: 1 << 62}},
-		{Svc: "lookup", Srv: "a", Ask: &askForm{}, Yielded: &seat.YieldedMsg{Below: 4}},
+		{Svc: "lookup", Srv: "a", Yield: &lessor.PrepareMsg{Below: 1 << 62}},
+		{Svc: "lookup", Srv: "a", Ask: &askForm{}, Yielded: &lessor.PromiseMsg{Below: 4}},
 		{Svc: "lookup", Edit: &commit.ForwardMsg{ID: 3, Edit: table.Edit{Server: "a", Epoch: 1}}},
 		{Svc: "lookup", Srv: "a", Did: &commit.ForwardedMsg{Done: true}, Beat: &beatForm{}},
-		{Svc: "none", Srv: "a", Yielded: &seat.YieldedMsg{Below: 4}},
+		{Svc: "none", Srv: "a", Yielded: &lessor.PromiseMsg{Below: 4}},
 	} {
 		b, err := wire.Encode(l)
 		assert.NilError(f, err)
@@ -214,15 +214,15 @@
 		msg, n := l.open("vm-9")
 		assert.Equal(t, msg != nil, n > 0)
 		switch m := msg.(type) {
-		case seat.BeatMsg:
+		case lessor.HeartbeatMsg:
 			assert.Equal(t, m.From, ident.VM("vm-9"))
 			assert.Equal(t, m.Left > 0, l.Beat.Left > 0)
 			assert.Equal(t, m.Echo > 0, l.Beat.Echo > 0)
-		case seat.AskMsg:
+		case lessor.ClockMsg:
 			assert.Equal(t, m.From, ident.VM("vm-9"))
-		case seat.YieldMsg:
+		case lessor.PrepareMsg:
 			assert.Equal(t, m.From, ident.VM("vm-9"))
-		case seat.YieldedMsg:
+		case lessor.PromiseMsg:
 			assert.Equal(t, m.From, ident.VM("vm-9"))
 		case commit.ForwardMsg:
 			assert.Equal(t, m.From, ident.VM("vm-9"))
--- a/internal/edge/keeper/late_test.go
+++ b/internal/edge/leases/late_test.go
@@ -1,4 +1,4 @@
-package keeper
+package leases
 
 import (
 	"context"
@@ -50,7 +50,7 @@
 func TestAServerThatAnswersLateIsGrantedItsKeys(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		k, c, _ := launch(objmem.New())
-		k.Control = tardy{c, k.Times.Call}
+		k.Control = tardy{c, k.Times.CallTimeout}
 		k.SetVMs([]vmlist.VM{{ID: "vm-1", State: vmlist.Live}})
 		time.Sleep(3 * time.Second)
 		for end := time.Now().Add(5 * time.Second); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
--- a/internal/edge/keeper/level.go
+++ b/internal/edge/leases/level.go
@@ -1,4 +1,4 @@
-package keeper
+package leases
 
 import (
 	"cmp"
@@ -10,7 +10,7 @@
 	"github.com/cespare/xxhash/v2"
 
 	"hawthornfield.org/hawthornfield/internal/core/ident"
-	"hawthornfield.org/hawthornfield/internal/owner/seat"
+	"hawthornfield.org/hawthornfield/internal/owner/lessor"
 	"hawthornfield.org/hawthornfield/internal/plat/vmlist"
 )
 
@@ -40,37 +40,37 @@
 	levelMost  = 10 * time.Minute
 )
 
-// Place is one seat to deal out: a backend server and where it stands.
-type Place struct {
+// Target is one seat to deal out: a backend server and where it stands.
+type Target struct {
 	Service ident.Service
 	Server  ident.Server
 	Centre  ident.Centre
 }
 
 // Pair are the VMs that a seat is dealt to, empty where there are too few.
-type Pair struct{ Lead, Deputy ident.VM }
+type Pair struct{ Leader, Deputy ident.VM }
 
-// Deal gives each seat to a VM as [Assign] does, and to no VM more than its fair
+// AssignAll gives each seat to a VM as [Assign] does, and to no VM more than its fair
 // share of them, rounded up, unless all VMs in other data centres than the
 // server have theirs: the loss of one data centre must never take a server and
 // its authority together, and that is worth more than evenness. Every VM
 // computes the same from the same list.
-func Deal(places []Place, live []vmlist.VM) map[Place]Pair {
+func AssignAll(places []Target, live []vmlist.VM) map[Target]Pair {
 	if len(live) == 0 {
 		return nil
 	}
-	sorted := slices.SortedFunc(slices.Values(places), func(a, b Place) int {
+	sorted := slices.SortedFunc(slices.Values(places), func(a, b Target) int {
 		return cmp.Or(strings.Compare(string(a.Service), string(b.Service)), strings.Compare(string(a.Server), string(b.Server)))
 	})
 	share := (len(places) + len(live) - 1) / len(live)
 	held := make([]int, len(live))
 	names := hashes(live)
-	deal := make(map[Place]Pair, len(places))
+	deal := make(map[Target]Pair, len(places))
 	for _, p := range sorted {
 		i := pick(p, live, names, held, share)
 		held[i]++
 		lead := &live[i]
-		deal[p] = Pair{Lead: lead.ID, Deputy: deputyOf(lead, p.Centre, live)}
+		deal[p] = Pair{Leader: lead.ID, Deputy: deputyOf(lead, p.Centre, live)}
 	}
 	return deal
 }
@@ -85,7 +85,7 @@
 
 // pick returns the VM for a seat: in another data centre, with room in its
 // share, and of those the first in rendezvous order.
-func pick(p Place, live []vmlist.VM, names []uint64, held []int, share int) int {
+func pick(p Target, live []vmlist.VM, names []uint64, held []int, share int) int {
 	seed := xxhash.Sum64String(string(p.Service) + "\x00" + string(p.Server))
 	rank := func(i int) int {
 		over := max(held[i]+1-share, 0)
@@ -115,11 +115,11 @@
 
 // dealt is the deal in force on this VM, and what levelling remembers.
 type dealt struct {
-	pairs map[Place]Pair
+	pairs map[Target]Pair
 	live  []vmlist.VM
 	since time.Time // of the list
 	next  time.Time // of a take-over
-	waits map[Place]wait
+	waits map[Target]wait
 }
 
 // wait keeps a seat from being taken over again too soon.
@@ -128,11 +128,11 @@
 	pause time.Duration
 }
 
-func (c *chair) place() Place { return Place{c.seatName.svc, c.srv, c.cfg.centre} }
+func (c *chair) place() Target { return Target{c.seatName.svc, c.srv, c.cfg.centre} }
 
 // deal works out who should hold which seat.
-func (k *Keeper) deal(live []vmlist.VM) map[Place]Pair {
-	pairs := Deal(k.places, live)
+func (k *Manager) deal(live []vmlist.VM) map[Target]Pair {
+	pairs := AssignAll(k.places, live)
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if !slices.Equal(k.dealt.live, live) {
@@ -143,7 +143,7 @@
 }
 
 // Pair returns the VMs that a seat is dealt to.
-func (k *Keeper) Pair(svc ident.Service, srv ident.Server) Pair {
+func (k *Manager) Pair(svc ident.Service, srv ident.Server) Pair {
 	c, ok := k.seats[seatName{svc, srv}]
 	if !ok {
 		return Pair{}
@@ -155,7 +155,7 @@
 
 // level takes over, now and then, one seat that was dealt to this VM and is held
 // by another.
-func (k *Keeper) level(ctx context.Context) error {
+func (k *Manager) level(ctx context.Context) error {
 	t := time.NewTicker(levelPace)
 	defer t.Stop()
 	for {
@@ -169,10 +169,10 @@
 }
 
 // levelOne starts at most one take-over.
-func (k *Keeper) levelOne(now time.Time) {
+func (k *Manager) levelOne(now time.Time) {
 	for _, c := range k.dealtHere(now) {
-		s := c.loop.Model().(seat.Seat).Status()
-		if s.Holder == "" || s.Holder == k.VM || s.Epoch != 0 || !k.Takes(c.srv) {
+		s := c.loop.Model().(lessor.Lessor).Status()
+		if s.Holder == "" || s.Holder == k.VM || s.Epoch != 0 || !k.Accepting(c.srv) {
 			continue // a server that leaves has a holder at work on its moves
 		}
 		if k.levelling(c.place(), now) {
@@ -189,18 +189,18 @@
 // server may have been lost a moment ago, and the holder is then waiting for its
 // lease to run out: a new holder knows of no lease but that the old one ended
 // just now, and would wait a whole one again, 0.7 s more for all its keys.
-func (k *Keeper) relieve(ctx context.Context, c *chair, holder ident.VM) {
-	ctx, cancel := context.WithTimeout(ctx, k.Times.Call)
+func (k *Manager) relieve(ctx context.Context, c *chair, holder ident.VM) {
+	ctx, cancel := context.WithTimeout(ctx, k.Times.CallTimeout)
 	defer cancel()
 	if _, err := k.Control.Read(ctx, c.cfg.control, c.seatName.svc, c.srv); err != nil {
 		return
 	}
 	k.Log.Info("seat taken over to even them out", "service", c.seatName.svc, "server", c.srv, "from", holder)
-	c.loop.Send(seat.RelieveMsg{VM: holder})
+	c.loop.Send(lessor.TakeOverMsg{VM: holder})
 }
 
 // dealtHere lists the seats that this VM was dealt, if it is time to look.
-func (k *Keeper) dealtHere(now time.Time) []*chair {
+func (k *Manager) dealtHere(now time.Time) []*chair {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if now.Before(k.dealt.next) || now.Sub(k.dealt.since) < levelAfter {
@@ -208,7 +208,7 @@
 	}
 	var mine []*chair
 	for _, c := range k.seats {
-		if k.dealt.pairs[c.place()].Lead == k.VM {
+		if k.dealt.pairs[c.place()].Leader == k.VM {
 			mine = append(mine, c)
 		}
 	}
@@ -217,7 +217,7 @@
 }
 
 // levelling reports whether a seat may be taken over now, and notes that it is.
-func (k *Keeper) levelling(p Place, now time.Time) bool {
+func (k *Manager) levelling(p Target, now time.Time) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	w := k.dealt.waits[p]
@@ -230,7 +230,7 @@
 	w.pause = min(max(2*w.pause, levelAgain), levelMost)
 	w.until = now.Add(w.pause)
 	if k.dealt.waits == nil {
-		k.dealt.waits = map[Place]wait{}
+		k.dealt.waits = map[Target]wait{}
 	}
 	k.dealt.waits[p] = w
 	k.dealt.next = now.Add(levelPace + time.Duration(len(k.dealt.live))*levelShare)
--- a/internal/edge/keeper/level_test.go
+++ b/internal/edge/leases/level_test.go
@@ -1,4 +1,4 @@
-package keeper
+package leases
 
 import (
 	"context"
@@ -25,10 +25,10 @@
 	"hawthornfield.org/hawthornfield/internal/plat/vmlist"
 )
 
-func placesIn(n, centres int) []Place {
-	var all []Place
+func placesIn(n, centres int) []Target {
+	var all []Target
 	for i := range n {
-		all = append(all, Place{"lookup", ident.Server(fmt.Sprint("s", i)), ident.Centre(fmt.Sprint("c", i%centres))})
+		all = append(all, Target{"lookup", ident.Server(fmt.Sprint("s", i)), ident.Centre(fmt.Sprint("c", i%centres))})
 	}
 	return all
 }
@@ -41,11 +41,11 @@
 	return all
 }
 
-func mostOf(deal map[Place]Pair) int {
+func mostOf(deal map[Target]Pair) int {
 	held, most := map[ident.VM]int{}, 0
 	for _, p := range deal {
-		held[p.Lead]++
-		most = max(most, held[p.Lead])
+		held[p.Leader]++
+		most = max(most, held[p.Leader])
 	}
 	return most
 }
@@ -66,22 +66,22 @@
 		for _, vm := range live {
 			centre[vm.ID] = vm.Centre
 		}
-		deal := Deal(places, live)
+		deal := AssignAll(places, live)
 		plain := map[ident.VM]int{}
 		worst := 0
 		for p, pair := range deal {
 			lead, _ := Assign(p.Service, p.Server, p.Centre, live)
 			plain[lead]++
 			worst = max(worst, plain[lead])
-			assert.Assert(t, centre[pair.Lead] != p.Centre && centre[pair.Deputy] != p.Centre)
-			assert.Assert(t, centre[pair.Lead] != centre[pair.Deputy])
+			assert.Assert(t, centre[pair.Leader] != p.Centre && centre[pair.Deputy] != p.Centre)
+			assert.Assert(t, centre[pair.Leader] != centre[pair.Deputy])
 		}
 		assert.Assert(t, mostOf(deal) <= c.most, "%d", mostOf(deal))
 		others, trials := 0, min(c.vms, 20)
 		for gone := range trials {
 			rest := append(append([]vmlist.VM{}, live[:gone]...), live[gone+1:]...)
-			for p, pair := range Deal(places, rest) {
-				if was := deal[p].Lead; was != live[gone].ID && was != pair.Lead {
+			for p, pair := range AssignAll(places, rest) {
+				if was := deal[p].Leader; was != live[gone].ID && was != pair.Leader {
 					others++
 				}
 			}
@@ -98,17 +98,17 @@
 // lost together.
 func TestEvennessGivesWayToDataCentres(t *testing.T) {
 	live := []vmlist.VM{{ID: "a", Centre: "c0"}, {ID: "b", Centre: "c0"}, {ID: "x", Centre: "c1"}}
-	for p, pair := range Deal(placesIn(6, 1), live) {
-		assert.Equal(t, pair.Lead, ident.VM("x"), "%v", p)
+	for p, pair := range AssignAll(placesIn(6, 1), live) {
+		assert.Equal(t, pair.Leader, ident.VM("x"), "%v", p)
 	}
-	assert.Equal(t, mostOf(Deal(placesIn(6, 1), live[:2])), 3)
-	assert.Equal(t, len(Deal(placesIn(6, 1), nil)), 0)
+	assert.Equal(t, mostOf(AssignAll(placesIn(6, 1), live[:2])), 3)
+	assert.Equal(t, len(AssignAll(placesIn(6, 1), nil)), 0)
 }
 
 // hall joins keepers: what one sends, the other handles.
 type hall struct {
 	mu  sync.Mutex
-	vms map[ident.VM]*Keeper
+	vms map[ident.VM]*Manager
 }
 
 type door struct {
@@ -138,7 +138,7 @@
 }
 
 func newCrew(servers int) *crew {
-	f := &crew{hall: hall{vms: map[ident.VM]*Keeper{}}, control: &control{}, store: objmem.New()}
+	f := &crew{hall: hall{vms: map[ident.VM]*Manager{}}, control: &control{}, store: objmem.New()}
 	f.control.by = map[netip.AddrPort]*origin.Origin{}
 	f.cfg = config.Service{Name: "lookup", Divided: true, Slices: 64}
 	for i := range servers {
@@ -303,7 +303,7 @@
 			}
 			f.run(at)
 			srv := 0 // one whose seat is to pass on
-			for f.vms["vm-0"].Pair("lookup", f.cfg.Servers[srv].Name).Lead == "vm-0" {
+			for f.vms["vm-0"].Pair("lookup", f.cfg.Servers[srv].Name).Leader == "vm-0" {
 				srv++
 			}
 			f.lost.Store(new(addr(srv)))
@@ -340,6 +340,6 @@
 func BenchmarkDeal(b *testing.B) {
 	places, live := placesIn(884, 4), vmsIn(520, 4)
 	for b.Loop() {
-		Deal(places, live)
+		AssignAll(places, live)
 	}
 }
--- a/internal/edge/keeper/looks.go
+++ b/internal/edge/leases/looks.go
@@ -1,4 +1,4 @@
-package keeper
+package leases
 
 import (
 	"context"
@@ -56,12 +56,12 @@
 }
 
 // look reads one record.
-func (k *Keeper) look(ctx context.Context, name string) (object.Object, error) {
+func (k *Manager) look(ctx context.Context, name string) (object.Object, error) {
 	l := look{name, make(chan found, 1)}
 	k.looks.mu.Lock()
 	if k.looks.resting() {
 		k.looks.mu.Unlock()
-		return object.Object{}, kinds.New(kinds.Down, "the store did not answer just now")
+		return object.Object{}, kinds.New(kinds.Unavailable, "the store did not answer just now")
 	}
 	if k.looks.free() {
 		k.looks.single++
@@ -74,7 +74,7 @@
 	case f := <-l.got:
 		return f.Object, f.err
 	case <-ctx.Done():
-		return object.Object{}, kinds.Wrap(kinds.Down, ctx.Err(), "read "+name)
+		return object.Object{}, kinds.Wrap(kinds.Unavailable, ctx.Err(), "read "+name)
 	}
 }
 
@@ -89,14 +89,14 @@
 
 // ended notes how a call went.
 func (l *looks) ended(err error) {
-	if k := kinds.Of(err); k == kinds.None || k == kinds.Absent {
+	if k := kinds.Of(err); k == kinds.None || k == kinds.NotFound {
 		l.failed = 0
 		return
 	}
 	l.failed, l.tried = l.failed+1, time.Now()
 }
 
-func (k *Keeper) lookAlone(ctx context.Context, name string) (object.Object, error) {
+func (k *Manager) lookAlone(ctx context.Context, name string) (object.Object, error) {
 	o, err := k.Store.Get(ctx, name)
 	k.looks.mu.Lock()
 	defer k.looks.mu.Unlock()
@@ -109,7 +109,7 @@
 }
 
 // nextLooks sends what waits, once nothing stands in its way. The lock is held.
-func (k *Keeper) nextLooks() {
+func (k *Manager) nextLooks() {
 	waiting := k.looks.queue
 	switch {
 	case k.looks.listing || len(waiting) == 0:
@@ -136,7 +136,7 @@
 }
 
 // list answers many looks with one call.
-func (k *Keeper) list(ctx context.Context, waiting []look) {
+func (k *Manager) list(ctx context.Context, waiting []look) {
 	ctx, cancel := context.WithTimeout(ctx, k.Times.StoreWait())
 	defer cancel()
 	all, _, err := k.Store.List(ctx, seatPrefix)
@@ -150,7 +150,7 @@
 		case err != nil:
 			l.got <- found{err: err}
 		case !ok:
-			l.got <- found{err: kinds.New(kinds.Absent, l.name)}
+			l.got <- found{err: kinds.New(kinds.NotFound, l.name)}
 		default:
 			l.got <- found{Object: o}
 		}
--- a/internal/edge/keeper/looks_test.go
+++ b/internal/edge/leases/looks_test.go
@@ -1,4 +1,4 @@
-package keeper
+package leases
 
 import (
 	"fmt"
@@ -16,16 +16,16 @@
 	"hawthornfield.org/hawthornfield/internal/core/kinds"
 	"hawthornfield.org/hawthornfield/internal/edge/state"
 	"hawthornfield.org/hawthornfield/internal/fake/objmem"
-	"hawthornfield.org/hawthornfield/internal/owner/seat"
+	"hawthornfield.org/hawthornfield/internal/owner/lessor"
 	"hawthornfield.org/hawthornfield/internal/plat/vmlist"
 )
 
 // bystander starts a VM with all seats of a fleet that others hold, and returns
 // its keeper and the store, which counts.
-func bystander(t *testing.T, servers int) (*Keeper, *tally) {
+func bystander(t *testing.T, servers int) (*Manager, *tally) {
 	f := newFleet(t, 5, 1, servers)
 	for _, s := range f.servers {
-		rec := seat.Record{V: seat.Format, Epoch: 1, Holder: "other", Term: time.Hour}
+		rec := lessor.Record{V: lessor.RecordVersion, Epoch: 1, Holder: "other", Term: time.Hour}
 		b, err := rec.Encode()
 		assert.NilError(t, err)
 		_, err = f.store.Put(t.Context(), seatName{"lookup", s.Name}.object(), b, 0)
@@ -44,7 +44,7 @@
 }
 
 // known counts the seats whose record the VM has read.
-func known(k *Keeper) int {
+func known(k *Manager) int {
 	n := 0
 	for _, s := range k.Status() {
 		if s.Holder == "other" {
@@ -119,7 +119,7 @@
 				name := seatName{"lookup", ident.Server(fmt.Sprintf("s-%d", i))}.object()
 				o, err := k.look(t.Context(), name)
 				if i >= 40 {
-					assert.Check(t, kinds.Of(err) == kinds.Absent, "%v", err)
+					assert.Check(t, kinds.Of(err) == kinds.NotFound, "%v", err)
 					return
 				}
 				assert.Check(t, err)
--- a/internal/edge/keeper/loss_test.go
+++ b/internal/edge/leases/loss_test.go
@@ -1,4 +1,4 @@
-package keeper
+package leases
 
 import (
 	"fmt"
@@ -75,7 +75,7 @@
 	for vm := range dead {
 		assert.NilError(t, f.keepers[vm].Close())
 	}
-	tell := func(do func(*Keeper)) func() {
+	tell := func(do func(*Manager)) func() {
 		return func() {
 			for vm, k := range f.keepers {
 				if !dead[vm] {
@@ -84,12 +84,12 @@
 			}
 		}
 	}
-	time.AfterFunc(fleetSuspect, tell(func(k *Keeper) {
+	time.AfterFunc(fleetSuspect, tell(func(k *Manager) {
 		for vm := range dead {
 			k.Suspect(vm)
 		}
 	}))
-	time.AfterFunc(fleetLag, tell(func(k *Keeper) { k.SetVMs(list) }))
+	time.AfterFunc(fleetLag, tell(func(k *Manager) { k.SetVMs(list) }))
 }
 
 func (f *fleet) held() int {
--- a/internal/edge/keeper/post.go
+++ b/internal/edge/leases/post.go
@@ -1,4 +1,4 @@
-package keeper
+package leases
 
 import (
 	"hawthornfield.org/hawthornfield/internal/core/ident"
@@ -6,19 +6,19 @@
 	"hawthornfield.org/hawthornfield/internal/core/loop"
 	"hawthornfield.org/hawthornfield/internal/core/wire"
 	"hawthornfield.org/hawthornfield/internal/owner/commit"
-	"hawthornfield.org/hawthornfield/internal/owner/seat"
+	"hawthornfield.org/hawthornfield/internal/owner/lessor"
 )
 
 // letter is a seat message on its way between entry VMs: the seat, and exactly
 // one message.
 type letter struct {
-	Svc     ident.Service    `cbor:"svc,omitempty"`
-	Srv     ident.Server     `cbor:"srv,omitempty"`
-	Seat    uint64           `cbor:"1,keyasint,omitempty"` // in place of both; see desks
-	Beat    *beatForm        `cbor:"2,keyasint,omitempty"`
-	Ask     *askForm         `cbor:"3,keyasint,omitempty"`
-	Yield   *seat.YieldMsg   `cbor:"yield,omitempty"`
-	Yielded *seat.YieldedMsg `cbor:"did,omitempty"`
+	Svc     ident.Service      `cbor:"svc,omitempty"`
+	Srv     ident.Server       `cbor:"srv,omitempty"`
+	Seat    uint64             `cbor:"1,keyasint,omitempty"` // in place of both; see desks
+	Beat    *beatForm          `cbor:"2,keyasint,omitempty"`
+	Ask     *askForm           `cbor:"3,keyasint,omitempty"`
+	Yield   *lessor.PrepareMsg `cbor:"yield,omitempty"`
+	Yielded *lessor.PromiseMsg `cbor:"did,omitempty"`
 	// Edit and Did are between the writers of a service's table; they name no
 	// seat.
 	Edit *commit.ForwardMsg   `cbor:"edit,omitempty"`
@@ -29,18 +29,18 @@
 
 // post sends a seat's message. Beats and the questions that answer them are
 // stale when they are late, so they do not queue behind anything.
-func (k *Keeper) post(name seatName, cmd seat.SendCmd) {
+func (k *Manager) post(name seatName, cmd lessor.SendCmd) {
 	var l letter
 	k.name(&l, name)
 	cast := false
 	switch m := cmd.Msg.(type) {
-	case seat.BeatMsg:
+	case lessor.HeartbeatMsg:
 		l.Beat, cast = formOf(m), true
-	case seat.AskMsg:
-		l.Ask, cast = &askForm{Epoch: m.Epoch, At: m.At.Milliseconds(), Born: m.Born}, true
-	case seat.YieldMsg:
+	case lessor.ClockMsg:
+		l.Ask, cast = &askForm{Epoch: m.Epoch, At: m.At.Milliseconds(), Born: m.Incarnation}, true
+	case lessor.PrepareMsg:
 		l.Yield = &m
-	case seat.YieldedMsg:
+	case lessor.PromiseMsg:
 		l.Yielded = &m
 	}
 	b, err := wire.Encode(l)
@@ -58,7 +58,7 @@
 // Handle takes a message from another entry VM. The sender is whom the peer's
 // certificate names. Kind Malformed means that the message made no sense; it
 // changed nothing.
-func (k *Keeper) Handle(from ident.VM, body []byte) error {
+func (k *Manager) Handle(from ident.VM, body []byte) error {
 	var l letter
 	if err := wire.Decode(body, &l); err != nil {
 		return err
@@ -71,7 +71,7 @@
 
 // handleAll takes letters that shared a packet. One that makes no sense does not
 // hold the others up.
-func (k *Keeper) handleAll(from ident.VM, all [][]byte) error {
+func (k *Manager) handleAll(from ident.VM, all [][]byte) error {
 	var first error
 	for _, b := range all {
 		var l letter
@@ -86,7 +86,7 @@
 	return first
 }
 
-func (k *Keeper) deliver(from ident.VM, l *letter) error {
+func (k *Manager) deliver(from ident.VM, l *letter) error {
 	msg, n := l.open(from)
 	if n != 1 || len(l.All) > 0 {
 		return kinds.New(kinds.Malformed, "not exactly one seat message")
@@ -96,7 +96,7 @@
 	}
 	c, ok := k.chairOf(l)
 	if !ok {
-		return kinds.New(kinds.Absent, "no such seat here")
+		return kinds.New(kinds.NotFound, "no such seat here")
 	}
 	c.loop.Send(msg)
 	return nil
--- a/internal/edge/keeper/share.go
+++ b/internal/edge/leases/share.go
@@ -1,4 +1,4 @@
-package keeper
+package leases
 
 import (
 	"context"
@@ -35,7 +35,7 @@
 }
 
 // share sends a letter with others to the same VM, after shareWait at most.
-func (k *Keeper) share(to ident.VM, b []byte) {
+func (k *Manager) share(to ident.VM, b []byte) {
 	k.piles.mu.Lock()
 	defer k.piles.mu.Unlock()
 	p := k.piles.open[to]
@@ -64,7 +64,7 @@
 }
 
 // flush sends a pile once it has waited, unless a full one was sent before.
-func (k *Keeper) flush(ctx context.Context, to ident.VM, p *pile) {
+func (k *Manager) flush(ctx context.Context, to ident.VM, p *pile) {
 	t := time.NewTimer(shareWait)
 	defer t.Stop()
 	select {
@@ -80,7 +80,7 @@
 }
 
 // cast sends a pile as one datagram.
-func (k *Keeper) cast(to ident.VM, p *pile) {
+func (k *Manager) cast(to ident.VM, p *pile) {
 	if len(p.letters) == 1 {
 		k.Peers.Cast(to, p.letters[0])
 		return
--- a/internal/edge/keeper/share_test.go
+++ b/internal/edge/leases/share_test.go
@@ -1,4 +1,4 @@
-package keeper
+package leases
 
 import (
 	"fmt"
@@ -13,7 +13,7 @@
 	"hawthornfield.org/hawthornfield/internal/core/kinds"
 	"hawthornfield.org/hawthornfield/internal/core/wire"
 	"hawthornfield.org/hawthornfield/internal/fake/objmem"
-	"hawthornfield.org/hawthornfield/internal/owner/seat"
+	"hawthornfield.org/hawthornfield/internal/owner/lessor"
 	"hawthornfield.org/hawthornfield/internal/plat/vmlist"
 )
 
@@ -52,7 +52,7 @@
 		k.SetVMs([]vmlist.VM{{ID: "vm-1", State: vmlist.Live}})
 		time.Sleep(2 * time.Second)
 		for name := range k.seats {
-			k.seats[name].loop.Send(seat.PlanMsg{Lead: true, Deputy: "vm-2"})
+			k.seats[name].loop.Send(lessor.RoleMsg{Lead: true, Deputy: "vm-2"})
 		}
 		time.Sleep(time.Second)
 		out.take()
@@ -70,7 +70,7 @@
 				c, ok := k.chairOf(&one)
 				assert.Assert(t, ok)
 				if was, ok := last[c]; ok {
-					assert.Assert(t, at[i].Sub(was) <= k.Times.Beat+shareWait)
+					assert.Assert(t, at[i].Sub(was) <= k.Times.Heartbeat+shareWait)
 				}
 				last[c] = at[i]
 			}
@@ -107,7 +107,7 @@
 func TestOneBadLetterDoesNotHoldUpTheOthers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		k, _, _ := launch(objmem.New())
-		good, err := wire.Encode(letter{Svc: "lookup", Srv: "a", Beat: formOf(seat.BeatMsg{Epoch: 3})})
+		good, err := wire.Encode(letter{Svc: "lookup", Srv: "a", Beat: formOf(lessor.HeartbeatMsg{Epoch: 3})})
 		assert.NilError(t, err)
 		nested, err := wire.Encode(letter{All: [][]byte{good}})
 		assert.NilError(t, err)
@@ -120,7 +120,7 @@
 			if s.Server == "a" {
 				want = "watching"
 			}
-			assert.Equal(t, string(s.Stand), want, "%s", s.Server)
+			assert.Equal(t, string(s.Standby), want, "%s", s.Server)
 		}
 		assert.NilError(t, k.Close())
 	})
--- a/internal/edge/keeper/tables.go
+++ b/internal/edge/leases/tables.go
@@ -1,4 +1,4 @@
-package keeper
+package leases
 
 import (
 	"context"
@@ -12,7 +12,7 @@
 	"hawthornfield.org/hawthornfield/internal/core/loop"
 	"hawthornfield.org/hawthornfield/internal/edge/state"
 	"hawthornfield.org/hawthornfield/internal/owner/commit"
-	"hawthornfield.org/hawthornfield/internal/owner/seat"
+	"hawthornfield.org/hawthornfield/internal/owner/lessor"
 	"hawthornfield.org/hawthornfield/internal/owner/table"
 	"hawthornfield.org/hawthornfield/internal/plat/object"
 )
@@ -46,47 +46,47 @@
 
 // publish puts a table in place for the request path and tells the seats of its
 // service. A zero version means that a peer sent it.
-func (k *Keeper) publish(svc ident.Service, tab table.Table, ver object.Version) {
+func (k *Manager) publish(svc ident.Service, tab table.Table, ver object.Version) {
 	b, ok := k.books[svc]
 	if !ok || !b.newer(tab.Rev, ver) {
 		return
 	}
 	b.svc.SetView(table.NewView(tab))
-	b.writer.Send(commit.NewsMsg{Table: tab, Version: ver})
+	b.writer.Send(commit.TableMsg{Table: tab, Version: ver})
 	if told := k.told.Load(); told != nil && ver != 0 {
 		told.Newer(tab)
 	}
 	for name, c := range k.seats {
 		if name.svc == svc {
-			c.loop.Send(seat.TableMsg{Table: tab, Version: ver})
+			c.loop.Send(lessor.TableMsg{Table: tab, Version: ver})
 		}
 	}
 }
 
-// Tables are told of tables that this VM wrote or read, for the other VMs.
-type Tables struct {
+// TableHooks are told of tables that this VM wrote or read, for the other VMs.
+type TableHooks struct {
 	// Newer takes each newer one.
 	Newer func(table.Table)
 	// Moved names the VMs that wait for a revision of a service's: they hold
 	// the seats of the servers that were given keys, which nobody serves until
 	// they hear of it.
 	Moved func(svc ident.Service, rev ident.Revision, to []ident.VM)
-	// Lent takes the hints of this VM's own seats.
-	Lent func(Lend)
+	// Standby takes the hints of this VM's own seats.
+	Standby func(Standby)
 }
 
 // OnTable says who is told.
-func (k *Keeper) OnTable(t Tables) { k.told.Store(&t) }
+func (k *Manager) OnTable(t TableHooks) { k.told.Store(&t) }
 
 // tellNext lets the holders of the next owners' seats hear of a move at once.
-func (k *Keeper) tellNext(svc ident.Service, rev ident.Revision, moves []table.Move) {
+func (k *Manager) tellNext(svc ident.Service, rev ident.Revision, moves []table.Move) {
 	told := k.told.Load()
 	if told == nil {
 		return
 	}
 	var to []ident.VM
 	for _, m := range moves {
-		if vm := k.Pair(svc, m.To).Lead; vm != "" && vm != k.VM && !slices.Contains(to, vm) {
+		if vm := k.Pair(svc, m.To).Leader; vm != "" && vm != k.VM && !slices.Contains(to, vm) {
 			to = append(to, vm)
 		}
 	}
@@ -97,10 +97,10 @@
 
 // Table takes a table that a watch or a peer brought; the version is that of
 // its object, zero when a peer sent it.
-func (k *Keeper) Table(tab table.Table, ver object.Version) { k.publish(tab.Service, tab, ver) }
+func (k *Manager) Table(tab table.Table, ver object.Version) { k.publish(tab.Service, tab, ver) }
 
 // seen takes a table that was read from the store.
-func (k *Keeper) seen(o object.Object) (table.Table, error) {
+func (k *Manager) seen(o object.Object) (table.Table, error) {
 	tab, err := table.Decode(o.Value)
 	if err != nil {
 		return tab, err
@@ -111,7 +111,7 @@
 
 // bootstrap makes sure that the service has a table, and that every server of
 // the settings has a row in it.
-func (k *Keeper) bootstrap(ctx context.Context, svc ident.Service, b *book) error {
+func (k *Manager) bootstrap(ctx context.Context, svc ident.Service, b *book) error {
 	for pause := firstPause; ctx.Err() == nil; pause = min(2*pause, lastPause) {
 		done, err := k.complete(ctx, svc, b)
 		if done {
@@ -125,11 +125,11 @@
 	return nil
 }
 
-func (k *Keeper) complete(ctx context.Context, svc ident.Service, b *book) (bool, error) {
-	ctx, cancel := context.WithTimeout(ctx, 10*k.Times.Store)
+func (k *Manager) complete(ctx context.Context, svc ident.Service, b *book) (bool, error) {
+	ctx, cancel := context.WithTimeout(ctx, 10*k.Times.StoreTimeout)
 	defer cancel()
 	o, err := k.Store.Get(ctx, tableObject(svc))
-	if kinds.Of(err) == kinds.Absent {
+	if kinds.Of(err) == kinds.NotFound {
 		tab, err := FirstTable(b.svc)
 		if err != nil {
 			return false, err
@@ -150,7 +150,7 @@
 	return k.offer(ctx, svc, next, o.Version)
 }
 
-func (k *Keeper) offer(ctx context.Context, svc ident.Service, tab table.Table, old object.Version) (bool, error) {
+func (k *Manager) offer(ctx context.Context, svc ident.Service, tab table.Table, old object.Version) (bool, error) {
 	raw, err := tab.Encode()
 	if err != nil {
 		return false, err
@@ -178,7 +178,7 @@
 	for x := range moves {
 		moves[x] = table.Move{Slice: ident.Slice(x), To: names[x%len(names)]}
 	}
-	return tab.Assigned(moves...)
+	return tab.WithAssigned(moves...)
 }
 
 // join adds the servers of the settings that the table does not know.
@@ -188,7 +188,7 @@
 		if _, known := tab.Row(s.Name); known {
 			continue
 		}
-		if next, err := tab.Added(s.Name); err == nil {
+		if next, err := tab.WithServer(s.Name); err == nil {
 			tab, changed = next, true
 		}
 	}
--- a/internal/edge/meter/meter.go
+++ b/internal/edge/meter/meter.go
@@ -75,10 +75,10 @@
 	a.count.Inc(1)
 	a.took.RecordDuration(d.Took)
 	a.wait.RecordDuration(d.Wait)
-	if d.First > 0 {
-		a.first.RecordDuration(d.First)
+	if d.FirstByte > 0 {
+		a.first.RecordDuration(d.FirstByte)
 	}
-	if d.Far {
+	if d.Remote {
 		a.far.Inc(d.Bytes)
 	}
 }
--- a/internal/edge/warden/servers.go
+++ b/internal/edge/monit/servers.go
@@ -1,4 +1,4 @@
-package warden
+package monit
 
 import (
 	"context"
@@ -10,8 +10,8 @@
 	"hawthornfield.org/hawthornfield/internal/core/loop"
 	"hawthornfield.org/hawthornfield/internal/edge/state"
 	"hawthornfield.org/hawthornfield/internal/load/gate"
+	"hawthornfield.org/hawthornfield/internal/node/detect"
 	"hawthornfield.org/hawthornfield/internal/node/gossip"
-	"hawthornfield.org/hawthornfield/internal/node/roster"
 	"hawthornfield.org/hawthornfield/internal/plat/server"
 	"hawthornfield.org/hawthornfield/internal/plat/vmlist"
 )
@@ -32,19 +32,19 @@
 // VM that has just started knows every server as joining, and one that comes
 // back after a freeze is given its load in steps by the gate.
 func (s serverState) out() bool {
-	return s.is == roster.Draining || s.is == roster.Frozen || s.is == roster.Gone
+	return s.is == detect.Draining || s.is == detect.Frozen || s.is == detect.Gone
 }
 
 // serverRows lists the backend servers of the settings. The platform's list
 // counts for those that it shows under the same name.
-func (w *Warden) serverRows(list []vmlist.VM) []roster.Listed[ident.Server] {
+func (w *Monitor) serverRows(list []vmlist.VM) []detect.Listed[ident.Server] {
 	said := map[ident.Server]vmlist.State{}
 	for _, vm := range list {
 		said[ident.Server(vm.ID)] = vm.State
 	}
-	rows := make([]roster.Listed[ident.Server], 0, len(w.homes))
+	rows := make([]detect.Listed[ident.Server], 0, len(w.homes))
 	for name, h := range w.homes {
-		row := roster.Listed[ident.Server]{
+		row := detect.Listed[ident.Server]{
 			ID: name, Group: h.svc.Name, Centre: h.srv.Centre, Addr: h.srv.Control, State: vmlist.Live,
 		}
 		if s, ok := said[name]; ok {
@@ -56,17 +56,17 @@
 }
 
 // runServers carries out what the roster of backend servers asks for.
-func (w *Warden) runServers(_ context.Context, cmd loop.Cmd, send func(loop.Msg)) {
+func (w *Monitor) runServers(_ context.Context, cmd loop.Cmd, send func(loop.Msg)) {
 	switch cmd := cmd.(type) {
-	case roster.ProbeCmd[ident.Server]:
+	case detect.ProbeCmd[ident.Server]:
 		w.effect.Go(func(ctx context.Context) error {
 			send(w.probe(ctx, cmd.ID))
 			return nil
 		})
-	case roster.ViewCmd[ident.Server]:
-		w.say(func(s *holds) { s.servers, s.odd = cmd.Bad, cmd.Odd })
-	case roster.ChangeCmd[ident.Server]:
-		w.Log.Info("backend server", "id", cmd.ID, "from", cmd.From, "to", cmd.To, "why", cmd.Why)
+	case detect.ViewCmd[ident.Server]:
+		w.say(func(s *holds) { s.servers, s.odd = cmd.Frozen, cmd.Suspect })
+	case detect.ChangeCmd[ident.Server]:
+		w.Log.Info("backend server", "id", cmd.ID, "from", cmd.From, "to", cmd.To, "why", cmd.Reason)
 		w.effect.Go(func(context.Context) error {
 			w.serverChanged(cmd.ID, cmd.To)
 			return nil
@@ -75,31 +75,31 @@
 }
 
 // probe asks a server for its own word.
-func (w *Warden) probe(ctx context.Context, id ident.Server) loop.Msg {
+func (w *Monitor) probe(ctx context.Context, id ident.Server) loop.Msg {
 	ctx, cancel := context.WithTimeout(ctx, probeWait)
 	defer cancel()
 	asked := time.Now()
-	word, err := w.Control.Word(ctx, w.homes[id].srv.Control)
+	word, err := w.Control.Status(ctx, w.homes[id].srv.Control)
 	if err != nil {
-		return roster.ProbeMsg[ident.Server]{ID: id, Failed: true}
+		return detect.ProbeMsg[ident.Server]{ID: id, Failed: true}
 	}
 	w.noteWord(id, word, time.Since(asked))
-	return roster.ProbeMsg[ident.Server]{ID: id, Health: word.Health}
+	return detect.ProbeMsg[ident.Server]{ID: id, Health: word.Health}
 }
 
 // noteWord tells gates and peers of a server's own word, which was at most took
 // on its way.
-func (w *Warden) noteWord(id ident.Server, word server.Word, took time.Duration) {
+func (w *Monitor) noteWord(id ident.Server, word server.Status, took time.Duration) {
 	w.warmth(id, word.Health)
 	age := word.Age + took
 	w.homes[id].svc.Gate.Report(id, word.Busy+word.Queue, age)
 	w.mu.Lock()
-	w.rows[id] = gossip.Row{Server: id, Slots: word.Slots, Busy: word.Busy, Queue: word.Queue, Age: age}
+	w.rows[id] = gossip.LoadRow{Server: id, Slots: word.Slots, Busy: word.Busy, Queue: word.Queue, Age: age}
 	w.mu.Unlock()
 }
 
 // warmth notes a server's word on being cold, which is no state of the roster.
-func (w *Warden) warmth(id ident.Server, h server.Health) {
+func (w *Monitor) warmth(id ident.Server, h server.Health) {
 	w.mu.Lock()
 	s := w.is[id]
 	changed := s.cold != h.Cold
@@ -111,7 +111,7 @@
 	}
 }
 
-func (w *Warden) serverChanged(id ident.Server, to chart.State) {
+func (w *Monitor) serverChanged(id ident.Server, to chart.State) {
 	h := w.homes[id]
 	w.mu.Lock()
 	s := w.is[id]
@@ -119,20 +119,20 @@
 	s.is = to
 	w.is[id] = s
 	w.mu.Unlock()
-	w.Keeper.SetAlive(id, !s.out())
-	h.svc.SetSilent(id, to == roster.Frozen || to == roster.Gone)
-	if (to == roster.Draining) != (was == roster.Draining) {
-		w.Keeper.Drain(h.svc.Name, id, to == roster.Draining)
+	w.Leases.SetAlive(id, !s.out())
+	h.svc.SetUnresponsive(id, to == detect.Frozen || to == detect.Gone)
+	if (to == detect.Draining) != (was == detect.Draining) {
+		w.Leases.Drain(h.svc.Name, id, to == detect.Draining)
 	}
-	if to == roster.Gone {
-		w.Keeper.ServerGone(h.svc.Name, id)
+	if to == detect.Gone {
+		w.Leases.ServerGone(h.svc.Name, id)
 	}
 	w.tellGate(h.svc)
 }
 
 // tellGate describes a service's servers to its gate. A server of a service
 // divided by key that is going out still serves its keys until they have moved.
-func (w *Warden) tellGate(svc *state.Service) {
+func (w *Monitor) tellGate(svc *state.Service) {
 	w.mu.Lock()
 	all := make([]gate.ServerInfo, len(svc.Servers))
 	for i, srv := range svc.Servers {
@@ -148,36 +148,36 @@
 
 // tellCalls passes on what callers received from each server since the last
 // time.
-func (w *Warden) tellCalls(context.Context) {
+func (w *Monitor) tellCalls(context.Context) {
 	for name, h := range w.homes {
-		if good, bad := h.svc.TakeCalls(name); good+bad > 0 {
-			w.servers.Send(roster.CallsMsg[ident.Server]{ID: name, Good: good, Bad: bad})
+		if good, bad := h.svc.TakeAttempts(name); good+bad > 0 {
+			w.servers.Send(detect.CallsMsg[ident.Server]{ID: name, Succeeded: good, Failed: bad})
 		}
 	}
 }
 
 // Answered notes that a server answered an order, and its own word if the answer
 // had one, which is as good as a probe's.
-func (w *Warden) Answered(id ident.Server, word *server.Word, took time.Duration) {
+func (w *Monitor) Answered(id ident.Server, word *server.Status, took time.Duration) {
 	if w.servers == nil {
 		return
 	}
 	if word == nil {
-		w.servers.Send(roster.BeatMsg[ident.Server]{ID: id})
+		w.servers.Send(detect.HeartbeatMsg[ident.Server]{ID: id})
 		return
 	}
 	w.noteWord(id, *word, took)
-	w.servers.Send(roster.WordMsg[ident.Server]{ID: id, Health: word.Health})
+	w.servers.Send(detect.HealthMsg[ident.Server]{ID: id, Health: word.Health})
 }
 
 // tellLoads passes on to peers what this VM read of the servers that it probes.
-func (w *Warden) tellLoads(context.Context) {
-	var rows []gossip.Row
+func (w *Monitor) tellLoads(context.Context) {
+	var rows []gossip.LoadRow
 	w.mu.Lock()
 	for name, r := range w.rows {
 		rows = append(rows, r)
 		delete(w.rows, name)
 	}
 	w.mu.Unlock()
-	w.News.Report(rows)
+	w.Syncer.Report(rows)
 }
--- a/internal/edge/warden/views.go
+++ b/internal/edge/monit/views.go
@@ -1,9 +1,9 @@
-package warden
+package monit
 
 import (
 	"hawthornfield.org/hawthornfield/internal/core/ident"
+	"hawthornfield.org/hawthornfield/internal/node/detect"
 	"hawthornfield.org/hawthornfield/internal/node/gossip"
-	"hawthornfield.org/hawthornfield/internal/node/roster"
 	"hawthornfield.org/hawthornfield/internal/plat/vmlist"
 )
 
@@ -41,16 +41,16 @@
 }
 
 // say changes what the other VMs are told.
-func (w *Warden) say(change func(*holds)) {
+func (w *Monitor) say(change func(*holds)) {
 	w.mu.Lock()
 	change(&w.holds)
 	s := w.holds
 	w.mu.Unlock()
-	var msg gossip.SayMsg
-	msg.Odd = append(msg.Odd, members(serverSort, s.odd)...)
-	msg.Bad = append(msg.Bad, members(serverSort, s.servers)...)
-	msg.Bad = append(msg.Bad, members(vmSort, s.vms)...)
-	w.News.Say(msg)
+	var msg gossip.ViewMsg
+	msg.Suspect = append(msg.Suspect, members(serverSort, s.odd)...)
+	msg.Frozen = append(msg.Frozen, members(serverSort, s.servers)...)
+	msg.Frozen = append(msg.Frozen, members(vmSort, s.vms)...)
+	w.Syncer.PublishView(msg)
 }
 
 func members[K ~string](sort string, ids []K) []gossip.Member {
@@ -62,21 +62,21 @@
 }
 
 // Views passes on what the other VMs say to the rosters that it is about.
-func (w *Warden) Views(cmd gossip.ViewsCmd) {
+func (w *Monitor) Views(cmd gossip.ViewsCmd) {
 	w.mu.Lock()
 	vms, servers := w.known.vms, w.known.servers
 	w.mu.Unlock()
 	ofVMs := viewsOf(vms, cmd)
-	ofVMs.Odd = append(ofVMs.Odd, cmd.Missing...)
+	ofVMs.Suspect = append(ofVMs.Suspect, cmd.Missing...)
 	w.vms.Send(ofVMs)
 	w.servers.Send(viewsOf(servers, cmd))
 }
 
 // viewsOf is the part of the views that is about members of one sort.
-func viewsOf[K ~string](names map[gossip.Member]K, cmd gossip.ViewsCmd) roster.ViewsMsg[K] {
-	msg := roster.ViewsMsg[K]{Views: make([]roster.ViewMsg[K], 0, len(cmd.Views)), Odd: named(names, cmd.Odd)}
+func viewsOf[K ~string](names map[gossip.Member]K, cmd gossip.ViewsCmd) detect.ViewsMsg[K] {
+	msg := detect.ViewsMsg[K]{Views: make([]detect.ViewMsg[K], 0, len(cmd.Views)), Suspect: named(names, cmd.Suspect)}
 	for _, v := range cmd.Views {
-		msg.Views = append(msg.Views, roster.ViewMsg[K]{From: v.From, Bad: named(names, v.Bad)})
+		msg.Views = append(msg.Views, detect.ViewMsg[K]{From: v.From, Frozen: named(names, v.Frozen)})
 	}
 	return msg
 }
--- a/internal/edge/warden/views_test.go
+++ b/internal/edge/monit/views_test.go
@@ -1,4 +1,4 @@
-package warden
+package monit
 
 import (
 	"testing"
@@ -20,12 +20,12 @@
 	odd := members(serverSort, []ident.Server{"twin"})
 	bad := members(vmSort, []ident.VM{"twin"})
 	cmd := gossip.ViewsCmd{
-		Views: []gossip.Said{{From: "vm-2", Bad: append(bad, gossip.MemberOf(serverSort, "unknown"))}},
-		Odd:   odd,
+		Views:   []gossip.PeerView{{From: "vm-2", Frozen: append(bad, gossip.MemberOf(serverSort, "unknown"))}},
+		Suspect: odd,
 	}
 	vms, servers := viewsOf(k.vms, cmd), viewsOf(k.servers, cmd)
-	assert.DeepEqual(t, vms.Views[0].Bad, []ident.VM{"twin"})
-	assert.Equal(t, len(vms.Odd), 0)
-	assert.DeepEqual(t, servers.Odd, []ident.Server{"twin"})
-	assert.Equal(t, len(servers.Views[0].Bad), 0)
+	assert.DeepEqual(t, vms.Views[0].Frozen, []ident.VM{"twin"})
+	assert.Equal(t, len(vms.Suspect), 0)
+	assert.DeepEqual(t, servers.Suspect, []ident.Server{"twin"})
+	assert.Equal(t, len(servers.Views[0].Frozen), 0)
 }
--- a/internal/edge/warden/vms.go
+++ b/internal/edge/monit/vms.go
@@ -1,4 +1,4 @@
-package warden
+package monit
 
 import (
 	"context"
@@ -9,7 +9,7 @@
 	"hawthornfield.org/hawthornfield/internal/core/kinds"
 	"hawthornfield.org/hawthornfield/internal/core/loop"
 	"hawthornfield.org/hawthornfield/internal/core/wire"
-	"hawthornfield.org/hawthornfield/internal/node/roster"
+	"hawthornfield.org/hawthornfield/internal/node/detect"
 	"hawthornfield.org/hawthornfield/internal/plat/server"
 )
 
@@ -20,15 +20,15 @@
 }
 
 // Heard notes that a peer was heard, by whatever it sent.
-func (w *Warden) Heard(from ident.VM) {
+func (w *Monitor) Heard(from ident.VM) {
 	w.mu.Lock()
 	w.heard[from] = time.Now()
 	w.mu.Unlock()
-	w.vms.Send(roster.BeatMsg[ident.VM]{ID: from})
+	w.vms.Send(detect.HeartbeatMsg[ident.VM]{ID: from})
 }
 
 // Handle takes a note of a peer, whom its certificate names.
-func (w *Warden) Handle(from ident.VM, body []byte) error {
+func (w *Monitor) Handle(from ident.VM, body []byte) error {
 	n, err := open(body)
 	if err != nil {
 		return err
@@ -52,7 +52,7 @@
 	return n, nil
 }
 
-func (w *Warden) cast(to ident.VM, n note) {
+func (w *Monitor) cast(to ident.VM, n note) {
 	b, err := wire.Encode(n)
 	if err != nil {
 		w.Log.Error("note to a peer", "err", err)
@@ -62,21 +62,21 @@
 }
 
 // runVMs carries out what the roster of entry VMs asks for.
-func (w *Warden) runVMs(_ context.Context, cmd loop.Cmd, _ func(loop.Msg)) {
+func (w *Monitor) runVMs(_ context.Context, cmd loop.Cmd, _ func(loop.Msg)) {
 	switch cmd := cmd.(type) {
-	case roster.ProbeCmd[ident.VM]:
+	case detect.ProbeCmd[ident.VM]:
 		w.ping(cmd.ID)
-	case roster.ViewCmd[ident.VM]:
-		w.say(func(s *holds) { s.vms = cmd.Bad })
-	case roster.ChangeCmd[ident.VM]:
-		w.Log.Info("entry VM", "id", cmd.ID, "from", cmd.From, "to", cmd.To, "why", cmd.Why)
+	case detect.ViewCmd[ident.VM]:
+		w.say(func(s *holds) { s.vms = cmd.Frozen })
+	case detect.ChangeCmd[ident.VM]:
+		w.Log.Info("entry VM", "id", cmd.ID, "from", cmd.From, "to", cmd.To, "why", cmd.Reason)
 		w.vmChanged(cmd)
 	}
 }
 
 // ping asks a VM for a sign of life. An answer, like anything else that is heard
 // from it meanwhile, is one; silence is a witness of a freeze.
-func (w *Warden) ping(id ident.VM) {
+func (w *Monitor) ping(id ident.VM) {
 	asked := time.Now()
 	w.cast(id, note{Ping: true})
 	w.effect.Go(func(ctx context.Context) error {
@@ -84,14 +84,14 @@
 		w.mu.Lock()
 		quiet := w.heard[id].Before(asked)
 		w.mu.Unlock()
-		w.vms.Send(roster.ProbeMsg[ident.VM]{ID: id, Failed: quiet, Health: server.Health{Ready: !quiet}})
+		w.vms.Send(detect.ProbeMsg[ident.VM]{ID: id, Failed: quiet, Health: server.Health{Ready: !quiet}})
 		return nil
 	})
 }
 
-func (w *Warden) vmChanged(cmd roster.ChangeCmd[ident.VM]) {
+func (w *Monitor) vmChanged(cmd detect.ChangeCmd[ident.VM]) {
 	w.mu.Lock()
-	if cmd.To == roster.Frozen {
+	if cmd.To == detect.Frozen {
 		w.frozen[cmd.ID] = true
 	} else {
 		delete(w.frozen, cmd.ID)
@@ -106,7 +106,7 @@
 
 // tellSuspects reminds the seats of the VMs that look frozen: a suspicion
 // counts for a few seconds only.
-func (w *Warden) tellSuspects(context.Context) {
+func (w *Monitor) tellSuspects(context.Context) {
 	w.mu.Lock()
 	var all []ident.VM
 	for vm := range w.frozen {
@@ -114,6 +114,6 @@
 	}
 	w.mu.Unlock()
 	for _, vm := range all {
-		w.Keeper.Suspect(vm)
+		w.Leases.Suspect(vm)
 	}
 }
--- a/internal/edge/warden/warden.go
+++ b/internal/edge/monit/warden.go
@@ -1,8 +1,8 @@
-// Package warden watches who is there, entry VMs and backend servers, and tells
+// Package monit watches who is there, entry VMs and backend servers, and tells
 // the gates, the seats and the exchange between VMs. The judgement is
 // node/roster's; what is added here are its witnesses: the platform's list,
 // probes, what peers send, and what callers received.
-package warden
+package monit
 
 import (
 	"context"
@@ -19,12 +19,12 @@
 	"hawthornfield.org/hawthornfield/internal/core/group"
 	"hawthornfield.org/hawthornfield/internal/core/ident"
 	"hawthornfield.org/hawthornfield/internal/core/loop"
-	"hawthornfield.org/hawthornfield/internal/edge/keeper"
-	"hawthornfield.org/hawthornfield/internal/edge/news"
+	"hawthornfield.org/hawthornfield/internal/edge/leases"
 	"hawthornfield.org/hawthornfield/internal/edge/relay"
 	"hawthornfield.org/hawthornfield/internal/edge/state"
+	"hawthornfield.org/hawthornfield/internal/edge/syncer"
+	"hawthornfield.org/hawthornfield/internal/node/detect"
 	"hawthornfield.org/hawthornfield/internal/node/gossip"
-	"hawthornfield.org/hawthornfield/internal/node/roster"
 	"hawthornfield.org/hawthornfield/internal/plat/server"
 	"hawthornfield.org/hawthornfield/internal/plat/vmlist"
 )
@@ -37,8 +37,8 @@
 	probeWait = 500 * time.Millisecond // for one answer of a backend server
 )
 
-// Poster carries small messages to other entry VMs, which may be lost.
-type Poster interface {
+// Sender carries small messages to other entry VMs, which may be lost.
+type Sender interface {
 	Cast(to ident.VM, body []byte)
 }
 
@@ -50,18 +50,18 @@
 	State   *state.State
 	VMs     vmlist.Lister
 	Control server.Control
-	Keeper  *keeper.Keeper
-	News    *news.News
+	Leases  *leases.Manager
+	Syncer  *syncer.Syncer
 	Relay   *relay.Relay
-	Peers   Poster
+	Peers   Sender
 	// Listed is told of each changed list of VMs, with the number of live ones.
 	Listed  func(list []vmlist.VM, live int)
 	Timeout time.Duration // of reading the list
 	Log     *slog.Logger
 }
 
-// Warden watches. Make one with New, then Start it.
-type Warden struct {
+// Monitor watches. Make one with New, then Start it.
+type Monitor struct {
 	Options
 	group   group.Group
 	effect  group.Group
@@ -77,21 +77,21 @@
 	heard  map[ident.VM]time.Time
 	holds  holds // what the other VMs are told
 	known  known // whom they speak of
-	rows   map[ident.Server]gossip.Row
+	rows   map[ident.Server]gossip.LoadRow
 	is     map[ident.Server]serverState
 }
 
 // New makes a warden that does nothing yet.
-func New(o Options) *Warden {
+func New(o Options) *Monitor {
 	if o.Log == nil {
 		o.Log = slog.Default()
 	}
-	w := &Warden{
+	w := &Monitor{
 		Options: o,
 		homes:   map[ident.Server]home{},
 		frozen:  map[ident.VM]bool{},
 		heard:   map[ident.VM]time.Time{},
-		rows:    map[ident.Server]gossip.Row{},
+		rows:    map[ident.Server]gossip.LoadRow{},
 		is:      map[ident.Server]serverState{},
 	}
 	for _, svc := range o.State.Services() {
@@ -104,10 +104,10 @@
 }
 
 // Start begins to watch.
-func (w *Warden) Start() {
+func (w *Monitor) Start() {
 	defer w.ReadList() // the exchange asked before there was anybody to read
-	w.vms = loop.New(roster.New[ident.VM](roster.Config{}), loop.RunnerFunc(w.runVMs))
-	w.servers = loop.New(roster.New[ident.Server](roster.Config{}), loop.RunnerFunc(w.runServers))
+	w.vms = loop.New(detect.New[ident.VM](detect.Config{}), loop.RunnerFunc(w.runVMs))
+	w.servers = loop.New(detect.New[ident.Server](detect.Config{}), loop.RunnerFunc(w.runServers))
 	for _, duty := range []struct {
 		period time.Duration
 		do     func(context.Context)
@@ -122,7 +122,7 @@
 }
 
 // Close ends watching and waits.
-func (w *Warden) Close() error {
+func (w *Monitor) Close() error {
 	err := w.group.Close()
 	for _, l := range []*loop.Loop{w.vms, w.servers} {
 		if l == nil {
@@ -138,14 +138,14 @@
 	return err
 }
 
-func (w *Warden) tick(context.Context) {
-	w.vms.Send(roster.TickMsg{})
-	w.servers.Send(roster.TickMsg{})
+func (w *Monitor) tick(context.Context) {
+	w.vms.Send(detect.TickMsg{})
+	w.servers.Send(detect.TickMsg{})
 }
 
 // ReadList reads the platform's list, without waiting for it. The exchange says
 // when.
-func (w *Warden) ReadList() {
+func (w *Monitor) ReadList() {
 	w.effect.Go(func(ctx context.Context) error {
 		w.reads.Lock()
 		defer w.reads.Unlock()
@@ -156,7 +156,7 @@
 
 // readList reads the platform's list. This VM counts itself as live whatever a
 // lagging list says, unless it is said to leave: it is what runs this line.
-func (w *Warden) readList(ctx context.Context) {
+func (w *Monitor) readList(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, w.Timeout)
 	defer cancel()
 	asked := time.Now()
@@ -168,7 +168,7 @@
 		}
 		list = nil
 	} else {
-		w.News.Listed(gossip.ListedMsg{Sum: sumOf(list), Asked: asked})
+		w.Syncer.Listed(gossip.ListReadMsg{Sum: sumOf(list), Asked: asked})
 	}
 	if !slices.ContainsFunc(list, func(vm vmlist.VM) bool { return vm.ID == w.VM }) {
 		list = append(list, vmlist.VM{ID: w.VM, Centre: w.Centre, Addr: w.Addr(), State: vmlist.Live})
@@ -179,8 +179,8 @@
 	w.list = list
 	w.known.setVMs(list)
 	w.mu.Unlock()
-	w.vms.Send(roster.ListMsg[ident.VM]{Rows: rowsOf(list, w.VM)})
-	w.servers.Send(roster.ListMsg[ident.Server]{Rows: w.serverRows(list)})
+	w.vms.Send(detect.ListMsg[ident.VM]{Rows: rowsOf(list, w.VM)})
+	w.servers.Send(detect.ListMsg[ident.Server]{Rows: w.serverRows(list)})
 	if !same {
 		w.changed()
 	}
@@ -198,18 +198,18 @@
 	return max(1, uint32(h.Sum64()))
 }
 
-func (w *Warden) listed() []vmlist.VM {
+func (w *Monitor) listed() []vmlist.VM {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.list
 }
 
 // rowsOf are the other entry VMs of a list.
-func rowsOf(list []vmlist.VM, self ident.VM) []roster.Listed[ident.VM] {
-	var rows []roster.Listed[ident.VM]
+func rowsOf(list []vmlist.VM, self ident.VM) []detect.Listed[ident.VM] {
+	var rows []detect.Listed[ident.VM]
 	for _, vm := range list {
 		if vm.ID != self {
-			rows = append(rows, roster.Listed[ident.VM]{ID: vm.ID, Centre: vm.Centre, Addr: vm.Addr, State: vm.State})
+			rows = append(rows, detect.Listed[ident.VM]{ID: vm.ID, Centre: vm.Centre, Addr: vm.Addr, State: vm.State})
 		}
 	}
 	return rows
@@ -217,7 +217,7 @@
 
 // changed passes on who is live. A VM that looks frozen keeps its place in the
 // exchange, where it may be heard again, but is given no seats.
-func (w *Warden) changed() {
+func (w *Monitor) changed() {
 	w.mu.Lock()
 	list := slices.Clone(w.list)
 	var seats []vmlist.VM
@@ -228,7 +228,7 @@
 	}
 	w.mu.Unlock()
 	w.servers.Send(shardOf(w.VM, seats))
-	w.vms.Send(roster.ShardMsg{Self: w.VM, Peers: true})
+	w.vms.Send(detect.ProbersMsg{Self: w.VM, Peers: true})
 	index := 0
 	var live []gossip.Peer
 	for _, vm := range list {
@@ -241,8 +241,8 @@
 		live = append(live, gossip.Peer{VM: vm.ID, Centre: vm.Centre})
 	}
 	w.Listed(list, len(live))
-	w.Keeper.SetVMs(seats)
-	w.News.SetPeers(live)
+	w.Leases.SetVMs(seats)
+	w.Syncer.SetPeers(live)
 	for _, svc := range w.State.Services() {
 		svc.Gate.SetShare(len(live), index)
 		for _, srv := range svc.Servers {
@@ -253,11 +253,11 @@
 }
 
 // shardOf are the VMs that share the probes.
-func shardOf(self ident.VM, list []vmlist.VM) roster.ShardMsg {
-	m := roster.ShardMsg{Self: self}
+func shardOf(self ident.VM, list []vmlist.VM) detect.ProbersMsg {
+	m := detect.ProbersMsg{Self: self}
 	for _, vm := range list {
 		if vm.State == vmlist.Live {
-			m.VMs = append(m.VMs, roster.Prober{VM: vm.ID, Centre: vm.Centre})
+			m.VMs = append(m.VMs, detect.Prober{VM: vm.ID, Centre: vm.Centre})
 		}
 	}
 	return m
--- a/internal/edge/warden/warden_test.go
+++ b/internal/edge/monit/warden_test.go
@@ -1,4 +1,4 @@
-package warden
+package monit
 
 import (
 	"testing"
@@ -9,7 +9,7 @@
 	"hawthornfield.org/hawthornfield/internal/core/ident"
 	"hawthornfield.org/hawthornfield/internal/core/kinds"
 	"hawthornfield.org/hawthornfield/internal/core/wire"
-	"hawthornfield.org/hawthornfield/internal/node/roster"
+	"hawthornfield.org/hawthornfield/internal/node/detect"
 	"hawthornfield.org/hawthornfield/internal/plat/vmlist"
 )
 
@@ -17,8 +17,8 @@
 // not proved yet does, or a VM that has just started would refuse everything.
 func TestWhoGetsNewWork(t *testing.T) {
 	for is, out := range map[chart.State]bool{
-		"": false, roster.Joining: false, roster.Live: false,
-		roster.Draining: true, roster.Frozen: true, roster.Gone: true,
+		"": false, detect.Joining: false, detect.Live: false,
+		detect.Draining: true, detect.Frozen: true, detect.Gone: true,
 	} {
 		assert.Equal(t, serverState{is: is}.out(), out, string(is))
 	}
--- a/internal/edge/trial/path.go
+++ b/internal/edge/perf/path.go
@@ -1,4 +1,4 @@
-package trial
+package perf
 
 import (
 	"bytes"
@@ -19,8 +19,8 @@
 	"hawthornfield.org/hawthornfield/internal/edge/state"
 	"hawthornfield.org/hawthornfield/internal/load/gate"
 	"hawthornfield.org/hawthornfield/internal/owner/table"
-	"hawthornfield.org/hawthornfield/internal/rules/force"
 	"hawthornfield.org/hawthornfield/internal/rules/match"
+	"hawthornfield.org/hawthornfield/internal/rules/revs"
 )
 
 // Path is the request path of one entry VM alone: from the handler to the bytes
@@ -53,8 +53,8 @@
 	if err != nil {
 		return nil, err
 	}
-	st.Rules.Apply(&force.Snapshot{Record: &force.Record{Rev: 1}, Set: set})
-	st.Rules.SetState(force.Serve)
+	st.Rules.Apply(&revs.Snapshot{Record: &revs.Record{Rev: 1}, Set: set})
+	st.Rules.SetState(revs.Serve)
 	f := &front.Front{
 		VM: "vm-1", State: st, Limit: config.Config{}.Fill().Limit,
 		Relay: relay.New(relay.Config{Open: func(context.Context, netip.AddrPort) (net.Conn, error) {
@@ -80,7 +80,7 @@
 	for i := range moves {
 		moves[i] = table.Move{Slice: ident.Slice(i), To: "lookup-1"}
 	}
-	if tab, err = tab.Assigned(moves...); err != nil {
+	if tab, err = tab.WithAssigned(moves...); err != nil {
 		return err
 	}
 	svc.SetView(table.NewView(tab))
--- a/internal/edge/trial/trial.go
+++ b/internal/edge/perf/trial.go
@@ -1,11 +1,11 @@
-// Package trial measures what one entry VM adds to a request: latency on
+// Package perf measures what one entry VM adds to a request: latency on
 // loopback at a fixed rate of arrivals beside a direct call in the same run,
 // and the allocations of the request path alone.
 //
 // It runs everything in one process, the stand-ins included, so the figures
 // hold for one machine and for comparing two versions on it. Arrivals do not
 // wait for answers: a slow answer delays nobody's start, as with real callers.
-package trial
+package perf
 
 import (
 	"context"
@@ -30,8 +30,8 @@
 	"hawthornfield.org/hawthornfield/internal/fake/objapi"
 	"hawthornfield.org/hawthornfield/internal/fake/origin"
 	"hawthornfield.org/hawthornfield/internal/plat/objcli"
-	"hawthornfield.org/hawthornfield/internal/rules/force"
 	"hawthornfield.org/hawthornfield/internal/rules/match"
+	"hawthornfield.org/hawthornfield/internal/rules/revs"
 	"hawthornfield.org/hawthornfield/internal/rules/save"
 )
 
@@ -63,8 +63,8 @@
 	settle  = 10 * time.Second // for the VM to become ready
 )
 
-// Side is what one way of calling gave.
-type Side struct {
+// PathResult is what one way of calling gave.
+type PathResult struct {
 	P50    time.Duration `json:"p50"`
 	P99    time.Duration `json:"p99"`
 	P999   time.Duration `json:"p999"`
@@ -76,15 +76,15 @@
 
 // Result compares the two ways.
 type Result struct {
-	Direct Side          `json:"direct"`
-	Routed Side          `json:"routed"`
+	Direct PathResult    `json:"direct"`
+	Routed PathResult    `json:"routed"`
 	P50    time.Duration `json:"added50"` // of the routed way over the direct one
 	P99    time.Duration `json:"added99"`
 }
 
 // String renders the result as a small table.
 func (r Result) String() string {
-	line := func(name string, s Side) string {
+	line := func(name string, s PathResult) string {
 		return fmt.Sprintf("%-7s p50 %8v  p99 %8v  p99.9 %8v  %.0f/s  %d sent  %d failed %v\n",
 			name, s.P50, s.P99, s.P999, s.Rate, s.Count, s.Failed, s.Codes)
 	}
@@ -164,7 +164,7 @@
 		Platform: config.Platform{Objects: platform},
 	}
 	log := slog.New(slog.DiscardHandler)
-	if s.vm, err = daemon.New(cfg, daemon.WithLog(log), daemon.WithNotice(0)); err == nil {
+	if s.vm, err = daemon.New(cfg, daemon.WithLog(log), daemon.WithShutdownDelay(0)); err == nil {
 		err = s.vm.Start(ctx)
 	}
 	if err == nil {
@@ -222,9 +222,9 @@
 }
 
 func accept(ctx context.Context, platform netip.AddrPort, n int) error {
-	edit := force.Edit{Author: "trial", Token: "trial", At: time.Now()}
-	_, err := save.Save(ctx, objcli.New(platform), func(cur *force.Record) (*force.Record, error) {
-		return force.Replace(cur, edit, ruleList(n))
+	edit := revs.Edit{Author: "trial", Token: "trial", At: time.Now()}
+	_, err := save.Save(ctx, objcli.New(platform), func(cur *revs.Record) (*revs.Record, error) {
+		return revs.Replace(cur, edit, ruleList(n))
 	})
 	return err
 }
@@ -235,7 +235,7 @@
 	defer cancel()
 	for i := 0; i < keys; {
 		if ctx.Err() != nil {
-			return kinds.Wrap(kinds.Late, ctx.Err(), "the entry VM did not become ready")
+			return kinds.Wrap(kinds.DeadlineMissed, ctx.Err(), "the entry VM did not become ready")
 		}
 		if s.vm.Ready() == nil && s.send(ctx, s.routed(i), i) == http.StatusOK {
 			i++
@@ -348,13 +348,13 @@
 	_ = t.hist.RecordValue(int64(d / time.Microsecond))
 }
 
-func (t *tally) side() Side {
+func (t *tally) side() PathResult {
 	q := func(p float64) time.Duration { return time.Duration(t.hist.ValueAtQuantile(p)) * time.Microsecond }
 	var failed int64
 	for _, n := range t.codes {
 		failed += n
 	}
-	return Side{
+	return PathResult{
 		P50: q(50), P99: q(99), P999: q(99.9), Count: t.hist.TotalCount(), Failed: failed, Codes: t.codes,
 		Rate: float64(t.hist.TotalCount()) / t.spent.Seconds(),
 	}
--- a/internal/edge/trial/trial_test.go
+++ b/internal/edge/perf/trial_test.go
@@ -1,4 +1,4 @@
-package trial
+package perf
 
 import (
 	"testing"
--- a/internal/edge/ahead/ahead.go
+++ b/internal/edge/pipe/ahead.go
@@ -1,4 +1,4 @@
-// Package ahead lets an HTTP/1.1 server work on the requests that a caller sends
+// Package pipe lets an HTTP/1.1 server work on the requests that a caller sends
 // before the first is answered.
 //
 // The load pattern is a caller that sends several lookups at once on one connection.
@@ -17,7 +17,7 @@
 //
 // A connection on which one request follows the other pays a look at each byte of its
 // heads, and nothing else.
-package ahead
+package pipe
 
 import (
 	"context"
@@ -32,9 +32,9 @@
 // Bounds of one connection. A caller that sends more is read on when an answer has been
 // passed on.
 const (
-	// Most is how many requests are worked on behind the one that is being answered. A
+	// MaxPipelined is how many requests are worked on behind the one that is being answered. A
 	// page of a caller's program asks for some ten things at once.
-	Most = 16
+	MaxPipelined = 16
 	// mostHeld is up to where a whole answer is held until its turn, in bytes. A longer
 	// one waits, half written, for the caller to take those before it.
 	mostHeld = 64 << 10
@@ -51,8 +51,8 @@
 	// is to be served in its turn after all; nothing was done about it then. It reports
 	// an answer that broke off in the middle by ok and broken together.
 	Serve func(w http.ResponseWriter, r *http.Request, at time.Time) (ok, broken bool)
-	// May reports whether further requests may be started; nil means always.
-	May func() bool
+	// Allow reports whether further requests may be started; nil means always.
+	Allow func() bool
 
 	group   group.Group
 	pending atomic.Int64 // started and not passed on yet
@@ -88,7 +88,7 @@
 // Close ends what is still under way and waits. The server must be closed before.
 func (a *Reader) Close() error { return a.group.Close() }
 
-func (a *Reader) may() bool { return a.May == nil || a.May() }
+func (a *Reader) may() bool { return a.Allow == nil || a.Allow() }
 
 type key struct{}
 
--- a/internal/edge/ahead/ahead_test.go
+++ b/internal/edge/pipe/ahead_test.go
@@ -1,4 +1,4 @@
-package ahead
+package pipe
 
 import (
 	"bufio"
@@ -54,7 +54,7 @@
 	s.web = &http.Server{ConnContext: Context, Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		c := From(r.Context())
 		run, came := c.Begin(r)
-		defer c.End()
+		defer c.Done()
 		if run != nil && run.Deliver(w) {
 			return
 		}
@@ -63,7 +63,7 @@
 		}
 		ctx, cancel := context.WithCancel(r.Context())
 		defer cancel()
-		c.Leave(cancel)
+		c.OnDisconnect(cancel)
 		handler(w, r.WithContext(ctx))
 	})}
 	var err error
@@ -189,7 +189,7 @@
 	_, err := io.WriteString(c, get(names...))
 	assert.NilError(t, err)
 	assert.DeepEqual(t, answers(t, bufio.NewReader(c), 40), want)
-	assert.Assert(t, most.Load() <= Most+1, "%d at once", most.Load())
+	assert.Assert(t, most.Load() <= MaxPipelined+1, "%d at once", most.Load())
 	assert.Assert(t, most.Load() > 1)
 }
 
@@ -294,7 +294,7 @@
 		<-free
 		_, _ = io.WriteString(w, r.URL.Path)
 	})
-	s.reader.May = func() bool { return !closing.Load() }
+	s.reader.Allow = func() bool { return !closing.Load() }
 	c := s.dial()
 	_, err := io.WriteString(c, get("a", "b", "c"))
 	assert.NilError(t, err)
--- a/internal/edge/ahead/conn.go
+++ b/internal/edge/pipe/conn.go
@@ -1,4 +1,4 @@
-package ahead
+package pipe
 
 import (
 	"context"
@@ -210,9 +210,9 @@
 	return run, came
 }
 
-// Leave sets what tells the handler that its caller went away. net/http sees that by
+// OnDisconnect sets what tells the handler that its caller went away. net/http sees that by
 // itself until a further request arrives.
-func (c *Conn) Leave(leave context.CancelFunc) {
+func (c *Conn) OnDisconnect(leave context.CancelFunc) {
 	if c == nil {
 		return
 	}
@@ -224,8 +224,8 @@
 	}
 }
 
-// End notes that the handler is done.
-func (c *Conn) End() {
+// Done notes that the handler is done.
+func (c *Conn) Done() {
 	if c == nil {
 		return
 	}
@@ -235,9 +235,9 @@
 	c.rest()
 }
 
-// Behind reports whether requests were started that wait for their turn: the connection
+// HasPending reports whether requests were started that wait for their turn: the connection
 // must stay open until they have been answered.
-func (c *Conn) Behind() bool {
+func (c *Conn) HasPending() bool {
 	if c == nil {
 		return false
 	}
--- a/internal/edge/ahead/head.go
+++ b/internal/edge/pipe/head.go
@@ -1,4 +1,4 @@
-package ahead
+package pipe
 
 import (
 	"bufio"
--- a/internal/edge/ahead/look.go
+++ b/internal/edge/pipe/look.go
@@ -1,4 +1,4 @@
-package ahead
+package pipe
 
 import (
 	"bytes"
@@ -74,7 +74,7 @@
 
 // roomy waits until more may be read, and reports whether the duty is to go on.
 func (c *Conn) roomy() bool {
-	for !c.quit && !c.halt && (len(c.queue) >= Most || len(c.in) >= mostRead) {
+	for !c.quit && !c.halt && (len(c.queue) >= MaxPipelined || len(c.in) >= mostRead) {
 		c.wait(-1)
 	}
 	return !c.quit && !c.halt
@@ -105,7 +105,7 @@
 
 // more starts the requests that have been read whole, as many as may be.
 func (c *Conn) more() {
-	for !c.halt && !c.quit && len(c.queue) < Most {
+	for !c.halt && !c.quit && len(c.queue) < MaxPipelined {
 		i := bytes.Index(c.head, []byte(endOfHead))
 		if i < 0 {
 			c.halt = len(c.head) > mostHead
--- a/internal/edge/query/board.go
+++ b/internal/edge/poll/board.go
@@ -1,11 +1,11 @@
-// Package query is the exchange between entry VMs: each asks the leader for news,
+// Package poll is the exchange between entry VMs: each asks the leader for news,
 // the question waits until there is some, and it carries what the leader needs to
 // know. It costs a message each way a half second for each VM, and no list of
 // members: whoever asks is one.
 //
 // A VM that is cut off from the store alone learns the rules, the servers and the
 // owners of keys in this way within a second.
-package query
+package poll
 
 import (
 	"context"
@@ -16,19 +16,19 @@
 
 	"hawthornfield.org/hawthornfield/internal/core/ident"
 	"hawthornfield.org/hawthornfield/internal/load/poison"
-	"hawthornfield.org/hawthornfield/internal/owner/deal"
-	"hawthornfield.org/hawthornfield/internal/owner/lead"
-	"hawthornfield.org/hawthornfield/internal/owner/stripe"
+	"hawthornfield.org/hawthornfield/internal/owner/assign"
+	"hawthornfield.org/hawthornfield/internal/owner/elect"
+	"hawthornfield.org/hawthornfield/internal/owner/ranges"
 	"hawthornfield.org/hawthornfield/internal/plat/object"
 )
 
 // Times and bounds of the exchange.
 const (
-	// Wait is how long a question waits for news. Two a second keep the leader's
+	// PollTimeout is how long a question waits for news. Two a second keep the leader's
 	// silence short, and a question is some hundred bytes.
-	Wait = 300 * time.Millisecond
-	// Gone is how long a VM that asks no more counts as one.
-	Gone = 2 * time.Second
+	PollTimeout = 300 * time.Millisecond
+	// PeerTimeout is how long a VM that asks no more counts as one.
+	PeerTimeout = 2 * time.Second
 	// keptChanges is how many changes of owners are kept, so that whoever was away
 	// for a moment gets the difference and not the whole.
 	keptChanges = 64
@@ -38,55 +38,55 @@
 	mostTold = 8
 )
 
-// Ask is a question to the leader, with what its sender knows.
-type Ask struct {
-	VM      ident.VM                  `json:"vm"`
-	Addr    string                    `json:"addr"`  // where the sender is asked
-	Lease   lead.Lease                `json:"lease"` // the newest that the sender knows
-	Life    string                    `json:"life"`  // of the leader whose numbers follow
-	Seqs    map[ident.Service]uint64  `json:"seqs,omitempty"`
-	Rules   uint64                    `json:"rules"` // newest revision that the sender knows to exist
-	Servers uint64                    `json:"servers"`
-	Power   float64                   `json:"power,omitempty"` // processors that the sender may use
-	Cells   map[ident.Service]Cells   `json:"cells,omitempty"`
-	Sums    map[ident.Server]deal.Sum `json:"sums,omitempty"`
-	Reports Parts[poison.Report]      `json:"reports,omitempty"` // of requests under which servers broke off
-	Cases   uint64                    `json:"cases,omitempty"`   // number of the last change to such requests that the sender was told
+// Request is a question to the leader, with what its sender knows.
+type Request struct {
+	VM          ident.VM                           `json:"vm"`
+	Addr        string                             `json:"addr"`  // where the sender is asked
+	Lease       elect.Lease                        `json:"lease"` // the newest that the sender knows
+	Incarnation string                             `json:"life"`  // of the leader whose numbers follow
+	Seqs        map[ident.Service]uint64           `json:"seqs,omitempty"`
+	Rules       uint64                             `json:"rules"` // newest revision that the sender knows to exist
+	Servers     uint64                             `json:"servers"`
+	CPUs        float64                            `json:"power,omitempty"` // processors that the sender may use
+	Cells       map[ident.Service]CellCounts       `json:"cells,omitempty"`
+	LatencySums map[ident.Server]assign.LatencySum `json:"sums,omitempty"`
+	Reports     Parts[poison.Report]               `json:"reports,omitempty"` // of requests under which servers broke off
+	Cases       uint64                             `json:"cases,omitempty"`   // number of the last change to such requests that the sender was told
 
 	came time.Time // by the boot clock
 }
 
-// Cells counts requests by cell of the key space.
-type Cells map[uint16]uint32
-
-// News is the answer.
-type News struct {
-	VM    ident.VM   `json:"vm"`   // who answers
-	Life  string     `json:"life"` // its process
-	Lease lead.Lease `json:"lease"`
-	Leads bool       `json:"leads"` // the one who answers is the leader
-	Away  bool       `json:"away"`  // the leader does not reach the store
-	// Settled says that a leader has answered the one who answers, or it leads.
-	Settled bool `json:"settled,omitempty"`
-	// Steady is for how long the store has answered the leader without a break; zero
+// CellCounts counts requests by cell of the key space.
+type CellCounts map[uint16]uint32
+
+// Response is the answer.
+type Response struct {
+	VM          ident.VM    `json:"vm"`   // who answers
+	Incarnation string      `json:"life"` // its process
+	Lease       elect.Lease `json:"lease"`
+	IsLeader    bool        `json:"leads"` // the one who answers is the leader
+	StoreDown   bool        `json:"away"`  // the leader does not reach the store
+	// ClusterFormed says that a leader has answered the one who answers, or it leads.
+	ClusterFormed bool `json:"settled,omitempty"`
+	// StoreUpFor is for how long the store has answered the leader without a break; zero
 	// where it does not know.
-	Steady time.Duration `json:"steady,omitempty"`
-	// Sure is for how long after the question came the rules of the one who answers may
+	StoreUpFor time.Duration `json:"steady,omitempty"`
+	// RulesFreshFor is for how long after the question came the rules of the one who answers may
 	// be taken for the newest that the store holds; zero where it cannot tell.
-	Sure    time.Duration            `json:"sure,omitempty"`
-	Seen    object.Cursor            `json:"seen,omitempty"` // place in the store's changes up to which it knows the rules
-	Rank    int                      `json:"rank"`           // how many go before the asker if somebody must take over
-	Count   int                      `json:"count"`          // how many VMs ask, the asker included
-	VMs     []string                 `json:"vms"`            // where some of them are asked
-	Changes map[ident.Service]Change `json:"changes,omitempty"`
-	Newest  uint64                   `json:"newest,omitempty"` // revision of the rules that may be asked for here
+	RulesFreshFor time.Duration            `json:"sure,omitempty"`
+	RulesCursor   object.Cursor            `json:"seen,omitempty"` // place in the store's changes up to which it knows the rules
+	ClaimRank     int                      `json:"rank"`           // how many go before the asker if somebody must take over
+	VMCount       int                      `json:"count"`          // how many VMs ask, the asker included
+	VMs           []string                 `json:"vms"`            // where some of them are asked
+	Changes       map[ident.Service]Change `json:"changes,omitempty"`
+	Newest        uint64                   `json:"newest,omitempty"` // revision of the rules that may be asked for here
 	// Rules are what a VM of an earlier version, which names no newest revision, sends.
 	Rules   *Raw        `json:"rules,omitempty"`
 	Servers *ServerList `json:"servers,omitempty"`
 	Cases   *Cases      `json:"cases,omitempty"`
 
-	// Begun is when the answer began to arrive: its news are of that time.
-	Begun time.Time `json:"-"`
+	// ReceivedAt is when the answer began to arrive: its news are of that time.
+	ReceivedAt time.Time `json:"-"`
 }
 
 // Cases are the requests under suspicion of crashing servers that changed since the asker
@@ -102,13 +102,13 @@
 	Since(seq uint64) Cases
 }
 
-// Board holds what this VM knows and others may ask for. The zero value is not
+// Hub holds what this VM knows and others may ask for. The zero value is not
 // usable: see NewBoard.
-type Board struct {
+type Hub struct {
 	vm      ident.VM
 	life    string
 	mu      sync.Mutex
-	lease   lead.Lease
+	lease   elect.Lease
 	leads   bool
 	away    bool
 	rules   *payload
@@ -131,13 +131,13 @@
 
 // history is who serves a service's keys, and how that came about lately.
 type history struct {
-	view    *stripe.View
+	view    *ranges.View
 	changes []Change
 }
 
-// NewBoard makes the empty board of one process of a VM.
-func NewBoard(vm ident.VM, life string) *Board {
-	b := &Board{
+// NewHub makes the empty board of one process of a VM.
+func NewHub(vm ident.VM, life string) *Hub {
+	b := &Hub{
 		vm: vm, life: life, views: map[ident.Service]*history{}, asked: map[ident.VM]asker{}, more: make(chan struct{}),
 		rules: &payload{}, sending: semaphore.NewWeighted(mostSent),
 	}
@@ -146,31 +146,31 @@
 	return b
 }
 
-func (b *Board) wake() {
+func (b *Hub) wake() {
 	close(b.more)
 	b.more = make(chan struct{})
 }
 
 // SetCases sets where the requests under suspicion are kept. Its methods must not call
 // the board's.
-func (b *Board) SetCases(s CaseSource) {
+func (b *Hub) SetCases(s CaseSource) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.source = s
 }
 
 // Wake answers those who wait for news.
-func (b *Board) Wake() {
+func (b *Hub) Wake() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.wake()
 }
 
 // SetLease notes who leads, and whether this VM does.
-func (b *Board) SetLease(l lead.Lease, leads bool) {
+func (b *Hub) SetLease(l elect.Lease, leads bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.lease.Life != l.Life || b.lease.Epoch != l.Epoch {
+	if b.lease.Incarnation != l.Incarnation || b.lease.Epoch != l.Epoch {
 		b.views = map[ident.Service]*history{}
 	}
 	if b.leads != leads {
@@ -181,33 +181,33 @@
 	b.wake()
 }
 
-// Life returns the name of this process, which no other process has.
-func (b *Board) Life() string { return b.life }
+// Incarnation returns the name of this process, which no other process has.
+func (b *Hub) Incarnation() string { return b.life }
 
 // Lease returns who leads, and whether this VM does.
-func (b *Board) Lease() (lead.Lease, bool) {
+func (b *Hub) Lease() (elect.Lease, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.lease, b.leads
 }
 
-// SetTold notes that a leader which reaches the store told this VM all its news, as of
+// SetSynced notes that a leader which reaches the store told this VM all its news, as of
 // a time.
-func (b *Board) SetTold(at time.Time) {
+func (b *Hub) SetSynced(at time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.told, b.settled = at, true
 }
 
-// Told reports whether this VM knows what the leader knows.
-func (b *Board) Told(now time.Time) bool {
+// Synced reports whether this VM knows what the leader knows.
+func (b *Hub) Synced(now time.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return !b.leads && !b.told.IsZero() && now.Sub(b.told) < Wait+answerWait
+	return !b.leads && !b.told.IsZero() && now.Sub(b.told) < PollTimeout+answerWait
 }
 
-// SetAway notes whether this VM, which leads, does not reach the store.
-func (b *Board) SetAway(away bool) {
+// SetStoreDown notes whether this VM, which leads, does not reach the store.
+func (b *Hub) SetStoreDown(away bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.away != away {
@@ -216,37 +216,37 @@
 	}
 }
 
-// Turn returns a context that ends when this VM begins or ceases to lead.
-func (b *Board) Turn() context.Context {
+// LeaderContext returns a context that ends when this VM begins or ceases to lead.
+func (b *Hub) LeaderContext() context.Context {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.turn
 }
 
-// SetSure notes until when, by the boot clock, the rules known here may be taken for the
+// SetRulesFresh notes until when, by the boot clock, the rules known here may be taken for the
 // newest that the store holds, and that they are as of a place in its changes.
-func (b *Board) SetSure(until time.Time, place object.Cursor) {
+func (b *Hub) SetRulesFresh(until time.Time, place object.Cursor) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.sure, b.seen = until, max(b.seen, place)
 }
 
-// SetSeen notes that the rules known here are the newest as of a place.
-func (b *Board) SetSeen(place object.Cursor) {
+// SetRulesCursor notes that the rules known here are the newest as of a place.
+func (b *Hub) SetRulesCursor(place object.Cursor) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.seen = max(b.seen, place)
 }
 
-// Seen is up to which place in the store's changes the rules are known here.
-func (b *Board) Seen() object.Cursor {
+// RulesCursor is up to which place in the store's changes the rules are known here.
+func (b *Hub) RulesCursor() object.Cursor {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.seen
 }
 
 // SetRules notes newer rules and reports whether they are.
-func (b *Board) SetRules(r Raw) bool {
+func (b *Hub) SetRules(r Raw) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if r.Rev <= b.rules.Rev {
@@ -259,15 +259,15 @@
 	return true
 }
 
-// Came returns a context that ends when newer rules are known than now.
-func (b *Board) Came() context.Context {
+// RulesContext returns a context that ends when newer rules are known than now.
+func (b *Hub) RulesContext() context.Context {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.came
 }
 
 // SetServers notes a newer list of servers and reports whether it is.
-func (b *Board) SetServers(l ServerList) bool {
+func (b *Hub) SetServers(l ServerList) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if l.Rev <= b.servers.now.Rev {
@@ -279,7 +279,7 @@
 }
 
 // Revs returns the revisions of the rules and of the servers known here.
-func (b *Board) Revs() (rules, servers uint64) {
+func (b *Hub) Revs() (rules, servers uint64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.rules.Rev, b.servers.now.Rev
@@ -287,7 +287,7 @@
 
 // Publish tells all who ask what changed in who serves a service, and returns the
 // view after it.
-func (b *Board) Publish(svc ident.Service, c Change) *stripe.View {
+func (b *Hub) Publish(svc ident.Service, c Change) *ranges.View {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	h := b.views[svc]
@@ -306,16 +306,16 @@
 
 // look returns the news for an asker, whether they are worth an answer now, and what
 // to wait for otherwise.
-func (b *Board) look(now time.Time, a *Ask) (n News, worth bool, more <-chan struct{}) {
+func (b *Hub) look(now time.Time, a *Request) (n Response, worth bool, more <-chan struct{}) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	n = News{VM: b.vm, Life: b.life, Lease: b.lease, Leads: b.leads, Away: b.leads && b.away, Settled: b.settled}
+	n = Response{VM: b.vm, Incarnation: b.life, Lease: b.lease, IsLeader: b.leads, StoreDown: b.leads && b.away, ClusterFormed: b.settled}
 	worth = b.stored(a, &n)
 	if !b.leads {
 		return n, true, nil // it has nothing to wait for here
 	}
-	n.Steady = b.touch.steady(now)
-	n.Sure, n.Seen = max(b.sure.Sub(a.came), 0), b.seen
+	n.StoreUpFor = b.touch.steady(now)
+	n.RulesFreshFor, n.RulesCursor = max(b.sure.Sub(a.came), 0), b.seen
 	worth = b.owners(a, &n) || worth
 	worth = b.cases(a, &n) || worth
 	b.others(now, a, &n)
@@ -325,7 +325,7 @@
 // stored adds what the store holds, and reports whether the asker does not know it yet.
 // One that knows newer rules to exist and still fetches them has nothing to be told, and
 // would ask again at once. The caller holds mu, here and below.
-func (b *Board) stored(a *Ask, n *News) bool {
+func (b *Hub) stored(a *Request, n *Response) bool {
 	n.Newest = b.rules.Rev
 	if b.servers.now.Rev > a.Servers {
 		l := b.servers.since(a.Servers)
@@ -335,12 +335,12 @@
 }
 
 // cases adds the requests under suspicion that the asker was not told of.
-func (b *Board) cases(a *Ask, n *News) bool {
+func (b *Hub) cases(a *Request, n *Response) bool {
 	if b.source == nil {
 		return false
 	}
 	seq := a.Cases
-	if a.Life != b.life {
+	if a.Incarnation != b.life {
 		seq = 0
 	}
 	if c := b.source.Since(seq); len(c.List) > 0 {
@@ -350,9 +350,9 @@
 }
 
 // owners adds what changed in who serves what.
-func (b *Board) owners(a *Ask, n *News) bool {
+func (b *Hub) owners(a *Request, n *Response) bool {
 	for svc, h := range b.views {
-		c, ok := h.since(a, svc, b.lease.Life)
+		c, ok := h.since(a, svc, b.lease.Incarnation)
 		if !ok {
 			continue
 		}
@@ -365,13 +365,13 @@
 }
 
 // since joins what changed after what an asker knows.
-func (h *history) since(a *Ask, svc ident.Service, life string) (Change, bool) {
+func (h *history) since(a *Request, svc ident.Service, life string) (Change, bool) {
 	have := a.Seqs[svc]
-	if a.Life == life && have == h.view.Seq {
+	if a.Incarnation == life && have == h.view.Seq {
 		return Change{}, false
 	}
 	out := Change{Epoch: h.view.Epoch, Seq: h.view.Seq}
-	if a.Life != life || have < h.changes[0].Seq {
+	if a.Incarnation != life || have < h.changes[0].Seq {
 		out.Full, out.Spans = true, h.view.Spans()
 		return out, true
 	}
--- a/internal/edge/query/change.go
+++ b/internal/edge/poll/change.go
@@ -1,11 +1,11 @@
-package query
+package poll
 
 import (
 	"encoding/json"
 
 	"hawthornfield.org/hawthornfield/internal/core/ident"
 	"hawthornfield.org/hawthornfield/internal/core/kinds"
-	"hawthornfield.org/hawthornfield/internal/owner/stripe"
+	"hawthornfield.org/hawthornfield/internal/owner/ranges"
 )
 
 // Change is what changed in who serves a service's keys.
@@ -13,7 +13,7 @@
 	Epoch uint64
 	Seq   uint64
 	Full  bool
-	Spans []stripe.Served
+	Spans []ranges.Assignment
 }
 
 // wireChange is a Change between VMs: a span is its first key, its last, and the
@@ -51,12 +51,12 @@
 	if err := json.Unmarshal(b, &w); err != nil {
 		return kinds.Wrap(kinds.Malformed, err, "decode change")
 	}
-	*c = Change{Epoch: w.Epoch, Seq: w.Seq, Full: w.Full, Spans: make([]stripe.Served, len(w.Spans))}
+	*c = Change{Epoch: w.Epoch, Seq: w.Seq, Full: w.Full, Spans: make([]ranges.Assignment, len(w.Spans))}
 	for i, s := range w.Spans {
 		if s[0] > s[1] || int(s[2]) > len(w.Names) {
 			return kinds.New(kinds.Malformed, "decode change: bad span")
 		}
-		c.Spans[i].Span = stripe.Span{First: s[0], Last: s[1]}
+		c.Spans[i].Span = ranges.Span{First: s[0], Last: s[1]}
 		if s[2] > 0 {
 			c.Spans[i].Server = w.Names[s[2]-1]
 		}
--- a/internal/edge/query/change_test.go
+++ b/internal/edge/poll/change_test.go
@@ -1,4 +1,4 @@
-package query
+package poll
 
 import (
 	"encoding/json"
@@ -10,19 +10,19 @@
 
 	"hawthornfield.org/hawthornfield/internal/core/ident"
 	"hawthornfield.org/hawthornfield/internal/core/kinds"
-	"hawthornfield.org/hawthornfield/internal/owner/stripe"
+	"hawthornfield.org/hawthornfield/internal/owner/ranges"
 )
 
 func TestAChangeArrivesAsItWas(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := Change{
 			Epoch: rapid.Uint64().Draw(t, "epoch"), Seq: rapid.Uint64().Draw(t, "seq"), Full: rapid.Bool().Draw(t, "full"),
-			Spans: []stripe.Served{},
+			Spans: []ranges.Assignment{},
 		}
 		for range rapid.IntRange(0, 20).Draw(t, "spans") {
 			first := rapid.Uint16().Draw(t, "first")
-			c.Spans = append(c.Spans, stripe.Served{
-				Span:   stripe.Span{First: first, Last: rapid.Uint16Min(first).Draw(t, "last")},
+			c.Spans = append(c.Spans, ranges.Assignment{
+				Span:   ranges.Span{First: first, Last: rapid.Uint16Min(first).Draw(t, "last")},
 				Server: ident.Server(rapid.SampledFrom([]string{"", "a", "b", "c"}).Draw(t, "server")),
 			})
 		}
@@ -50,8 +50,8 @@
 	c := Change{Epoch: 7, Seq: 1, Full: true}
 	for i := range 1024 {
 		first := uint16(i * 64)
-		c.Spans = append(c.Spans, stripe.Served{
-			Span: stripe.Span{First: first, Last: first + 63}, Server: ident.Server(fmt.Sprintf("i-%010x", i%143)),
+		c.Spans = append(c.Spans, ranges.Assignment{
+			Span: ranges.Span{First: first, Last: first + 63}, Server: ident.Server(fmt.Sprintf("i-%010x", i%143)),
 		})
 	}
 	text, err := json.Marshal(c)
--- a/internal/edge/query/heartbeat.go
+++ b/internal/edge/poll/heartbeat.go
@@ -1,4 +1,4 @@
-package query
+package poll
 
 import (
 	"io"
@@ -12,8 +12,8 @@
 // that the leader is gone, take the lead from it, and so make all VMs ask for everything
 // once more.
 type Heartbeat struct {
-	Epoch uint64
-	Away  bool // it does not reach the store
+	Epoch     uint64
+	StoreDown bool // it does not reach the store
 }
 
 // Headers of a heartbeat. A VM that does not lead, or of an earlier version, sends none.
@@ -27,14 +27,14 @@
 const heartbeatEvery = 200 * time.Millisecond
 
 // heartbeat is that of an answer, if a leader gives it.
-func (n *News) heartbeat() (Heartbeat, bool) {
-	return Heartbeat{Epoch: n.Lease.Epoch, Away: n.Away}, n.Leads
+func (n *Response) heartbeat() (Heartbeat, bool) {
+	return Heartbeat{Epoch: n.Lease.Epoch, StoreDown: n.StoreDown}, n.IsLeader
 }
 
 // write adds the heartbeat to the header of an answer.
 func (b Heartbeat) write(h http.Header) {
 	h.Set(headerEpoch, strconv.FormatUint(b.Epoch, 10))
-	h.Set(headerAway, strconv.FormatBool(b.Away))
+	h.Set(headerAway, strconv.FormatBool(b.StoreDown))
 }
 
 // readHeartbeat reads the heartbeat in the header of an answer, if there is one.
@@ -43,7 +43,7 @@
 	if err != nil {
 		return Heartbeat{}, false
 	}
-	return Heartbeat{Epoch: epoch, Away: h.Get(headerAway) == strconv.FormatBool(true)}, true
+	return Heartbeat{Epoch: epoch, StoreDown: h.Get(headerAway) == strconv.FormatBool(true)}, true
 }
 
 // heartbeatReader passes the heartbeat on as the answer comes.
