--- a/internal/edge/query/heartbeat_test.go
+++ b/internal/edge/poll/heartbeat_test.go
@@ -1,4 +1,4 @@
-package query
+package poll
 
 import (
 	"fmt"
@@ -11,19 +11,19 @@
 	"hawthornfield.org/hawthornfield/internal/core/ident"
 	"hawthornfield.org/hawthornfield/internal/core/kinds"
 	"hawthornfield.org/hawthornfield/internal/edge/feed"
-	"hawthornfield.org/hawthornfield/internal/owner/lead"
-	"hawthornfield.org/hawthornfield/internal/owner/stripe"
+	"hawthornfield.org/hawthornfield/internal/owner/elect"
+	"hawthornfield.org/hawthornfield/internal/owner/ranges"
 )
 
 // crowded is a leader that has a hundred kilobytes to tell.
-func crowded() *Board {
+func crowded() *Hub {
 	b := leader()
 	list := ServerList{Rev: 9}
 	for i := range 1000 {
 		list.List = append(list.List, feed.Server{Name: ident.Server(fmt.Sprintf("i-%010d", i)), Service: "lookup"})
 	}
 	b.SetServers(list)
-	b.Publish("lookup", Change{Epoch: 3, Seq: 1, Full: true, Spans: []stripe.Served{{Span: all, Server: "i-0000000001"}}})
+	b.Publish("lookup", Change{Epoch: 3, Seq: 1, Full: true, Spans: []ranges.Assignment{{Span: all, Server: "i-0000000001"}}})
 	return b
 }
 
@@ -34,20 +34,20 @@
 func TestAnAnswerIsWordAsLongAsItComes(t *testing.T) {
 	inFleet(t, func(t *testing.T, f *fleet) {
 		b := crowded()
-		b.SetAway(true)
-		f.serve(firstVM, b.Handler(func(*Ask) {}))
+		b.SetStoreDown(true)
+		f.serve(firstVM, b.Handler(func(*Request) {}))
 		start, last := time.Now(), time.Now()
 		heard := 0
 		hear := func(w Heartbeat) {
-			assert.Equal(t, w, Heartbeat{Epoch: 3, Away: true})
-			assert.Assert(t, time.Since(last) < lead.Silence/2, "after %v", time.Since(last))
+			assert.Equal(t, w, Heartbeat{Epoch: 3, StoreDown: true})
+			assert.Assert(t, time.Since(last) < elect.ElectionTimeout/2, "after %v", time.Since(last))
 			heard, last = heard+1, time.Now()
 		}
-		n, err := f.client(func() time.Duration { return 30 * time.Millisecond }).Ask(t.Context(), firstVM, &Ask{VM: "vm-2"}, hear)
+		n, err := f.client(func() time.Duration { return 30 * time.Millisecond }).Poll(t.Context(), firstVM, &Request{VM: "vm-2"}, hear)
 		assert.NilError(t, err)
 		assert.Equal(t, len(n.Servers.List), 1000)
-		assert.Assert(t, time.Since(start) > Wait+answerWait, "the answer was slow, but %v", time.Since(start))
-		assert.Assert(t, !n.Begun.Before(start) && n.Begun.Sub(start) < Wait, "its news are as old as its beginning")
+		assert.Assert(t, time.Since(start) > PollTimeout+answerWait, "the answer was slow, but %v", time.Since(start))
+		assert.Assert(t, !n.ReceivedAt.Before(start) && n.ReceivedAt.Sub(start) < PollTimeout, "its news are as old as its beginning")
 		assert.Assert(t, heard > 1 && time.Since(last) <= 2*heartbeatEvery)
 
 		left := 20
@@ -57,13 +57,13 @@
 				return time.Hour
 			}
 			return 30 * time.Millisecond
-		}).Ask(t.Context(), firstVM, &Ask{VM: "vm-2"}, hear)
-		assert.Equal(t, kinds.Of(err), kinds.Down)
+		}).Poll(t.Context(), firstVM, &Request{VM: "vm-2"}, hear)
+		assert.Equal(t, kinds.Of(err), kinds.Unavailable)
 		assert.Assert(t, time.Since(start) < 2*bodySilence, "after %v", time.Since(start))
 
 		start, last = time.Now(), time.Now()
-		_, err = f.client(func() time.Duration { return 150 * time.Millisecond }).Ask(t.Context(), firstVM, &Ask{VM: "vm-2"}, hear)
-		assert.Equal(t, kinds.Of(err), kinds.Down)
+		_, err = f.client(func() time.Duration { return 150 * time.Millisecond }).Poll(t.Context(), firstVM, &Request{VM: "vm-2"}, hear)
+		assert.Equal(t, kinds.Of(err), kinds.Unavailable)
 		assert.Equal(t, time.Since(start), mostAnswer, "a trickle has an end")
 	})
 }
@@ -72,12 +72,12 @@
 func TestAnAnswerMustBegin(t *testing.T) {
 	inFleet(t, func(t *testing.T, f *fleet) {
 		b := crowded()
-		f.serve(firstVM, b.Handler(func(*Ask) { time.Sleep(time.Second) }))
+		f.serve(firstVM, b.Handler(func(*Request) { time.Sleep(time.Second) }))
 		start := time.Now()
-		_, err := f.client(nil).Ask(t.Context(), firstVM, &Ask{VM: "vm-2"}, func(Heartbeat) { t.Error("heard") })
-		assert.Equal(t, kinds.Of(err), kinds.Down)
+		_, err := f.client(nil).Poll(t.Context(), firstVM, &Request{VM: "vm-2"}, func(Heartbeat) { t.Error("heard") })
+		assert.Equal(t, kinds.Of(err), kinds.Unavailable)
 		assert.ErrorContains(t, err, flow.ErrSilent.Error())
-		assert.Equal(t, time.Since(start), Wait+answerWait)
+		assert.Equal(t, time.Since(start), PollTimeout+answerWait)
 		time.Sleep(time.Second) // until the other VM has ended
 	})
 }
@@ -85,12 +85,12 @@
 // Who does not lead gives no word: its answer must not put off a take-over.
 func TestOnlyALeaderGivesItsWord(t *testing.T) {
 	inFleet(t, func(t *testing.T, f *fleet) {
-		b := NewBoard("vm-3", "vm-3-a")
-		b.SetLease(lead.Lease{Epoch: 3, Holder: "vm-1", Life: "vm-1-a"}, false)
-		f.serve(firstVM, b.Handler(func(*Ask) {}))
-		n, err := f.client(nil).Ask(t.Context(), firstVM, &Ask{VM: "vm-2"}, func(Heartbeat) { t.Error("heard") })
+		b := NewHub("vm-3", "vm-3-a")
+		b.SetLease(elect.Lease{Epoch: 3, Holder: "vm-1", Incarnation: "vm-1-a"}, false)
+		f.serve(firstVM, b.Handler(func(*Request) {}))
+		n, err := f.client(nil).Poll(t.Context(), firstVM, &Request{VM: "vm-2"}, func(Heartbeat) { t.Error("heard") })
 		assert.NilError(t, err)
-		assert.Assert(t, !n.Leads)
+		assert.Assert(t, !n.IsLeader)
 	})
 }
 
@@ -100,15 +100,15 @@
 func TestAVMThatReadsItsAnswerCounts(t *testing.T) {
 	inFleet(t, func(t *testing.T, f *fleet) {
 		b := crowded()
-		f.serve(firstVM, b.Handler(func(*Ask) {}))
+		f.serve(firstVM, b.Handler(func(*Request) {}))
 		start := time.Now()
 		count := func(Heartbeat) {
 			assert.Equal(t, b.VMs(time.Now()), 2, "after %v", time.Since(start))
 		}
-		_, err := f.client(func() time.Duration { return 40 * time.Millisecond }).Ask(t.Context(), firstVM, &Ask{VM: "vm-2"}, count)
+		_, err := f.client(func() time.Duration { return 40 * time.Millisecond }).Poll(t.Context(), firstVM, &Request{VM: "vm-2"}, count)
 		assert.NilError(t, err)
-		assert.Assert(t, time.Since(start) > Gone, "the answer was slow, but %v", time.Since(start))
-		assert.Equal(t, b.VMs(time.Now().Add(Gone+mostAnswer)), 1)
+		assert.Assert(t, time.Since(start) > PeerTimeout, "the answer was slow, but %v", time.Since(start))
+		assert.Equal(t, b.VMs(time.Now().Add(PeerTimeout+mostAnswer)), 1)
 		assert.Equal(t, reading(300) < 10*time.Millisecond, true, "a usual answer is read at once")
 		assert.Equal(t, reading(1<<30), mostAnswer)
 	})
--- a/internal/edge/query/list.go
+++ b/internal/edge/poll/list.go
@@ -1,4 +1,4 @@
-package query
+package poll
 
 import (
 	"github.com/cespare/xxhash/v2"
--- a/internal/edge/query/list_test.go
+++ b/internal/edge/poll/list_test.go
@@ -1,4 +1,4 @@
-package query
+package poll
 
 import (
 	"encoding/json"
@@ -103,7 +103,7 @@
 	changed := append([]feed.Server(nil), list...)
 	changed[7].Rev, changed[7].Leaving = 6, true
 	b.SetServers(ServerList{Rev: 6, List: changed})
-	n, worth, _ := b.look(time.Now(), &Ask{VM: "x", Servers: 5})
+	n, worth, _ := b.look(time.Now(), &Request{VM: "x", Servers: 5})
 	assert.Assert(t, worth)
 	text, err := json.Marshal(n)
 	assert.NilError(t, err)
--- a/internal/edge/query/parts.go
+++ b/internal/edge/poll/parts.go
@@ -1,4 +1,4 @@
-package query
+package poll
 
 import "encoding/json"
 
--- a/internal/edge/query/parts_test.go
+++ b/internal/edge/poll/parts_test.go
@@ -1,4 +1,4 @@
-package query
+package poll
 
 import (
 	"encoding/json"
@@ -13,13 +13,13 @@
 		`{"vm":"v","cases":{"seq":3,"list":[{"print":"00"},{"print":"000102030405060708090a0b0c0d0e0f1011121314151617","crashes":[{"server":"s","ago":5}]}]}}`: 1,
 		`{"vm":"v","cases":{"seq":3,"list":{"print":7}}}`: 0,
 	} {
-		var n News
+		var n Response
 		assert.NilError(t, json.Unmarshal([]byte(text), &n))
 		assert.Equal(t, string(n.VM), "v")
 		assert.Equal(t, n.Cases.Seq, uint64(3))
 		assert.Equal(t, len(n.Cases.List), want)
 	}
-	var a Ask
+	var a Request
 	assert.NilError(t, json.Unmarshal([]byte(`{"vm":"v","reports":[{"print":1}]}`), &a))
 	assert.Equal(t, string(a.VM), "v")
 	assert.Equal(t, len(a.Reports), 0)
--- a/internal/edge/query/rules.go
+++ b/internal/edge/poll/rules.go
@@ -1,4 +1,4 @@
-package query
+package poll
 
 import (
 	"bytes"
@@ -80,7 +80,7 @@
 }
 
 // newer returns the rules known here if they are newer than a revision, or nil.
-func (b *Board) newer(after uint64) *payload {
+func (b *Hub) newer(after uint64) *payload {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.rules.Rev <= after {
@@ -91,7 +91,7 @@
 
 // send answers a request for rules: 204 without newer ones, 503 while as many VMs as may
 // be get them already.
-func (b *Board) send(c *gin.Context) {
+func (b *Hub) send(c *gin.Context) {
 	after, err := strconv.ParseUint(c.Query(afterParam), 10, 64)
 	if err != nil {
 		c.Status(http.StatusBadRequest)
@@ -151,19 +151,19 @@
 		return Raw{}, 0, kinds.Wrap(kinds.Internal, err, "request for rules")
 	}
 	req.Close = true // tells the other VM that they have arrived
-	resp, err := flow.Do(c.web, req, rulesWait, bodySilence)
+	resp, err := flow.DoWithTimeouts(c.web, req, rulesWait, bodySilence)
 	if err != nil {
-		return Raw{}, 0, kinds.Wrap(kinds.Down, err, "rules of "+at.String())
+		return Raw{}, 0, kinds.Wrap(kinds.Unavailable, err, "rules of "+at.String())
 	}
 	defer resp.Body.Close()
 	switch resp.StatusCode {
 	case http.StatusOK:
 	case http.StatusNoContent:
-		return Raw{}, 0, kinds.New(kinds.Absent, "no newer rules at "+at.String())
+		return Raw{}, 0, kinds.New(kinds.NotFound, "no newer rules at "+at.String())
 	case http.StatusServiceUnavailable:
 		return Raw{}, 0, kinds.New(kinds.Busy, at.String()+" sends rules to others")
 	default:
-		return Raw{}, 0, kinds.New(kinds.Down, "rules of "+at.String()+": "+resp.Status)
+		return Raw{}, 0, kinds.New(kinds.Unavailable, "rules of "+at.String()+": "+resp.Status)
 	}
 	rev, err := strconv.ParseUint(resp.Header.Get(headerRev), 10, 64)
 	if err != nil {
@@ -171,7 +171,7 @@
 	}
 	packed, err := io.ReadAll(io.LimitReader(resp.Body, mostRules))
 	if err != nil {
-		return Raw{}, 0, kinds.Wrap(kinds.Down, err, "rules of "+at.String())
+		return Raw{}, 0, kinds.Wrap(kinds.Unavailable, err, "rules of "+at.String())
 	}
 	data, err := unpack(packed)
 	if err != nil {
--- a/internal/edge/query/rules_test.go
+++ b/internal/edge/poll/rules_test.go
@@ -1,4 +1,4 @@
-package query
+package poll
 
 import (
 	"bytes"
@@ -107,17 +107,17 @@
 // them; from one that has nothing newer it gets nothing.
 func TestRulesPassFromVMToVM(t *testing.T) {
 	inFleet(t, func(t *testing.T, f *fleet) {
-		first, second := leader(), NewBoard("vm-2", "vm-2-a")
+		first, second := leader(), NewHub("vm-2", "vm-2-a")
 		other := netip.MustParseAddrPort("10.0.0.2:7000")
-		f.serve(firstVM, first.Handler(func(*Ask) {}))
-		f.serve(other, second.Handler(func(*Ask) {}))
+		f.serve(firstVM, first.Handler(func(*Request) {}))
+		f.serve(other, second.Handler(func(*Request) {}))
 		c := f.client(nil)
 		data := []byte(strings.Repeat(`{"a":1},`, 1000))
 		first.SetRules(Raw{Rev: 7, Data: data})
 		_, _, err := c.Rules(t.Context(), firstVM, 7)
-		assert.Equal(t, kinds.Of(err), kinds.Absent)
+		assert.Equal(t, kinds.Of(err), kinds.NotFound)
 		_, _, err = c.Rules(t.Context(), other, 6)
-		assert.Equal(t, kinds.Of(err), kinds.Absent)
+		assert.Equal(t, kinds.Of(err), kinds.NotFound)
 
 		raw, n, err := c.Rules(t.Context(), firstVM, 6)
 		assert.NilError(t, err)
@@ -139,7 +139,7 @@
 	inFleet(t, func(t *testing.T, f *fleet) {
 		b := leader()
 		b.SetRules(Raw{Rev: 7, Data: noise(100_000)})
-		f.serve(firstVM, b.Handler(func(*Ask) {}))
+		f.serve(firstVM, b.Handler(func(*Request) {}))
 		start := time.Now()
 		var g group.Group
 		for range mostSent {
@@ -196,7 +196,7 @@
 	inFleet(t, func(t *testing.T, f *fleet) {
 		b := leader()
 		b.SetRules(Raw{Rev: 7, Data: noise(100_000)})
-		f.serve(firstVM, b.Handler(func(*Ask) {}))
+		f.serve(firstVM, b.Handler(func(*Request) {}))
 		var cut []net.Conn
 		for range mostSent {
 			conn, err := f.net.Dial(t.Context(), firstVM)
@@ -226,7 +226,7 @@
 		b := leader()
 		data := noise(object.MaxValue)
 		b.SetRules(Raw{Rev: 7, Data: data})
-		f.serve(firstVM, b.Handler(func(*Ask) {}))
+		f.serve(firstVM, b.Handler(func(*Request) {}))
 		start := time.Now()
 		raw, _, err := f.client(func() time.Duration { return 6 * time.Millisecond }).Rules(t.Context(), firstVM, 0)
 		assert.NilError(t, err)
@@ -241,7 +241,7 @@
 			return 0
 		}).Rules(t.Context(), firstVM, 0)
 		assert.ErrorContains(t, err, flow.ErrSilent.Error())
-		assert.Equal(t, kinds.Of(err), kinds.Down)
+		assert.Equal(t, kinds.Of(err), kinds.Unavailable)
 	})
 }
 
@@ -266,7 +266,7 @@
 // VMs of two versions run beside each other while they are replaced. One of the version
 // before sends its rules with its answer; the new ones still take them.
 func TestRulesInAnAnswerAreStillRead(t *testing.T) {
-	var n News
+	var n Response
 	assert.NilError(t, json.Unmarshal([]byte(`{"vm":"vm-1","leads":true,"rules":{"rev":7,"data":{"a":1}}}`), &n))
 	assert.Equal(t, n.Rules.Rev, uint64(7))
 	assert.Equal(t, string(n.Rules.Data), `{"a":1}`)
@@ -278,13 +278,13 @@
 func TestRulesThatTheAskerKnowsOfAreNoNews(t *testing.T) {
 	b := leader()
 	b.SetRules(Raw{Rev: 7, Data: noise(100_000)})
-	n, worth, _ := b.look(time.Now(), &Ask{VM: "vm-2", Rules: 6})
+	n, worth, _ := b.look(time.Now(), &Request{VM: "vm-2", Rules: 6})
 	assert.Assert(t, worth)
 	assert.Equal(t, n.Newest, uint64(7))
 	text, err := json.Marshal(n)
 	assert.NilError(t, err)
 	assert.Assert(t, len(text) < 1000, "%d bytes", len(text))
-	_, worth, _ = b.look(time.Now(), &Ask{VM: "vm-2", Rules: 7})
+	_, worth, _ = b.look(time.Now(), &Request{VM: "vm-2", Rules: 7})
 	assert.Assert(t, !worth)
 }
 
--- a/internal/edge/query/serve.go
+++ b/internal/edge/poll/serve.go
@@ -1,4 +1,4 @@
-package query
+package poll
 
 import (
 	"bytes"
@@ -12,9 +12,9 @@
 
 	"github.com/gin-gonic/gin"
 
+	"hawthornfield.org/hawthornfield/internal/core/clock"
 	"hawthornfield.org/hawthornfield/internal/core/flow"
 	"hawthornfield.org/hawthornfield/internal/core/kinds"
-	"hawthornfield.org/hawthornfield/internal/core/tick"
 )
 
 const (
@@ -42,17 +42,17 @@
 }
 
 // Handler answers questions. Heard is called with each of them.
-func (b *Board) Handler(heard func(*Ask)) http.Handler {
+func (b *Hub) Handler(heard func(*Request)) http.Handler {
 	gin.SetMode(gin.ReleaseMode)
 	engine := gin.New()
 	engine.POST(askPath, func(c *gin.Context) {
-		var a Ask
+		var a Request
 		body := http.MaxBytesReader(c.Writer, c.Request.Body, mostBytes)
 		if err := json.NewDecoder(body).Decode(&a); err != nil || a.VM == "" {
 			c.Status(http.StatusBadRequest)
 			return
 		}
-		a.came = tick.Now()
+		a.came = clock.Now()
 		b.note(time.Now(), &a)
 		heard(&a)
 		b.answer(c, &a)
@@ -62,7 +62,7 @@
 }
 
 // answer sends the news to an asker.
-func (b *Board) answer(c *gin.Context, a *Ask) {
+func (b *Hub) answer(c *gin.Context, a *Request) {
 	n := b.wait(c.Request.Context(), a)
 	body, err := json.Marshal(n)
 	if err != nil {
@@ -77,8 +77,8 @@
 }
 
 // wait returns news for the asker, as soon as there are some or Wait is over.
-func (b *Board) wait(ctx context.Context, a *Ask) News {
-	timer := time.NewTimer(Wait)
+func (b *Hub) wait(ctx context.Context, a *Request) Response {
+	timer := time.NewTimer(PollTimeout)
 	defer timer.Stop()
 	for {
 		n, worth, more := b.look(time.Now(), a)
@@ -100,8 +100,8 @@
 
 // Client asks other VMs.
 type Client struct {
-	flow.Flow // of its questions and their answers
-	web       *http.Client
+	flow.Counter // of its questions and their answers
+	web          *http.Client
 }
 
 // NewClient makes a client. Each question has a connection of its own kept, and
@@ -115,10 +115,10 @@
 	return c
 }
 
-// Ask asks one VM. Heard is called with the heartbeat of a leader as soon as its
+// Poll asks one VM. Heard is called with the heartbeat of a leader as soon as its
 // answer begins and, while it goes on, several times a second. The error carries kind Down.
-func (c *Client) Ask(ctx context.Context, at netip.AddrPort, a *Ask, heard func(Heartbeat)) (News, error) {
-	var n News
+func (c *Client) Poll(ctx context.Context, at netip.AddrPort, a *Request, heard func(Heartbeat)) (Response, error) {
+	var n Response
 	ctx, cancel := context.WithTimeout(ctx, mostAnswer)
 	defer cancel()
 	b, err := json.Marshal(a)
@@ -130,21 +130,21 @@
 		return n, kinds.Wrap(kinds.Internal, err, "question")
 	}
 	req.Header.Set("Content-Type", gin.MIMEJSON)
-	resp, err := flow.Do(c.web, req, Wait+answerWait, bodySilence)
+	resp, err := flow.DoWithTimeouts(c.web, req, PollTimeout+answerWait, bodySilence)
 	if err != nil {
-		return n, kinds.Wrap(kinds.Down, err, "ask "+at.String())
+		return n, kinds.Wrap(kinds.Unavailable, err, "ask "+at.String())
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
-		return n, kinds.New(kinds.Down, "ask "+at.String()+": "+resp.Status)
+		return n, kinds.New(kinds.Unavailable, "ask "+at.String()+": "+resp.Status)
 	}
-	n.Begun = time.Now()
+	n.ReceivedAt = time.Now()
 	body := io.LimitReader(resp.Body, mostBytes)
 	if beat, ok := readHeartbeat(resp.Header); ok && heard != nil {
 		body = &heartbeatReader{Reader: body, beat: beat, heard: heard}
 	}
 	if err := json.NewDecoder(body).Decode(&n); err != nil {
-		return n, kinds.Wrap(kinds.Down, err, "answer of "+at.String())
+		return n, kinds.Wrap(kinds.Unavailable, err, "answer of "+at.String())
 	}
 	return n, nil
 }
--- a/internal/edge/query/touch.go
+++ b/internal/edge/poll/touch.go
@@ -1,9 +1,9 @@
-package query
+package poll
 
 import (
 	"time"
 
-	"hawthornfield.org/hawthornfield/internal/node/census"
+	"hawthornfield.org/hawthornfield/internal/node/member"
 )
 
 // touch is for how long the store has answered this VM without a break. Other VMs take
@@ -14,7 +14,7 @@
 
 // answered notes an answer of the store.
 func (t *touch) answered(now time.Time) {
-	if now.Sub(t.last) >= census.Brief {
+	if now.Sub(t.last) >= member.OutageGrace {
 		t.since = now
 	}
 	t.last = now
@@ -22,14 +22,14 @@
 
 // steady is the time from the first answer to the last, zero when that is too long ago.
 func (t *touch) steady(now time.Time) time.Duration {
-	if now.Sub(t.last) >= census.Brief {
+	if now.Sub(t.last) >= member.OutageGrace {
 		return 0
 	}
 	return t.last.Sub(t.since)
 }
 
-// SetTouch notes that the store answered this VM.
-func (b *Board) SetTouch(now time.Time) {
+// SetStoreContact notes that the store answered this VM.
+func (b *Hub) SetStoreContact(now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.touch.answered(now)
--- a/internal/edge/query/touch_test.go
+++ b/internal/edge/poll/touch_test.go
@@ -1,4 +1,4 @@
-package query
+package poll
 
 import (
 	"testing"
@@ -7,8 +7,8 @@
 	"gotest.tools/v3/assert"
 
 	"hawthornfield.org/hawthornfield/internal/edge/feed"
-	"hawthornfield.org/hawthornfield/internal/node/census"
-	"hawthornfield.org/hawthornfield/internal/owner/lead"
+	"hawthornfield.org/hawthornfield/internal/node/member"
+	"hawthornfield.org/hawthornfield/internal/owner/elect"
 )
 
 // The store goes silent for all VMs, and the leader has not noticed yet: its call still
@@ -16,18 +16,18 @@
 // server whose entry lapsed in the outage, and refuse all requests for two seconds.
 func TestALeaderClaimsNoTouchOfAnOutage(t *testing.T) {
 	begin := time.Unix(1000, 0)
-	var b Board
+	var b Hub
 	assert.Equal(t, b.touch.steady(begin), time.Duration(0), "nothing was answered yet")
 	for n := range 5 {
-		b.SetTouch(begin.Add(time.Duration(n) * time.Second))
+		b.SetStoreContact(begin.Add(time.Duration(n) * time.Second))
 	}
 	last := begin.Add(4 * time.Second)
-	assert.Equal(t, b.touch.steady(last.Add(census.Brief-time.Millisecond)), 4*time.Second)
-	assert.Equal(t, b.touch.steady(last.Add(census.Brief)), time.Duration(0))
+	assert.Equal(t, b.touch.steady(last.Add(member.OutageGrace-time.Millisecond)), 4*time.Second)
+	assert.Equal(t, b.touch.steady(last.Add(member.OutageGrace)), time.Duration(0))
 	back := last.Add(3 * time.Second)
-	b.SetTouch(back)
+	b.SetStoreContact(back)
 	assert.Equal(t, b.touch.steady(back.Add(time.Second)), time.Duration(0), "it counts anew")
-	b.SetTouch(back.Add(time.Second))
+	b.SetStoreContact(back.Add(time.Second))
 	assert.Equal(t, b.touch.steady(back.Add(time.Second)), time.Second)
 }
 
@@ -35,12 +35,12 @@
 // that the store was there.
 func TestALeaderTellsHowLongTheStoreHasAnswered(t *testing.T) {
 	begin := time.Unix(1000, 0)
-	b := NewBoard("vm-1", "a")
-	b.SetLease(lead.Lease{Epoch: 1, Holder: "vm-1", Life: "a"}, true)
+	b := NewHub("vm-1", "a")
+	b.SetLease(elect.Lease{Epoch: 1, Holder: "vm-1", Incarnation: "a"}, true)
 	b.SetServers(ServerList{Rev: 3, List: []feed.Server{{Name: "s"}}})
-	b.SetTouch(begin)
-	b.SetTouch(begin.Add(time.Second))
-	n, worth, _ := b.look(begin.Add(time.Second), &Ask{VM: "vm-2"})
+	b.SetStoreContact(begin)
+	b.SetStoreContact(begin.Add(time.Second))
+	n, worth, _ := b.look(begin.Add(time.Second), &Request{VM: "vm-2"})
 	assert.Assert(t, worth)
-	assert.Equal(t, n.Steady, time.Second)
+	assert.Equal(t, n.StoreUpFor, time.Second)
 }
--- a/internal/edge/mover/counts.go
+++ b/internal/edge/rebal/counts.go
@@ -1,4 +1,4 @@
-package mover
+package rebal
 
 import (
 	"cmp"
@@ -92,7 +92,7 @@
 
 // sane refuses numbers that would spoil every plan.
 func (r *report) sane(n uint32) bool {
-	ok := good(r.Total) && good(r.Hot.Total) && good(r.Hot.Least) && len(r.Top) <= topSlices && len(r.Hot.List) <= topKeys
+	ok := good(r.Total) && good(r.Hot.Total) && good(r.Hot.MinWeight) && len(r.Top) <= topSlices && len(r.Hot.List) <= topKeys
 	for _, s := range r.Top {
 		ok = ok && good(s.W) && uint32(s.At) < n
 	}
@@ -159,7 +159,7 @@
 	}
 	for _, s := range b.svc.Servers {
 		in.Servers = append(in.Servers, place.Server{
-			ID: s.Name, Centre: s.Centre, Weight: float64(s.Slots), Takes: takes(s.Name),
+			ID: s.Name, Centre: s.Centre, Weight: float64(s.Slots), Accepting: takes(s.Name),
 		})
 	}
 	w := b.svc.Weight
--- a/internal/edge/mover/mover.go
+++ b/internal/edge/rebal/mover.go
@@ -1,4 +1,4 @@
-// Package mover keeps the load of a service's servers even: it counts what each
+// Package rebal keeps the load of a service's servers even: it counts what each
 // slice and each hot key gets, joins the counts of all entry VMs on one of them,
 // asks owner/place for a plan and hands the moves to the seats.
 //
@@ -6,7 +6,7 @@
 // service plans, chosen like the leads of seats; when two VMs take themselves
 // for it, both plans are sound, since only a seat's holder can carry moves out,
 // and it checks each against the table.
-package mover
+package rebal
 
 import (
 	"context"
@@ -20,7 +20,7 @@
 	"hawthornfield.org/hawthornfield/internal/core/ident"
 	"hawthornfield.org/hawthornfield/internal/core/kinds"
 	"hawthornfield.org/hawthornfield/internal/core/wire"
-	"hawthornfield.org/hawthornfield/internal/edge/keeper"
+	"hawthornfield.org/hawthornfield/internal/edge/leases"
 	"hawthornfield.org/hawthornfield/internal/edge/state"
 	"hawthornfield.org/hawthornfield/internal/owner/place"
 	"hawthornfield.org/hawthornfield/internal/owner/table"
@@ -45,24 +45,24 @@
 	Send(to ident.VM, body []byte)
 }
 
-// Seats are what carries moves out, as *keeper.Keeper does. Pair names the VMs
+// Lessors are what carries moves out, as *keeper.Keeper does. Pair names the VMs
 // that should hold a seat and be its deputy.
-type Seats interface {
+type Lessors interface {
 	Move(svc ident.Service, from ident.Server, moves []table.Move)
-	Pair(svc ident.Service, srv ident.Server) keeper.Pair
+	Pair(svc ident.Service, srv ident.Server) leases.Pair
 }
 
-// Hands are what a mover plans with.
-type Hands struct {
-	Seats Seats
-	Peers Sender
-	// Takes says whether a server may be given keys.
-	Takes func(ident.Server) bool
+// Deps are what a mover plans with.
+type Deps struct {
+	Lessors Lessors
+	Peers   Sender
+	// Accepting says whether a server may be given keys.
+	Accepting func(ident.Server) bool
 }
 
-// Mover counts and plans. Make one with New; it is a record.Sink.
-type Mover struct {
-	Hands
+// Rebalancer counts and plans. Make one with New; it is a record.Sink.
+type Rebalancer struct {
+	Deps
 	vm    ident.VM
 	log   *slog.Logger
 	group group.Group
@@ -89,11 +89,11 @@
 
 // New makes a mover that counts; Start begins to plan. A nil log uses
 // [slog.Default].
-func New(vm ident.VM, st *state.State, log *slog.Logger) *Mover {
+func New(vm ident.VM, st *state.State, log *slog.Logger) *Rebalancer {
 	if log == nil {
 		log = slog.Default()
 	}
-	m := &Mover{vm: vm, log: log, books: map[ident.Service]*book{}}
+	m := &Rebalancer{vm: vm, log: log, books: map[ident.Service]*book{}}
 	for name, svc := range st.Services() {
 		if svc.Divided() {
 			m.books[name] = &book{svc: svc, own: newCounts(svc.Slices), parts: map[ident.VM]part{}}
@@ -103,25 +103,25 @@
 }
 
 // Start begins to tell and to plan.
-func (m *Mover) Start(h Hands) {
-	m.Hands = h
+func (m *Rebalancer) Start(h Deps) {
+	m.Deps = h
 	m.group.Go(func(ctx context.Context) error { return every(ctx, tellEvery, m.tell) })
 	m.group.Go(func(ctx context.Context) error { return every(ctx, planEvery, m.plan) })
 }
 
 // Close ends planning and waits.
-func (m *Mover) Close() error { return m.group.Close() }
+func (m *Rebalancer) Close() error { return m.group.Close() }
 
 // SetVMs says which entry VMs there are.
-func (m *Mover) SetVMs(list []vmlist.VM) {
+func (m *Rebalancer) SetVMs(list []vmlist.VM) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.live = slices.DeleteFunc(slices.Clone(list), func(vm vmlist.VM) bool { return vm.State != vmlist.Live })
 }
 
-// Take counts a routed request.
-func (m *Mover) Take(d record.Decision) {
-	if d.Sort != record.Route || d.Key == "" || d.Server == "" {
+// Append counts a routed request.
+func (m *Rebalancer) Append(d record.Decision) {
+	if d.Action != record.Route || d.Key == "" || d.Server == "" {
 		return
 	}
 	m.mu.Lock()
@@ -140,7 +140,7 @@
 }
 
 // Handle takes a letter of a peer, whom its certificate names.
-func (m *Mover) Handle(from ident.VM, body []byte) error {
+func (m *Rebalancer) Handle(from ident.VM, body []byte) error {
 	var l letter
 	if err := wire.Decode(body, &l); err != nil {
 		return err
@@ -150,11 +150,11 @@
 	b, ok := m.books[l.Svc]
 	switch {
 	case !ok:
-		return kinds.New(kinds.Absent, "no such service here")
+		return kinds.New(kinds.NotFound, "no such service here")
 	case l.Load != nil && l.Load.sane(b.svc.Slices):
 		b.parts[from] = part{*l.Load, time.Now()}
 	case l.Load == nil && l.From != "" && len(l.Move) > 0 && len(l.Move) <= int(b.svc.Slices):
-		m.Seats.Move(l.Svc, l.From, l.Move)
+		m.Lessors.Move(l.Svc, l.From, l.Move)
 	default:
 		return kinds.New(kinds.Malformed, "neither a report nor moves")
 	}
@@ -162,13 +162,13 @@
 }
 
 // planner is the VM that plans for a service.
-func (m *Mover) planner(svc ident.Service) ident.VM {
-	lead, _ := keeper.Assign(svc, "", "", m.live)
+func (m *Rebalancer) planner(svc ident.Service) ident.VM {
+	lead, _ := leases.Assign(svc, "", "", m.live)
 	return lead
 }
 
 // tell sends this VM's counts to the planning VM.
-func (m *Mover) tell(context.Context) {
+func (m *Rebalancer) tell(context.Context) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for name, b := range m.books {
@@ -181,7 +181,7 @@
 	}
 }
 
-func (m *Mover) send(to ident.VM, l letter) {
+func (m *Rebalancer) send(to ident.VM, l letter) {
 	b, err := wire.Encode(l)
 	if err != nil {
 		m.log.Error("letter of the mover", "err", err)
@@ -191,7 +191,7 @@
 }
 
 // plan makes and hands out moves for the services that this VM plans.
-func (m *Mover) plan(context.Context) {
+func (m *Rebalancer) plan(context.Context) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	now := time.Now()
@@ -204,7 +204,7 @@
 			continue
 		}
 		v := b.svc.View()
-		moves := place.Plan(b.input(v.Table(), load, hot, m.Takes))
+		moves := place.Plan(b.input(v.Table(), load, hot, m.Accepting))
 		if len(moves) == 0 {
 			continue
 		}
@@ -223,7 +223,7 @@
 
 // hand gives the moves to whoever may hold the seats that they concern. A VM
 // that holds none of them ignores them.
-func (m *Mover) hand(svc *state.Service, moves []place.Move) {
+func (m *Rebalancer) hand(svc *state.Service, moves []place.Move) {
 	byServer := map[ident.Server][]table.Move{}
 	for _, mv := range moves {
 		if mv.From != "" {
@@ -235,9 +235,9 @@
 		if len(list) == 0 {
 			continue
 		}
-		m.Seats.Move(svc.Name, srv.Name, list)
-		to := m.Seats.Pair(svc.Name, srv.Name)
-		for _, vm := range []ident.VM{to.Lead, to.Deputy} {
+		m.Lessors.Move(svc.Name, srv.Name, list)
+		to := m.Lessors.Pair(svc.Name, srv.Name)
+		for _, vm := range []ident.VM{to.Leader, to.Deputy} {
 			if vm != "" && vm != m.vm {
 				m.send(vm, letter{Svc: svc.Name, From: srv.Name, Move: list})
 			}
@@ -247,7 +247,7 @@
 
 // Plan says where the keys of a server that is lost or leaves should go. It is
 // a keeper.Planner.
-func (m *Mover) Plan(svc *state.Service, tab table.Table, from ident.Server, usable []ident.Server) []table.Move {
+func (m *Rebalancer) Plan(svc *state.Service, tab table.Table, from ident.Server, usable []ident.Server) []table.Move {
 	m.mu.Lock()
 	b, ok := m.books[svc.Name]
 	var load []float64
--- a/internal/edge/mover/mover_test.go
+++ b/internal/edge/rebal/mover_test.go
@@ -1,4 +1,4 @@
-package mover
+package rebal
 
 import (
 	"fmt"
@@ -15,7 +15,7 @@
 	"hawthornfield.org/hawthornfield/internal/core/ident"
 	"hawthornfield.org/hawthornfield/internal/core/kinds"
 	"hawthornfield.org/hawthornfield/internal/core/wire"
-	"hawthornfield.org/hawthornfield/internal/edge/keeper"
+	"hawthornfield.org/hawthornfield/internal/edge/leases"
 	"hawthornfield.org/hawthornfield/internal/edge/state"
 	"hawthornfield.org/hawthornfield/internal/owner/sketch"
 	"hawthornfield.org/hawthornfield/internal/owner/table"
@@ -32,7 +32,7 @@
 }
 
 func (d *desk) Move(_ ident.Service, from ident.Server, moves []table.Move) {
-	tab, err := d.svc.View().Table().Moved(from, 0, moves...)
+	tab, err := d.svc.View().Table().WithMoves(from, 0, moves...)
 	if err != nil {
 		panic(err)
 	}
@@ -41,13 +41,13 @@
 }
 
 // Pair deals the seats to the movers of the desk's list.
-func (d *desk) Pair(svc ident.Service, srv ident.Server) keeper.Pair {
-	lead, deputy := keeper.Assign(svc, srv, "", d.list)
-	return keeper.Pair{Lead: lead, Deputy: deputy}
+func (d *desk) Pair(svc ident.Service, srv ident.Server) leases.Pair {
+	lead, deputy := leases.Assign(svc, srv, "", d.list)
+	return leases.Pair{Leader: lead, Deputy: deputy}
 }
 
 // post joins movers.
-type post map[ident.VM]*Mover
+type post map[ident.VM]*Rebalancer
 
 type mailFrom struct {
 	post
@@ -74,7 +74,7 @@
 			Servers: []config.Server{{Name: "a", Slots: 4}, {Name: "b", Slots: 4}, {Name: "c", Slots: 4}, {Name: "d", Slots: 4}},
 		}})
 		svc, _ := st.Service("lookup")
-		tab, err := keeper.FirstTable(svc)
+		tab, err := leases.FirstTable(svc)
 		if err != nil {
 			panic(err)
 		}
@@ -84,15 +84,15 @@
 		d := &desk{svc: svc, list: list}
 		p[vm] = m
 		desks = append(desks, d)
-		m.Hands = Hands{Seats: d, Peers: mailFrom{p, vm}, Takes: func(ident.Server) bool { return true }}
+		m.Deps = Deps{Lessors: d, Peers: mailFrom{p, vm}, Accepting: func(ident.Server) bool { return true }}
 	}
 	return p, desks
 }
 
-func take(m *Mover, key string) {
+func take(m *Rebalancer, key string) {
 	k := ident.Key(key)
 	x := ident.SliceOf(k, nslices)
-	m.Take(record.Decision{Sort: record.Route, At: time.Now(), Service: "lookup", Key: k, Slice: x, Server: "a"})
+	m.Append(record.Decision{Action: record.Route, At: time.Now(), Service: "lookup", Key: k, Slice: x, Server: "a"})
 }
 
 // imbalance is the highest load of a server over the mean.
@@ -227,7 +227,7 @@
 	f.Fuzz(func(t *testing.T, b []byte) {
 		p, _ := launch("vm-1")
 		m := p["vm-1"]
-		m.Seats = nobody{}
+		m.Lessors = nobody{}
 		if m.Handle("vm-2", b) != nil {
 			return
 		}
@@ -244,4 +244,4 @@
 
 func (nobody) Move(ident.Service, ident.Server, []table.Move) {}
 
-func (nobody) Pair(ident.Service, ident.Server) keeper.Pair { return keeper.Pair{} }
+func (nobody) Pair(ident.Service, ident.Server) leases.Pair { return leases.Pair{} }
--- a/internal/edge/relay/copy.go
+++ b/internal/edge/relay/copy.go
@@ -21,7 +21,7 @@
 // the caller's did. After an error the caller's connection must be aborted by
 // panicking with http.ErrAbortHandler: a normal return would end a chunked
 // answer properly, and a part would look like the whole.
-func (a *Answer) Copy(w http.ResponseWriter) (int64, error) {
+func (a *Response) Copy(w http.ResponseWriter) (int64, error) {
 	defer a.Close()
 	h := w.Header()
 	copyAnswer(h, a.resp.Header, a.names.Ran)
@@ -38,11 +38,11 @@
 	return n, nil
 }
 
-// Hold takes in a body of up to most bytes. A body that is longer, or has a
+// Buffer takes in a body of up to most bytes. A body that is longer, or has a
 // trailer, stays to be streamed. The error says that the server broke off: the
 // caller has seen nothing of the answer yet.
-func (a *Answer) Hold(most int64) error {
-	streams := a.resp.ContentLength < 0 && !a.names.Endless // it may be a stream of news
+func (a *Response) Buffer(most int64) error {
+	streams := a.resp.ContentLength < 0 && !a.names.CloseDelimited // it may be a stream of news
 	if a.resp.ContentLength > most || streams || len(a.resp.Trailer) > 0 || a.resp.Body == http.NoBody {
 		return nil
 	}
@@ -66,7 +66,7 @@
 
 // copyTrailer sets what the server sent after the body. Names that were not
 // announced need net/http's prefix to be sent at all.
-func (a *Answer) copyTrailer(h http.Header, announced int) {
+func (a *Response) copyTrailer(h http.Header, announced int) {
 	prefix := ""
 	if len(a.resp.Trailer) != announced {
 		prefix = http.TrailerPrefix
@@ -76,7 +76,7 @@
 	}
 }
 
-func (a *Answer) copyBody(w http.ResponseWriter) (int64, error) {
+func (a *Response) copyBody(w http.ResponseWriter) (int64, error) {
 	if a.held != nil {
 		n, err := w.Write(a.held)
 		return int64(n), kinds.Wrap(kinds.Canceled, err, "write answer")
--- a/internal/edge/relay/header.go
+++ b/internal/edge/relay/header.go
@@ -20,10 +20,10 @@
 	HeaderDeadline = "Hawthorn-Deadline" // milliseconds left
 )
 
-// Names are the headers by which a platform's callers and backend servers speak of
+// Headers are the headers by which a platform's callers and backend servers speak of
 // what the system adds, and how they are read. An empty name is neither sent nor
 // read. The zero value of Names stands for the system's own, see OwnNames.
-type Names struct {
+type Headers struct {
 	ID       string // request id
 	Caller   string // who sent it
 	Key      string // key that a divided service owns
@@ -38,20 +38,20 @@
 	Refused func(status int, h http.Header) bool
 	// Load reads a server's own word on its load: requests running and waiting.
 	Load func(h http.Header) (running, waiting int, ok bool)
-	// Endless says that an answer may end with its connection. One whose connection
+	// CloseDelimited says that an answer may end with its connection. One whose connection
 	// was reset is not whole; one whose connection was closed in order is.
-	Endless bool
-	// Echoes says that every answer repeats the request's id, so that one without
+	CloseDelimited bool
+	// EchoesID says that every answer repeats the request's id, so that one without
 	// it belongs to no request.
-	Echoes bool
-	// Kept are the headers of the system's own that the caller sends and that reach
+	EchoesID bool
+	// PassThrough are the headers of the system's own that the caller sends and that reach
 	// the server as they are.
-	Kept []string
+	PassThrough []string
 }
 
-// OwnNames are the headers of the system's own interface.
-func OwnNames() Names {
-	return Names{
+// DefaultHeaders are the headers of the system's own interface.
+func DefaultHeaders() Headers {
+	return Headers{
 		ID: HeaderID, Caller: HeaderCaller, Key: HeaderKey, Service: HeaderService,
 		Slice: HeaderSlice, Fence: HeaderFence, Deadline: HeaderDeadline, Ran: kinds.HeaderRan,
 		Refused: func(status int, h http.Header) bool {
@@ -61,9 +61,9 @@
 }
 
 // own lists the headers that only the system may set.
-func (n *Names) own() []string {
+func (n *Headers) own() []string {
 	all := []string{n.ID, n.Caller, n.Key, n.Service, n.Slice, n.Fence, n.Deadline, n.Server}
-	return slices.DeleteFunc(all, func(name string) bool { return name == "" || slices.Contains(n.Kept, name) })
+	return slices.DeleteFunc(all, func(name string) bool { return name == "" || slices.Contains(n.PassThrough, name) })
 }
 
 // hop are the headers that concern one connection only, by RFC 9110, section
@@ -99,7 +99,7 @@
 // carries an idempotency key. The permit would stop the second attempt; to keep
 // it from being tried at all, the key travels under its lower-case spelling,
 // which is the same header to the server and unknown to net/http.
-func outHeader(in http.Header, names *Names, ours []string, meta *Meta) http.Header {
+func outHeader(in http.Header, names *Headers, ours []string, meta *Meta) http.Header {
 	h := make(http.Header, len(in)+len(ours))
 	for name, values := range in {
 		h[name] = values
--- a/internal/edge/relay/permit.go
+++ b/internal/edge/relay/permit.go
@@ -45,7 +45,7 @@
 	cancel context.CancelCauseFunc
 	line   *line
 	trace  httptrace.ClientTrace
-	answer Answer
+	answer Response
 
 	mu    sync.Mutex
 	first permit
--- a/internal/edge/relay/relay.go
+++ b/internal/edge/relay/relay.go
@@ -42,10 +42,10 @@
 	Idle time.Duration // idle connections are closed after this
 	// Quiet is how long a connection may have been idle and still be used for a
 	// server that does not say when it closes idle ones; zero is DefaultQuiet.
-	Quiet  time.Duration
-	Header int64 // largest header of an answer, in bytes
-	Names  Names // headers spoken; the zero value is OwnNames
-	// Open opens connections; nil means TCP. Tests hand in connections in memory.
+	Quiet   time.Duration
+	Header  int64   // largest header of an answer, in bytes
+	Headers Headers // headers spoken; the zero value is OwnNames
+	// OpenConns opens connections; nil means TCP. Tests hand in connections in memory.
 	Open func(ctx context.Context, to netip.AddrPort) (net.Conn, error)
 }
 
@@ -100,8 +100,8 @@
 	if cfg.Header <= 0 {
 		cfg.Header = DefaultHeader
 	}
-	if cfg.Names.Refused == nil {
-		cfg.Names = OwnNames()
+	if cfg.Headers.Refused == nil {
+		cfg.Headers = DefaultHeaders()
 	}
 	if cfg.Open == nil {
 		var d net.Dialer
@@ -115,7 +115,7 @@
 			return c, err
 		}
 	}
-	return &Relay{cfg: cfg, ours: cfg.Names.own(), lines: map[netip.AddrPort]*line{}}
+	return &Relay{cfg: cfg, ours: cfg.Headers.own(), lines: map[netip.AddrPort]*line{}}
 }
 
 // Close closes idle connections. Requests in flight are not touched.
@@ -137,8 +137,8 @@
 	}
 }
 
-// Open counts the open connections to a server.
-func (r *Relay) Open(to netip.AddrPort) int { return r.line(to).seats.count() }
+// OpenConns counts the open connections to a server.
+func (r *Relay) OpenConns(to netip.AddrPort) int { return r.line(to).seats.count() }
 
 func (r *Relay) line(to netip.AddrPort) *line {
 	r.mu.RLock()
@@ -205,7 +205,7 @@
 
 // set writes the headers. Their values share one array: a slice of its own for
 // each was a tenth of what the request path allocated.
-func (m *Meta) set(h http.Header, names *Names) {
+func (m *Meta) set(h http.Header, names *Headers) {
 	const most = 8 // headers below
 	all := make([]string, 0, most)
 	put := func(name, value string) {
@@ -229,32 +229,32 @@
 	}
 }
 
-// Answer is a backend server's answer whose header has arrived. Hand it to
+// Response is a backend server's answer whose header has arrived. Hand it to
 // Copy, or Close it; a connection whose answer was not read to its end is
 // closed, never used again.
-type Answer struct {
-	resp   *http.Response
-	names  *Names
-	server ident.Server
-	held   []byte // the whole body, when Hold found its end
-	cancel context.CancelCauseFunc
-	First  time.Duration // from sending to the header's arrival
+type Response struct {
+	resp      *http.Response
+	names     *Headers
+	server    ident.Server
+	held      []byte // the whole body, when Hold found its end
+	cancel    context.CancelCauseFunc
+	FirstByte time.Duration // from sending to the header's arrival
 }
 
 // Status is the answer's HTTP status.
-func (a *Answer) Status() int { return a.resp.StatusCode }
+func (a *Response) Status() int { return a.resp.StatusCode }
 
 // Length is the length of the body, -1 if it is not known.
-func (a *Answer) Length() int64 { return a.resp.ContentLength }
+func (a *Response) Length() int64 { return a.resp.ContentLength }
 
 // Server is the one that the request was meant for.
-func (a *Answer) Server() ident.Server { return a.server }
+func (a *Response) Server() ident.Server { return a.server }
 
 // Header is the answer's header as the server sent it. Treat it as read-only.
-func (a *Answer) Header() http.Header { return a.resp.Header }
+func (a *Response) Header() http.Header { return a.resp.Header }
 
 // Close abandons what was not read.
-func (a *Answer) Close() error {
+func (a *Response) Close() error {
 	a.cancel(nil)
 	return a.resp.Body.Close()
 }
@@ -273,7 +273,7 @@
 // the attempt is over, and by the caller to give it up.
 func (r *Relay) Send(
 	ctx context.Context, cancel context.CancelCauseFunc, in *http.Request, body io.Reader, to netip.AddrPort, meta *Meta,
-) (*Answer, error) {
+) (*Response, error) {
 	l := r.line(to)
 	a := &attempt{cancel: cancel, line: l}
 	a.trace.GotConn = a.gotConn
@@ -286,9 +286,9 @@
 		return nil, err
 	}
 	l.stated(resp.Header)
-	a.answer = Answer{resp: resp, names: &r.cfg.Names, server: meta.Server, cancel: cancel, First: time.Since(start)}
+	a.answer = Response{resp: resp, names: &r.cfg.Headers, server: meta.Server, cancel: cancel, FirstByte: time.Since(start)}
 	answer := &a.answer
-	if err := r.cfg.Names.check(resp, in.Method, meta.ID); err != nil {
+	if err := r.cfg.Headers.check(resp, in.Method, meta.ID); err != nil {
 		answer.Close()
 		return nil, err
 	}
@@ -304,7 +304,7 @@
 		Scheme: "http", Host: host,
 		Path: in.URL.Path, RawPath: in.URL.RawPath, RawQuery: in.URL.RawQuery, ForceQuery: in.URL.ForceQuery,
 	}
-	out.Header = outHeader(in.Header, &r.cfg.Names, r.ours, meta)
+	out.Header = outHeader(in.Header, &r.cfg.Headers, r.ours, meta)
 	if body != nil && in.ContentLength != 0 {
 		out.Body, out.ContentLength, out.Trailer = io.NopCloser(body), in.ContentLength, in.Trailer
 	}
@@ -317,9 +317,9 @@
 	case errors.Is(caller.Err(), context.Canceled) && !errors.Is(context.Cause(caller), errNoPermit):
 		return &Failure{Kind: kinds.Canceled, Sent: sent, err: err}
 	case sent:
-		return &Failure{Kind: kinds.Unknown, Sent: true, Broke: broke(caller, err), err: err}
+		return &Failure{Kind: kinds.Unknown, Sent: true, ConnClosed: broke(caller, err), err: err}
 	case caller.Err() != nil:
-		return &Failure{Kind: kinds.Late, err: err}
+		return &Failure{Kind: kinds.DeadlineMissed, err: err}
 	default:
 		return &Failure{Kind: kinds.NoServer, err: err}
 	}
@@ -340,12 +340,12 @@
 
 // Failure is an attempt without a usable answer.
 type Failure struct {
-	Kind    kinds.Kind
-	Sent    bool        // some byte of the request may have reached the server
-	Refused bool        // the server said that it ran nothing
-	Broke   bool        // the server ended the connection before it answered
-	Header  http.Header // of the answer that said so
-	err     error
+	Kind       kinds.Kind
+	Sent       bool        // some byte of the request may have reached the server
+	Refused    bool        // the server said that it ran nothing
+	ConnClosed bool        // the server ended the connection before it answered
+	Header     http.Header // of the answer that said so
+	err        error
 }
 
 // Error renders the kind and the cause.
@@ -367,9 +367,9 @@
 // the request in the answer let us see it. An answer whose end is the end of
 // its connection looks the same whole and cut off, so it cannot be passed on as
 // whole.
-func (n *Names) check(resp *http.Response, method string, id ident.Request) error {
+func (n *Headers) check(resp *http.Response, method string, id ident.Request) error {
 	got := resp.Header.Get(n.ID)
-	foreign := got != string(id) && (got != "" || n.Echoes)
+	foreign := got != string(id) && (got != "" || n.EchoesID)
 	if n.Refused(resp.StatusCode, resp.Header) && (got == "" || !foreign) {
 		return &Failure{Kind: refusedKind(resp.StatusCode), Sent: true, Refused: true, err: errRefused, Header: resp.Header}
 	}
@@ -377,7 +377,7 @@
 		return &Failure{Kind: kinds.Unknown, Sent: true, err: errOther}
 	}
 	unframed := resp.ContentLength < 0 && len(resp.TransferEncoding) == 0 && resp.Body != http.NoBody
-	if unframed && method != http.MethodHead && !n.Endless {
+	if unframed && method != http.MethodHead && !n.CloseDelimited {
 		return &Failure{Kind: kinds.Unknown, Sent: true, err: errEndless}
 	}
 	return nil
--- a/internal/edge/relay/relay_test.go
+++ b/internal/edge/relay/relay_test.go
@@ -161,7 +161,7 @@
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
 		_, err := send(ctx, r, httptest.NewRequest("GET", "/", nil), "a")
-		assert.Equal(t, kinds.Of(err), kinds.Late)
+		assert.Equal(t, kinds.Of(err), kinds.DeadlineMissed)
 		_, err = send(t.Context(), r, httptest.NewRequest("GET", "/", nil), "a")
 		assert.Equal(t, kinds.Of(err), kinds.NoServer)
 	})
@@ -268,12 +268,12 @@
 			})
 		}
 		synctest.Wait()
-		assert.Equal(t, r.Open(someone), 3)
+		assert.Equal(t, r.OpenConns(someone), 3)
 		assert.NilError(t, g.Wait())
-		assert.Equal(t, r.Open(someone), 3)
+		assert.Equal(t, r.OpenConns(someone), 3)
 		r.Limit(someone, 1)
 		synctest.Wait()
-		assert.Equal(t, r.Open(someone), 0)
+		assert.Equal(t, r.OpenConns(someone), 0)
 		assert.NilError(t, r.Close())
 		assert.NilError(t, b.group.Close())
 	})
@@ -346,7 +346,7 @@
 				_, err := send(t.Context(), r, httptest.NewRequest(method, "/x", nil), "x")
 				var fail *Failure
 				assert.Assert(t, errors.As(err, &fail))
-				assert.Assert(t, fail.Sent && fail.Broke, "%v", err)
+				assert.Assert(t, fail.Sent && fail.ConnClosed, "%v", err)
 			})
 		}
 	}
@@ -358,7 +358,7 @@
 		_, err := send(ctx, r, httptest.NewRequest("GET", "/x", nil), "x")
 		var fail *Failure
 		assert.Assert(t, errors.As(err, &fail))
-		assert.Assert(t, fail.Sent && !fail.Broke, "%v", err)
+		assert.Assert(t, fail.Sent && !fail.ConnClosed, "%v", err)
 		close(end)
 		assert.NilError(t, r.Close())
 		assert.NilError(t, b.group.Close())
--- a/internal/edge/state/state.go
+++ b/internal/edge/state/state.go
@@ -17,12 +17,12 @@
 	"hawthornfield.org/hawthornfield/internal/core/ident"
 	"hawthornfield.org/hawthornfield/internal/load/gate"
 	"hawthornfield.org/hawthornfield/internal/owner/table"
-	"hawthornfield.org/hawthornfield/internal/rules/force"
+	"hawthornfield.org/hawthornfield/internal/rules/revs"
 )
 
 // State is one entry VM's view of the system. Make one with New.
 type State struct {
-	Rules    force.Book
+	Rules    revs.Holder
 	services atomic.Pointer[map[ident.Service]*Service]
 }
 
@@ -128,14 +128,14 @@
 	s.addrs.Store(&addrs)
 }
 
-// Silent reports whether a backend server has not answered for a while.
-func (s *Service) Silent(name ident.Server) bool {
+// Unresponsive reports whether a backend server has not answered for a while.
+func (s *Service) Unresponsive(name ident.Server) bool {
 	_, silent := s.silent.Load(name)
 	return silent
 }
 
-// SetSilent notes whether a backend server answers.
-func (s *Service) SetSilent(name ident.Server, silent bool) {
+// SetUnresponsive notes whether a backend server answers.
+func (s *Service) SetUnresponsive(name ident.Server, silent bool) {
 	if silent {
 		s.silent.Store(name, struct{}{})
 		return
@@ -143,9 +143,9 @@
 	s.silent.Delete(name)
 }
 
-// Called notes one attempt at a server: whether any answer came, be it a
+// RecordAttempt notes one attempt at a server: whether any answer came, be it a
 // refusal or an error. It is a witness of the server's state.
-func (s *Service) Called(name ident.Server, answered bool) {
+func (s *Service) RecordAttempt(name ident.Server, answered bool) {
 	c, known := s.calls.Load(name)
 	switch {
 	case !known:
@@ -156,8 +156,8 @@
 	}
 }
 
-// TakeCalls returns the attempts noted since the last time.
-func (s *Service) TakeCalls(name ident.Server) (good, bad int) {
+// TakeAttempts returns the attempts noted since the last time.
+func (s *Service) TakeAttempts(name ident.Server) (good, bad int) {
 	c, known := s.calls.Load(name)
 	if !known {
 		return 0, 0
@@ -169,8 +169,8 @@
 // change. The zero value knows no owner.
 type Owners struct {
 	view   atomic.Pointer[table.View]
-	finder atomic.Pointer[Finder]                 // takes the place of view when set
-	stands atomic.Pointer[map[ident.Server]Stand] // nil: no server stands by
+	finder atomic.Pointer[Finder]                   // takes the place of view when set
+	stands atomic.Pointer[map[ident.Server]Standby] // nil: no server stands by
 
 	mu      sync.Mutex
 	changed chan struct{}
@@ -198,30 +198,30 @@
 	return nil
 }
 
-// Stand says that another server has a lost one's keys, as its seat told under
+// Standby says that another server has a lost one's keys, as its seat told under
 // an epoch; N orders what was told under one.
-type Stand struct {
+type Standby struct {
 	Epoch ident.Epoch
-	N     uint16
+	Seq   uint16
 	To    ident.Server // empty: none has
 }
 
 // newer reports whether s was told after t.
-func (s Stand) newer(t Stand) bool {
-	return s.Epoch > t.Epoch || s.Epoch == t.Epoch && s.N > t.N
+func (s Standby) newer(t Standby) bool {
+	return s.Epoch > t.Epoch || s.Epoch == t.Epoch && s.Seq > t.Seq
 }
 
-// SetStand notes who stands by for a server, and wakes those who wait for a
+// SetStandby notes who stands by for a server, and wakes those who wait for a
 // change. It holds until the seat says otherwise, or the table names a later
 // epoch of it: then somebody else answers for its keys.
-func (o *Owners) SetStand(lost ident.Server, s Stand) {
+func (o *Owners) SetStandby(lost ident.Server, s Standby) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	old := o.stands.Load()
 	if old != nil && !s.newer((*old)[lost]) {
 		return
 	}
-	next := map[ident.Server]Stand{lost: s}
+	next := map[ident.Server]Standby{lost: s}
 	if old != nil {
 		next = maps.Clone(*old)
 		next[lost] = s
@@ -261,9 +261,9 @@
 }
 
 // Place is where a key is served, as the gate asks for it.
-func (o *Owners) Place(k ident.Key) (gate.Place, bool) {
+func (o *Owners) Place(k ident.Key) (gate.Owner, bool) {
 	owner, ok := o.Owner(k)
-	return gate.Place{Server: owner.Server, Slice: owner.Slice, Epoch: owner.Epoch}, ok
+	return gate.Owner{Server: owner.Server, Slice: owner.Slice, Epoch: owner.Epoch}, ok
 }
 
 // SetView puts a newer table in place and wakes those who wait for a change.
--- a/internal/edge/news/accept.go
+++ b/internal/edge/syncer/accept.go
@@ -1,4 +1,4 @@
-package news
+package syncer
 
 import (
 	"context"
@@ -19,7 +19,7 @@
 
 // HandleConfirm takes what a peer holds, or knows to be accepted. Kind Malformed
 // means that it made no sense; it changed nothing.
-func (n *News) HandleConfirm(from ident.VM, body []byte) error {
+func (n *Syncer) HandleConfirm(from ident.VM, body []byte) error {
 	var c confirm
 	if err := wire.Decode(body, &c); err != nil {
 		return err
@@ -37,7 +37,7 @@
 
 // runQuorum carries out what rules/quorum decides. Calls of the store run on
 // their own and answer with a message.
-func (n *News) runQuorum(_ context.Context, cmd loop.Cmd, send func(loop.Msg)) {
+func (n *Syncer) runQuorum(_ context.Context, cmd loop.Cmd, send func(loop.Msg)) {
 	switch cmd := cmd.(type) {
 	case quorum.ConfirmCmd:
 		n.tell(cmd.To, confirm{Rev: cmd.Rev})
@@ -50,7 +50,7 @@
 	}
 }
 
-func (n *News) call(do func(context.Context)) {
+func (n *Syncer) call(do func(context.Context)) {
 	n.effect.Go(func(ctx context.Context) error {
 		ctx, cancel := context.WithTimeout(ctx, n.Timeout)
 		defer cancel()
@@ -59,7 +59,7 @@
 	})
 }
 
-func (n *News) tell(to ident.VM, c confirm) {
+func (n *Syncer) tell(to ident.VM, c confirm) {
 	if n.Confirm == nil {
 		return
 	}
@@ -71,7 +71,7 @@
 	n.Confirm.Send(to, body)
 }
 
-func (n *News) readHeld(ctx context.Context) quorum.RecordMsg {
+func (n *Syncer) readHeld(ctx context.Context) quorum.RecordMsg {
 	o, err := n.Store.Get(ctx, quorum.Object)
 	if err != nil {
 		return quorum.RecordMsg{Kind: kinds.Of(err)}
@@ -83,13 +83,13 @@
 	return quorum.RecordMsg{Record: rec, Version: o.Version, Kind: kinds.Of(err)}
 }
 
-func (n *News) writeHeld(ctx context.Context, cmd quorum.WriteCmd) quorum.WroteMsg {
+func (n *Syncer) writeHeld(ctx context.Context, cmd quorum.WriteCmd) quorum.WroteMsg {
 	raw, err := cmd.Record.Encode()
 	if err == nil {
 		_, err = n.Store.Put(ctx, quorum.Object, raw, cmd.Old)
 	}
 	if err == nil {
-		n.Log.Info("rules accepted", "rev", cmd.Record.Rev, "have", cmd.Record.Have, "live", cmd.Record.Live)
+		n.Log.Info("rules accepted", "rev", cmd.Record.Rev, "have", cmd.Record.Confirmed, "live", cmd.Record.Live)
 	}
 	return quorum.WroteMsg{Record: cmd.Record, Kind: kinds.Of(err)}
 }
--- a/internal/edge/news/news.go
+++ b/internal/edge/syncer/news.go
@@ -1,4 +1,4 @@
-// Package news keeps one entry VM's rules and tables up to date, and those of
+// Package syncer keeps one entry VM's rules and tables up to date, and those of
 // its peers: it carries out what node/gossip and rules/force decide, over the
 // store and the exchange between entry VMs.
 //
@@ -6,7 +6,7 @@
 // as a call of the object API, and its rates grow more slowly than the fleet.
 // While the store is down, a VM that starts anew gets its rules and tables from
 // peers, verified by digest.
-package news
+package syncer
 
 import (
 	"context"
@@ -18,12 +18,12 @@
 	"hawthornfield.org/hawthornfield/internal/core/group"
 	"hawthornfield.org/hawthornfield/internal/core/ident"
 	"hawthornfield.org/hawthornfield/internal/core/loop"
-	"hawthornfield.org/hawthornfield/internal/edge/keeper"
+	"hawthornfield.org/hawthornfield/internal/edge/leases"
 	"hawthornfield.org/hawthornfield/internal/node/gossip"
 	"hawthornfield.org/hawthornfield/internal/owner/table"
 	"hawthornfield.org/hawthornfield/internal/plat/object"
-	"hawthornfield.org/hawthornfield/internal/rules/force"
 	"hawthornfield.org/hawthornfield/internal/rules/quorum"
+	"hawthornfield.org/hawthornfield/internal/rules/revs"
 )
 
 const tablePrefix = "table/"
@@ -40,20 +40,20 @@
 // Options are what the exchange needs. Self, Store, Book and Peers are
 // required.
 type Options struct {
-	Self    gossip.Peer
-	Store   object.Store
-	Book    *force.Book
-	Peers   Sender
-	Tables  func(table.Table, object.Version) // told of each table; version zero from a peer
-	Loads   func([]gossip.Row)                // told of loads that peers read
-	Lends   func(keeper.Lend)                 // told of servers that stand by
-	Confirm Sender                            // carries what rules/quorum tells other VMs; nil: nobody is told
-	Timeout time.Duration                     // of one store call, watches apart
-	Log     *slog.Logger
+	Self     gossip.Peer
+	Store    object.Store
+	Book     *revs.Holder
+	Peers    Sender
+	Tables   func(table.Table, object.Version) // told of each table; version zero from a peer
+	Loads    func([]gossip.LoadRow)            // told of loads that peers read
+	Standbys func(leases.Standby)              // told of servers that stand by
+	Confirm  Sender                            // carries what rules/quorum tells other VMs; nil: nobody is told
+	Timeout  time.Duration                     // of one store call, watches apart
+	Log      *slog.Logger
 }
 
-// News is one VM's end of the exchange. Make one with New.
-type News struct {
+// Syncer is one VM's end of the exchange. Make one with New.
+type Syncer struct {
 	Options
 	group  group.Group
 	effect group.Group
@@ -71,16 +71,16 @@
 }
 
 // New joins the exchange.
-func New(o Options) *News {
+func New(o Options) *Syncer {
 	if o.Log == nil {
 		o.Log = slog.Default()
 	}
 	if o.Timeout <= 0 {
 		o.Timeout = 2 * time.Second
 	}
-	n := &News{Options: o}
+	n := &Syncer{Options: o}
 	n.watchers = &follower{n: n}
-	n.rules = loop.New(force.Model{}, loop.RunnerFunc(n.runRules))
+	n.rules = loop.New(revs.Model{}, loop.RunnerFunc(n.runRules))
 	n.gossip = loop.New(gossip.New(time.Now(), o.Self), loop.RunnerFunc(n.runGossip))
 	n.quorum = loop.New(quorum.New(o.Self.VM), loop.RunnerFunc(n.runQuorum))
 	n.group.Go(n.tickRules)
@@ -90,7 +90,7 @@
 }
 
 // Close leaves the exchange and waits.
-func (n *News) Close() error {
+func (n *Syncer) Close() error {
 	err := n.group.Close()
 	for _, c := range []interface{ Close() error }{n.gossip, n.rules, n.quorum, n.watchers, &n.effect} {
 		if e := c.Close(); err == nil {
@@ -101,33 +101,33 @@
 }
 
 // SetPeers says which VMs take part, this one included.
-func (n *News) SetPeers(live []gossip.Peer) {
+func (n *Syncer) SetPeers(live []gossip.Peer) {
 	n.gossip.Send(gossip.PeersMsg{Live: live})
 	n.quorum.Send(quorum.PeersMsg{Order: gossip.WatchOrder(live)})
 }
 
 // Report passes on loads of backend servers that this VM read itself.
-func (n *News) Report(rows []gossip.Row) { n.gossip.Send(gossip.ReportMsg{Rows: rows}) }
+func (n *Syncer) Report(rows []gossip.LoadRow) { n.gossip.Send(gossip.ReportMsg{Rows: rows}) }
 
-// Say tells the other VMs whom this one holds to look frozen or odd, in place of
+// PublishView tells the other VMs whom this one holds to look frozen or odd, in place of
 // what it said before.
-func (n *News) Say(msg gossip.SayMsg) { n.gossip.Send(msg) }
+func (n *Syncer) PublishView(msg gossip.ViewMsg) { n.gossip.Send(msg) }
 
 // OnViews says who is told what the other VMs say.
-func (n *News) OnViews(f func(gossip.ViewsCmd)) { n.views.Store(&f) }
+func (n *Syncer) OnViews(f func(gossip.ViewsCmd)) { n.views.Store(&f) }
 
 // OnList says who reads the platform's list of VMs when it is time to.
-func (n *News) OnList(f func()) { n.read.Store(&f) }
+func (n *Syncer) OnList(f func()) { n.read.Store(&f) }
 
 // Listed tells what this VM read of that list, and when it asked.
-func (n *News) Listed(msg gossip.ListedMsg) { n.gossip.Send(msg) }
+func (n *Syncer) Listed(msg gossip.ListReadMsg) { n.gossip.Send(msg) }
 
 // Watching reports whether this VM watches the store for the others.
-func (n *News) Watching() bool { return n.watching.Load() }
+func (n *Syncer) Watching() bool { return n.watching.Load() }
 
 // Handle takes a packet of a peer, whom its certificate names. Kind Malformed
 // means that it made no sense; it changed nothing.
-func (n *News) Handle(from ident.VM, body []byte) error {
+func (n *Syncer) Handle(from ident.VM, body []byte) error {
 	p, err := gossip.DecodePacket(body)
 	if err != nil {
 		return err
@@ -137,22 +137,22 @@
 }
 
 // runGossip carries out what node/gossip decides.
-func (n *News) runGossip(_ context.Context, cmd loop.Cmd, _ func(loop.Msg)) {
+func (n *Syncer) runGossip(_ context.Context, cmd loop.Cmd, _ func(loop.Msg)) {
 	switch cmd := cmd.(type) {
 	case gossip.SendCmd:
 		n.post(cmd)
 	case gossip.HeadCmd:
-		if cmd.Head.Name == force.Current {
-			n.Book.Hear(cmd.Head.Rev)
-			n.rules.Send(force.HeardMsg{From: cmd.From, Rev: cmd.Head.Rev, Sum: cmd.Head.Sum})
+		if cmd.Head.Name == revs.Current {
+			n.Book.NoteRevision(cmd.Head.Rev)
+			n.rules.Send(revs.HeardMsg{From: cmd.From, Rev: cmd.Head.Rev, Sum: cmd.Head.Sum})
 		}
 	case gossip.ValueCmd:
 		n.value(cmd)
 	case gossip.WatchCmd:
 		n.watching.Store(cmd.On)
 		n.watchers.set(cmd.On)
-	case gossip.SightCmd:
-		n.rules.Send(force.SightMsg{Store: cmd.Store, Live: cmd.Live, Heard: cmd.Heard, At: cmd.At})
+	case gossip.ContactCmd:
+		n.rules.Send(revs.ContactMsg{Store: cmd.Store, Live: cmd.Live, Heard: cmd.Heard, At: cmd.At})
 	case gossip.ViewsCmd:
 		if tell := n.views.Load(); tell != nil {
 			(*tell)(cmd)
@@ -168,14 +168,14 @@
 	}
 }
 
-func (n *News) post(cmd gossip.SendCmd) {
+func (n *Syncer) post(cmd gossip.SendCmd) {
 	b, err := cmd.Packet.Encode()
 	if err != nil {
 		n.Log.Error("peer packet", "err", err)
 		return
 	}
 	p := cmd.Packet
-	if p.Pulse != nil || p.Ack != nil || p.Probe != nil || p.News != nil {
+	if p.Heartbeat != nil || p.Ack != nil || p.Probe != nil || p.News != nil {
 		n.Peers.Cast(cmd.To, b)
 		return
 	}
@@ -184,11 +184,11 @@
 
 // value takes what a peer brought. What came from the store was handed on when
 // it was read.
-func (n *News) value(cmd gossip.ValueCmd) {
+func (n *Syncer) value(cmd gossip.ValueCmd) {
 	switch {
 	case cmd.From == "":
-	case cmd.Head.Name == force.Current:
-		n.rules.Send(force.LoadedMsg{From: cmd.From, Raw: cmd.Raw})
+	case cmd.Head.Name == revs.Current:
+		n.rules.Send(revs.LoadedMsg{From: cmd.From, Raw: cmd.Raw})
 	case strings.HasPrefix(cmd.Head.Name, tablePrefix):
 		tab, err := decode(cmd.Head.Name, cmd.Raw)
 		if err != nil {
@@ -201,25 +201,25 @@
 	}
 }
 
-func (n *News) tables(tab table.Table, ver object.Version) {
+func (n *Syncer) tables(tab table.Table, ver object.Version) {
 	if n.Tables != nil {
 		n.Tables(tab, ver)
 	}
 }
 
 // runRules carries out what rules/force decides.
-func (n *News) runRules(ctx context.Context, cmd loop.Cmd, _ func(loop.Msg)) {
+func (n *Syncer) runRules(ctx context.Context, cmd loop.Cmd, _ func(loop.Msg)) {
 	switch cmd := cmd.(type) {
-	case force.ApplyCmd:
+	case revs.ApplyCmd:
 		n.Book.Apply(cmd.Snap)
-		n.quorum.Send(quorum.HoldMsg{Rev: cmd.Snap.Rev})
+		n.quorum.Send(quorum.AppliedMsg{Rev: cmd.Snap.Rev})
 		n.Log.Info("rules in force", "rev", cmd.Snap.Rev, "author", cmd.Snap.Author)
-	case force.ServeCmd:
+	case revs.ServeCmd:
 		n.Book.SetState(cmd.State)
 		n.Log.Info("answering requests", "state", cmd.State.String())
-	case force.AlarmCmd:
+	case revs.AlarmCmd:
 		n.Log.Error("rules", "from", cmd.From, "rev", cmd.Rev, "err", cmd.Err)
-	case force.FetchCmd:
+	case revs.FetchCmd:
 		if cmd.From != "" {
 			return // node/gossip asks peers by itself
 		}
@@ -234,19 +234,19 @@
 // tickRules is the period of rules/force.
 const tickRules = 250 * time.Millisecond
 
-func (n *News) tickRules(ctx context.Context) error {
+func (n *Syncer) tickRules(ctx context.Context) error {
 	for ctx.Err() == nil {
-		n.rules.Send(force.TickMsg{})
+		n.rules.Send(revs.TickMsg{})
 		n.quorum.Send(quorum.TickMsg{})
 		group.Sleep(ctx, tickRules)
 	}
 	return nil
 }
 
-func (n *News) tickGossip(ctx context.Context) error {
+func (n *Syncer) tickGossip(ctx context.Context) error {
 	for ctx.Err() == nil {
 		n.gossip.Send(gossip.TickMsg{})
-		group.Sleep(ctx, gossip.Tick)
+		group.Sleep(ctx, gossip.TickInterval)
 	}
 	return nil
 }
--- a/internal/edge/news/news_test.go
+++ b/internal/edge/syncer/news_test.go
@@ -1,4 +1,4 @@
-package news
+package syncer
 
 import (
 	"context"
@@ -16,8 +16,8 @@
 	"hawthornfield.org/hawthornfield/internal/fake/objmem"
 	"hawthornfield.org/hawthornfield/internal/node/gossip"
 	"hawthornfield.org/hawthornfield/internal/plat/object"
-	"hawthornfield.org/hawthornfield/internal/rules/force"
 	"hawthornfield.org/hawthornfield/internal/rules/match"
+	"hawthornfield.org/hawthornfield/internal/rules/revs"
 	"hawthornfield.org/hawthornfield/internal/rules/save"
 )
 
@@ -35,7 +35,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.down {
-		return object.Object{}, kinds.New(kinds.Down, "outage")
+		return object.Object{}, kinds.New(kinds.Unavailable, "outage")
 	}
 	s.last = asked
 	return s.Store.Get(ctx, name)
@@ -55,23 +55,23 @@
 		s := &sluggish{Store: objmem.New()}
 		f, err := match.Parse([]byte("[[rule]]\nname = \"a\"\nwhen = { path = \"/a\" }\nthen = { service = \"lookup\" }\n"))
 		assert.NilError(t, err)
-		_, err = save.Save(t.Context(), s.Store, func(cur *force.Record) (*force.Record, error) {
-			return force.Replace(cur, force.Edit{Author: "test", Token: "t", At: time.Now()}, f.Rules)
+		_, err = save.Save(t.Context(), s.Store, func(cur *revs.Record) (*revs.Record, error) {
+			return revs.Replace(cur, revs.Edit{Author: "test", Token: "t", At: time.Now()}, f.Rules)
 		})
 		assert.NilError(t, err)
-		book := &force.Book{}
+		book := &revs.Holder{}
 		n := New(Options{
 			Self: gossip.Peer{VM: "vm-1"}, Store: s, Book: book, Peers: nobody{}, Log: slog.New(slog.DiscardHandler),
 		})
 		n.SetPeers([]gossip.Peer{{VM: "vm-1"}, {VM: "vm-2"}, {VM: "vm-3"}})
 		time.Sleep(10 * time.Second)
-		assert.Equal(t, book.State(), force.Serve)
+		assert.Equal(t, book.State(), revs.Serve)
 		s.mu.Lock()
 		s.down = true
 		last := s.last
 		s.mu.Unlock()
-		time.Sleep(time.Until(last.Add(force.DefaultLimits.Alone + tickRules + 50*time.Millisecond)))
-		assert.Assert(t, book.State() != force.Serve, "still serving by old news")
+		time.Sleep(time.Until(last.Add(revs.DefaultLimits.Isolated + tickRules + 50*time.Millisecond)))
+		assert.Assert(t, book.State() != revs.Serve, "still serving by old news")
 		assert.NilError(t, n.Close())
 	})
 }
--- a/internal/edge/news/store.go
+++ b/internal/edge/syncer/store.go
@@ -1,4 +1,4 @@
-package news
+package syncer
 
 import (
 	"context"
@@ -11,7 +11,7 @@
 	"hawthornfield.org/hawthornfield/internal/node/gossip"
 	"hawthornfield.org/hawthornfield/internal/owner/table"
 	"hawthornfield.org/hawthornfield/internal/plat/object"
-	"hawthornfield.org/hawthornfield/internal/rules/force"
+	"hawthornfield.org/hawthornfield/internal/rules/revs"
 )
 
 // Pauses of following the store.
@@ -23,7 +23,7 @@
 
 // probes proves, on a VM that watches, that the store answers: a watch that
 // waits in silence proves nothing.
-func (n *News) probes(ctx context.Context) error {
+func (n *Syncer) probes(ctx context.Context) error {
 	for ctx.Err() == nil {
 		if n.watching.Load() {
 			n.probe(ctx)
@@ -33,35 +33,35 @@
 	return nil
 }
 
-func (n *News) probe(ctx context.Context) {
+func (n *Syncer) probe(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, n.Timeout)
 	defer cancel()
 	asked := time.Now() // the answer says nothing of what came after
-	o, err := n.Store.Get(ctx, force.Current)
+	o, err := n.Store.Get(ctx, revs.Current)
 	switch kinds.Of(err) {
 	case kinds.None:
 		n.onRules(o)
 		n.gossip.Send(gossip.StoreMsg{Asked: asked})
-	case kinds.Absent:
+	case kinds.NotFound:
 		n.gossip.Send(gossip.StoreMsg{Asked: asked})
 	}
 }
 
 // onRules takes the rules as read from the store. The same version is handed on
 // once: most reads only prove that the store answers.
-func (n *News) onRules(o object.Object) {
-	if o.Name != force.Current || n.seen.Swap(uint64(o.Version)) == uint64(o.Version) {
+func (n *Syncer) onRules(o object.Object) {
+	if o.Name != revs.Current || n.seen.Swap(uint64(o.Version)) == uint64(o.Version) {
 		return
 	}
-	n.rules.Send(force.LoadedMsg{Raw: o.Value})
-	rec, err := force.Decode(o.Value)
+	n.rules.Send(revs.LoadedMsg{Raw: o.Value})
+	rec, err := revs.Decode(o.Value)
 	if err != nil {
 		return // rules/force reports it
 	}
 	n.gossip.Send(gossip.ValueMsg{Name: o.Name, Rev: rec.Rev, Raw: o.Value})
 }
 
-func (n *News) onTable(o object.Object) {
+func (n *Syncer) onTable(o object.Object) {
 	tab, err := decode(o.Name, o.Value)
 	if err != nil {
 		n.Log.Error("ownership table", "name", o.Name, "err", err)
@@ -71,8 +71,8 @@
 	n.gossip.Send(gossip.ValueMsg{Name: o.Name, Rev: tab.Rev, Raw: o.Value})
 }
 
-// Wrote passes on a table that this VM wrote itself, or read.
-func (n *News) Wrote(tab table.Table) {
+// PublishTable passes on a table that this VM wrote itself, or read.
+func (n *Syncer) PublishTable(tab table.Table) {
 	raw, err := tab.Encode()
 	if err != nil {
 		n.Log.Error("ownership table", "service", tab.Service, "err", err)
@@ -81,10 +81,10 @@
 	n.gossip.Send(gossip.ValueMsg{Name: tablePrefix + string(tab.Service), Rev: tab.Rev, Raw: raw})
 }
 
-// Tell lets VMs hear of a revision of a table as soon as this VM holds it. The
+// Notify lets VMs hear of a revision of a table as soon as this VM holds it. The
 // others hear of it by the trees.
-func (n *News) Tell(svc ident.Service, rev ident.Revision, to []ident.VM) {
-	n.gossip.Send(gossip.TellMsg{Name: tablePrefix + string(svc), Rev: rev, To: to})
+func (n *Syncer) Notify(svc ident.Service, rev ident.Revision, to []ident.VM) {
+	n.gossip.Send(gossip.NotifyMsg{Name: tablePrefix + string(svc), Rev: rev, To: to})
 }
 
 // decode reads a table and checks that it stands under its own name: a table in
@@ -99,7 +99,7 @@
 
 // follower watches the store while it is switched on.
 type follower struct {
-	n *News
+	n *Syncer
 
 	mu   sync.Mutex
 	on   *group.Group
@@ -120,7 +120,7 @@
 		return
 	}
 	f.on = &group.Group{}
-	f.on.Go(func(ctx context.Context) error { return f.n.watch(ctx, force.Current, f.n.onRules) })
+	f.on.Go(func(ctx context.Context) error { return f.n.watch(ctx, revs.Current, f.n.onRules) })
 	f.on.Go(func(ctx context.Context) error { return f.n.watch(ctx, tablePrefix, f.n.onTable) })
 }
 
@@ -137,7 +137,7 @@
 }
 
 // watch follows the objects under a prefix through outages of the store.
-func (n *News) watch(ctx context.Context, prefix string, news func(object.Object)) error {
+func (n *Syncer) watch(ctx context.Context, prefix string, news func(object.Object)) error {
 	var at object.Cursor
 	listed, pause := false, firstPause
 	for ctx.Err() == nil {
@@ -151,7 +151,7 @@
 		case err == nil:
 			listed, pause = true, firstPause
 			continue
-		case kinds.Of(err) == kinds.Absent:
+		case kinds.Of(err) == kinds.NotFound:
 			listed = false // the cursor is too old
 		}
 		group.Sleep(ctx, pause)
@@ -160,7 +160,7 @@
 	return nil
 }
 
-func (n *News) list(ctx context.Context, prefix string, news func(object.Object)) (object.Cursor, error) {
+func (n *Syncer) list(ctx context.Context, prefix string, news func(object.Object)) (object.Cursor, error) {
 	ctx, cancel := context.WithTimeout(ctx, n.Timeout)
 	defer cancel()
 	all, at, err := n.Store.List(ctx, prefix)
@@ -173,7 +173,7 @@
 	return at, nil
 }
 
-func (n *News) follow(ctx context.Context, prefix string, at object.Cursor, news func(object.Object)) (object.Cursor, error) {
+func (n *Syncer) follow(ctx context.Context, prefix string, at object.Cursor, news func(object.Object)) (object.Cursor, error) {
 	changes, next, err := n.Store.Watch(ctx, prefix, at)
 	if err != nil {
 		return at, err
--- a/internal/fake/objapi/objapi.go
+++ b/internal/fake/objapi/objapi.go
@@ -69,13 +69,13 @@
 // SetVM adds or changes a row of the VM list.
 func (a *API) SetVM(vm vmlist.VM) { a.mem.setVM(vm) }
 
-// Keep remembers every value that an object is given from now on, with the moment
+// RecordHistory remembers every value that an object is given from now on, with the moment
 // of each write. A checker reads there in which order the store decided, which
 // the writers themselves learn late, or never when an answer is lost.
-func (a *API) Keep(name string) { a.mem.keep(name) }
+func (a *API) RecordHistory(name string) { a.mem.keep(name) }
 
-// Kept returns the values that were written since Keep, in their order.
-func (a *API) Kept(name string) []Written { return a.mem.written(name) }
+// History returns the values that were written since Keep, in their order.
+func (a *API) History(name string) []Written { return a.mem.written(name) }
 
 func (a *API) serve(w http.ResponseWriter, r *http.Request) {
 	down, delay, _ := a.state()
@@ -123,7 +123,7 @@
 // as what is known (RFC 9110, 13.1.2).
 func unchanged(w http.ResponseWriter, r *http.Request, tag string) bool {
 	tag = strconv.Quote(tag)
-	w.Header().Set(call.HeaderTag, tag)
+	w.Header().Set(call.HeaderETag, tag)
 	if r.Header.Get(call.HeaderIfNone) != tag {
 		return false
 	}
--- a/internal/fake/objapi/store.go
+++ b/internal/fake/objapi/store.go
@@ -69,7 +69,7 @@
 	defer m.mu.Unlock()
 	o, ok := m.objects[name]
 	if !ok {
-		return o, kinds.New(kinds.Absent, name)
+		return o, kinds.New(kinds.NotFound, name)
 	}
 	return o, nil
 }
@@ -80,7 +80,7 @@
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if old != object.Any && m.objects[name].Version != old {
+	if old != object.AnyVersion && m.objects[name].Version != old {
 		return 0, kinds.New(kinds.Conflict, name)
 	}
 	m.last++
@@ -99,9 +99,9 @@
 	defer m.mu.Unlock()
 	o, ok := m.objects[name]
 	if !ok {
-		return kinds.New(kinds.Absent, name)
+		return kinds.New(kinds.NotFound, name)
 	}
-	if old != object.Any && o.Version != old {
+	if old != object.AnyVersion && o.Version != old {
 		return kinds.New(kinds.Conflict, name)
 	}
 	m.last++
@@ -141,7 +141,7 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if after < m.dropped {
-		return nil, 0, nil, kinds.New(kinds.Absent, "cursor too old")
+		return nil, 0, nil, kinds.New(kinds.NotFound, "cursor too old")
 	}
 	var found []object.Change
 	for _, c := range m.log {
--- a/internal/fake/objmem/objmem.go
+++ b/internal/fake/objmem/objmem.go
@@ -29,10 +29,10 @@
 
 // Fault is what happens to one call. The zero value is a call that works.
 type Fault struct {
-	Delay time.Duration // before the call takes effect
-	Down  bool          // refused, without effect
-	Lose  bool          // a write takes effect and is answered with Ambiguous
-	Blank bool          // a write has no effect and is answered with Ambiguous
+	Delay      time.Duration // before the call takes effect
+	Down       bool          // refused, without effect
+	LoseAnswer bool          // a write takes effect and is answered with Ambiguous
+	LoseWrite  bool          // a write has no effect and is answered with Ambiguous
 }
 
 // Usage counts what callers asked for.
@@ -104,7 +104,7 @@
 		}
 	}
 	if f.Down {
-		return f, kinds.New(kinds.Down, string(op)+" "+name)
+		return f, kinds.New(kinds.Unavailable, string(op)+" "+name)
 	}
 	return f, nil
 }
@@ -118,7 +118,7 @@
 	defer s.mu.Unlock()
 	o, ok := s.objects[name]
 	if !ok {
-		return o, kinds.New(kinds.Absent, name)
+		return o, kinds.New(kinds.NotFound, name)
 	}
 	s.usage.Out += uint64(len(o.Value))
 	return o, nil
@@ -130,11 +130,11 @@
 	if err != nil {
 		return 0, err
 	}
-	if f.Blank {
+	if f.LoseWrite {
 		return 0, kinds.New(kinds.Ambiguous, "put "+name)
 	}
 	v, err := s.put(name, value, old)
-	if f.Lose {
+	if f.LoseAnswer {
 		return 0, kinds.New(kinds.Ambiguous, "put "+name)
 	}
 	return v, err
@@ -148,7 +148,7 @@
 		return 0, kinds.New(kinds.TooLarge, name)
 	}
 	now := s.objects[name]
-	if old != object.Any && now.Version != old {
+	if old != object.AnyVersion && now.Version != old {
 		return 0, kinds.New(kinds.Conflict, name)
 	}
 	o := object.Object{Name: name, Version: now.Version + 1, Value: slices.Clone(value)}
@@ -168,16 +168,16 @@
 	defer s.mu.Unlock()
 	o, ok := s.objects[name]
 	switch {
-	case f.Blank:
+	case f.LoseWrite:
 		return kinds.New(kinds.Ambiguous, "delete "+name)
 	case !ok:
-		return kinds.New(kinds.Absent, name)
-	case old != object.Any && o.Version != old:
+		return kinds.New(kinds.NotFound, name)
+	case old != object.AnyVersion && o.Version != old:
 		return kinds.New(kinds.Conflict, name)
 	}
 	delete(s.objects, name)
 	s.note(object.Object{Name: name})
-	if f.Lose {
+	if f.LoseAnswer {
 		return kinds.New(kinds.Ambiguous, "delete "+name)
 	}
 	return nil
@@ -220,7 +220,7 @@
 		select {
 		case <-wake:
 		case <-ctx.Done():
-			return nil, after, kinds.Wrap(kinds.Down, ctx.Err(), "watch "+prefix)
+			return nil, after, kinds.Wrap(kinds.Unavailable, ctx.Err(), "watch "+prefix)
 		}
 	}
 }
--- a/internal/fake/origin/control.go
+++ b/internal/fake/origin/control.go
@@ -18,8 +18,8 @@
 	mux.HandleFunc("GET "+srvcli.PathRead, func(w http.ResponseWriter, r *http.Request) {
 		o.answer(w, r, o.ReadSeat(cmp.Or(ident.Server(r.FormValue("seat")), o.Server)))
 	})
-	mux.HandleFunc("GET "+srvcli.PathWord, func(w http.ResponseWriter, r *http.Request) {
-		o.answer(w, r, o.Word())
+	mux.HandleFunc("GET "+srvcli.PathStatus, func(w http.ResponseWriter, r *http.Request) {
+		o.answer(w, r, o.Status())
 	})
 	mux.HandleFunc("POST "+srvcli.PathDrain, func(w http.ResponseWriter, r *http.Request) {
 		o.Drain()
@@ -48,7 +48,7 @@
 	defer o.mu.Unlock()
 	why := o.admit(order)
 	if why == "" {
-		why = o.seat(order.Seat).grant(order, o.mark().At)
+		why = o.seat(order.Lessor).grant(order, o.mark().At)
 	}
 	return o.conclude(order, why)
 }
@@ -59,7 +59,7 @@
 	defer o.mu.Unlock()
 	why := o.admit(order)
 	if why == "" && !o.ignores() {
-		o.seat(order.Seat).revoke(order, o.Slices)
+		o.seat(order.Lessor).revoke(order, o.Slices)
 	}
 	return o.conclude(order, why)
 }
@@ -79,26 +79,26 @@
 // admit checks the sender's fence, if this server checks, and the deadline.
 func (o *Origin) admit(order server.Order) string {
 	now := o.mark()
-	if o.Checks && order.Fence.Less(o.top[order.Seat]) {
-		return server.WhyFence
+	if o.FenceChecks && order.Fence.Less(o.top[order.Lessor]) {
+		return server.ReasonFence
 	}
 	if order.Mark.Boot != now.Boot || order.Mark.At+order.TTL <= now.At {
-		return server.WhyLate
+		return server.ReasonLate
 	}
 	return ""
 }
 
 func (o *Origin) conclude(order server.Order, why string) server.Reply {
 	if why == "" {
-		if o.top[order.Seat].Less(order.Fence) {
-			o.top[order.Seat] = order.Fence
+		if o.top[order.Lessor].Less(order.Fence) {
+			o.top[order.Lessor] = order.Fence
 		}
-		o.seat(order.Seat).fence = order.Fence
+		o.seat(order.Lessor).fence = order.Fence
 	}
-	reply := o.reply(order.Seat)
-	reply.Done, reply.Why = why == "", why
+	reply := o.reply(order.Lessor)
+	reply.Done, reply.Reason = why == "", why
 	word := o.word()
-	reply.Word = &word
+	reply.Status = &word
 	return reply
 }
 
@@ -117,16 +117,16 @@
 	return l
 }
 
-// Word is what the server says of itself.
-func (o *Origin) Word() server.Word {
+// Status is what the server says of itself.
+func (o *Origin) Status() server.Status {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.word()
 }
 
 // word is Word for who holds mu.
-func (o *Origin) word() server.Word {
-	return server.Word{
+func (o *Origin) word() server.Status {
+	return server.Status{
 		Health: server.Health{Ready: !o.drain, Drain: o.drain},
 		Load:   server.Load{Slots: o.Slots, Busy: len(o.slots), Queue: o.waiting},
 	}
@@ -160,7 +160,7 @@
 func (o *Origin) read(w http.ResponseWriter, r *http.Request, v any) bool {
 	b, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxOrder))
 	kind := r.Header.Get("Content-Type")
-	if o.Old {
+	if o.LegacyControl {
 		kind = srvcli.TypeJSON
 	}
 	if err == nil {
@@ -175,7 +175,7 @@
 // answer answers in CBOR whoever takes it, without a date that nobody reads.
 func (o *Origin) answer(w http.ResponseWriter, r *http.Request, v any) {
 	kind := srvcli.TypeJSON
-	if !o.Old && r.Header.Get("Accept") == srvcli.TypeCBOR {
+	if !o.LegacyControl && r.Header.Get("Accept") == srvcli.TypeCBOR {
 		kind = srvcli.TypeCBOR
 	}
 	h := w.Header()
--- a/internal/fake/origin/lease.go
+++ b/internal/fake/origin/lease.go
@@ -49,7 +49,7 @@
 	end := o.Mark.At + o.TTL
 	if !o.Full {
 		if now >= l.end || l.rev != o.Rev {
-			return server.WhyRev
+			return server.ReasonRev
 		}
 		l.end = max(l.end, end)
 		return ""
--- a/internal/fake/origin/origin.go
+++ b/internal/fake/origin/origin.go
@@ -24,19 +24,19 @@
 // Config describes one backend server. The zero value is a server that is not
 // divided by key, with one slot.
 type Config struct {
-	Service ident.Service
-	Server  ident.Server
-	Centre  ident.Centre
-	Keyed   bool          // divided by key: serves only what its lease covers
-	Slices  uint32        // slices of the service's key space
-	Checks  bool          // refuses orders below the highest fence obeyed
-	Slots   int           // requests worked on at once
-	Queue   int           // requests waiting for a slot
-	Conns   int           // open connections; zero means no limit
-	Open    time.Duration // cost of a new connection
-	Work    time.Duration // how long a request holds its slot
-	Old     bool          // speaks HTTP/1.1 and JSON alone on its control side
-	Record  *Record       // shared record; nil makes an own one
+	Service       ident.Service
+	Server        ident.Server
+	Centre        ident.Centre
+	Keyed         bool          // divided by key: serves only what its lease covers
+	Slices        uint32        // slices of the service's key space
+	FenceChecks   bool          // refuses orders below the highest fence obeyed
+	Slots         int           // requests worked on at once
+	Queue         int           // requests waiting for a slot
+	Conns         int           // open connections; zero means no limit
+	ConnectDelay  time.Duration // cost of a new connection
+	Work          time.Duration // how long a request holds its slot
+	LegacyControl bool          // speaks HTTP/1.1 and JSON alone on its control side
+	Record        *Record       // shared record; nil makes an own one
 }
 
 // Origin is one backend server. Serve its Handler, or let Start listen.
@@ -108,7 +108,7 @@
 func (o *Origin) Serve(l net.Listener) {
 	p := &http.Protocols{}
 	p.SetHTTP1(true)
-	p.SetUnencryptedHTTP2(!o.Old)
+	p.SetUnencryptedHTTP2(!o.LegacyControl)
 	o.web = &http.Server{Handler: o.Handler(), Protocols: p, ReadHeaderTimeout: time.Minute, ConnState: o.track}
 	o.group.Go(func(context.Context) error {
 		_ = o.web.Serve(&listener{Listener: l, o: o})
@@ -183,7 +183,7 @@
 			c.Close()
 			continue
 		}
-		return &conn{Conn: c, cost: l.o.Config.Open}, nil
+		return &conn{Conn: c, cost: l.o.Config.ConnectDelay}, nil
 	}
 }
 
--- a/internal/fake/origin/origin_test.go
+++ b/internal/fake/origin/origin_test.go
@@ -38,13 +38,13 @@
 }
 
 func TestServesOnlyWhatItsLeaseCovers(t *testing.T) {
-	o, at := launch(t, Config{Server: "s1", Keyed: true, Slices: 8, Checks: true})
+	o, at := launch(t, Config{Server: "s1", Keyed: true, Slices: 8, FenceChecks: true})
 	var c srvcli.Client
 	held, err := c.Read(t.Context(), at, "look", "")
 	assert.NilError(t, err)
 	mine := ident.SliceOf("scale-1", 8)
 	order := server.Order{
-		Seat: "s1", Server: "s1", Fence: ident.Fence{Epoch: 2}, Mark: held.Mark, TTL: time.Hour,
+		Lessor: "s1", Server: "s1", Fence: ident.Fence{Epoch: 2}, Mark: held.Mark, TTL: time.Hour,
 		Rev: 5, Full: true, Slices: []ident.Slice{mine},
 	}
 	reply, err := c.Grant(t.Context(), at, order)
@@ -66,19 +66,19 @@
 }
 
 func TestRefusesOldFencesLateOrdersAndRenewalsOfWhatItLacks(t *testing.T) {
-	o := New(Config{Server: "s1", Keyed: true, Slices: 8, Checks: true})
+	o := New(Config{Server: "s1", Keyed: true, Slices: 8, FenceChecks: true})
 	mark := o.Read().Mark
-	full := server.Order{Seat: "s1", Fence: ident.Fence{Epoch: 2}, Mark: mark, TTL: time.Hour, Rev: 5, Full: true}
+	full := server.Order{Lessor: "s1", Fence: ident.Fence{Epoch: 2}, Mark: mark, TTL: time.Hour, Rev: 5, Full: true}
 	assert.Assert(t, o.Grant(full).Done)
 	old := full
 	old.Fence.Epoch = 1
-	assert.Equal(t, o.Grant(old).Why, server.WhyFence)
+	assert.Equal(t, o.Grant(old).Reason, server.ReasonFence)
 	late := full
 	late.TTL = 0
-	assert.Equal(t, o.Grant(late).Why, server.WhyLate)
+	assert.Equal(t, o.Grant(late).Reason, server.ReasonLate)
 	renew := full
 	renew.Full, renew.Rev = false, 4
-	assert.Equal(t, o.Grant(renew).Why, server.WhyRev)
+	assert.Equal(t, o.Grant(renew).Reason, server.ReasonRev)
 	o.Restart()
-	assert.Equal(t, o.Grant(full).Why, server.WhyLate)
+	assert.Equal(t, o.Grant(full).Reason, server.ReasonLate)
 }
--- a/internal/fake/world/commit.go
+++ b/internal/fake/world/commit.go
@@ -5,28 +5,28 @@
 	"hawthornfield.org/hawthornfield/internal/core/kinds"
 	"hawthornfield.org/hawthornfield/internal/core/loop"
 	"hawthornfield.org/hawthornfield/internal/owner/commit"
-	"hawthornfield.org/hawthornfield/internal/owner/seat"
+	"hawthornfield.org/hawthornfield/internal/owner/lessor"
 	"hawthornfield.org/hawthornfield/internal/owner/table"
 	"hawthornfield.org/hawthornfield/internal/plat/object"
 )
 
 // bootWriter starts the VM's writer of the table, where the world has them.
 func (v *VM) bootWriter() {
-	if v.w.Opt.Join == nil {
+	if v.w.Opt.NewWriter == nil {
 		return
 	}
-	v.writer = v.w.Opt.Join(commit.Config{Self: v.ID, Service: Service, Store: v.w.times.Store})
+	v.writer = v.w.Opt.NewWriter(commit.Config{Self: v.ID, Service: Service, Store: v.w.times.StoreTimeout})
 	var hubs []ident.VM
 	for i := range min(v.w.Opt.VMs, 2) {
 		hubs = append(hubs, vmName(i))
 	}
-	v.updateWriter(commit.HubsMsg{VMs: hubs})
+	v.updateWriter(commit.CoordinatorsMsg{VMs: hubs})
 }
 
 // seen tells the writer of a table that came to the VM.
 func (v *VM) seen(t table.Table, ver object.Version) {
 	if v.writer != nil {
-		v.updateWriter(commit.NewsMsg{Table: t, Version: ver})
+		v.updateWriter(commit.TableMsg{Table: t, Version: ver})
 	}
 }
 
@@ -92,28 +92,28 @@
 func (v *VM) readFor(c commit.ReadCmd, send func(loop.Msg)) {
 	st := v.w.Store
 	v.w.Count.Reads++
-	v.w.call(v, "store", v.w.times.Store, func(reply func(any)) {
-		st.serve(reply, func() any { return seat.TableMsg{Table: st.table, Version: st.version} })
+	v.w.call(v, "store", v.w.times.StoreTimeout, func(reply func(any)) {
+		st.serve(reply, func() any { return lessor.TableMsg{Table: st.table, Version: st.version} })
 	}, func(a any, ok bool) {
-		m, _ := a.(seat.TableMsg)
-		send(commit.ReadMsg{Cmd: c, Table: m.Table, Version: m.Version, Kind: kindOf(a, ok, kinds.Down)})
+		m, _ := a.(lessor.TableMsg)
+		send(commit.ReadResultMsg{Cmd: c, Table: m.Table, Version: m.Version, Kind: kindOf(a, ok, kinds.Unavailable)})
 	})
 }
 
 func (v *VM) writeFor(c commit.WriteCmd, send func(loop.Msg)) {
 	if !c.Valid(v.local()) {
-		send(commit.WroteMsg{Cmd: c, Kind: kinds.Down, Late: true})
+		send(commit.WriteResultMsg{Cmd: c, Kind: kinds.Unavailable, Expired: true})
 		return
 	}
 	st := v.w.Store
 	v.w.Count.Writes++
 	v.w.Count.Joined += c.Edits - 1
-	v.w.call(v, "store", v.w.times.Store, func(reply func(any)) {
-		st.serve(reply, func() any { return st.putTable(seat.PutTableCmd{Table: c.Table, Old: c.Old}) })
+	v.w.call(v, "store", v.w.times.StoreTimeout, func(reply func(any)) {
+		st.serve(reply, func() any { return st.putTable(lessor.PutTableCmd{Table: c.Table, Old: c.Old}) })
 	}, func(a any, ok bool) {
 		ver, _ := a.(object.Version)
 		k := kindOf(a, ok, kinds.Ambiguous)
-		send(commit.WroteMsg{Cmd: c, Version: ver, Kind: k})
+		send(commit.WriteResultMsg{Cmd: c, Version: ver, Kind: k})
 		if k == kinds.None {
 			v.tell(c.Table, ver)
 		}
@@ -121,7 +121,7 @@
 }
 
 // put takes a seat's write of the table.
-func (v *VM) put(srv ident.Server, c seat.PutTableCmd) bool {
+func (v *VM) put(srv ident.Server, c lessor.PutTableCmd) bool {
 	if v.writer == nil {
 		return false
 	}
--- a/internal/fake/world/record.go
+++ b/internal/fake/world/record.go
@@ -59,9 +59,9 @@
 	return l.open && last.set&bit != 0 && last.from <= l.s.w.now && l.s.w.now < last.to
 }
 
-// Judge looks through the servers' records for two owners at one moment, and
+// Check looks through the servers' records for two owners at one moment, and
 // returns all violations of the history.
-func (w *World) Judge() []string {
+func (w *World) Check() []string {
 	for i, a := range w.Servers {
 		for _, b := range w.Servers[i+1:] {
 			w.compare(a, b)
@@ -157,8 +157,8 @@
 // Until returns the moment of the history at which the server's own lease ends.
 func (s *Server) Until() time.Duration { return s.realEnd(s.lane(s.Name).end) }
 
-// Stood reports whether a server ever served keys of another one's seat.
-func (w *World) Stood() bool {
+// StandbyServed reports whether a server ever served keys of another one's seat.
+func (w *World) StandbyServed() bool {
 	for _, s := range w.Servers {
 		for _, l := range s.lanes {
 			if l.seat != s.Name && len(l.segments) > 0 {
--- a/internal/fake/world/roster.go
+++ b/internal/fake/world/roster.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"hawthornfield.org/hawthornfield/internal/core/ident"
-	"hawthornfield.org/hawthornfield/internal/owner/seat"
+	"hawthornfield.org/hawthornfield/internal/owner/lessor"
 	"hawthornfield.org/hawthornfield/internal/owner/table"
 )
 
@@ -80,17 +80,17 @@
 		}
 		for _, o := range away {
 			if o.Gone {
-				v.Send(s.Name, seat.GoneMsg{VM: o.ID})
+				v.Send(s.Name, lessor.VMGoneMsg{VM: o.ID})
 				continue
 			}
-			v.Send(s.Name, seat.SuspectMsg{VM: o.ID})
+			v.Send(s.Name, lessor.SuspectMsg{VM: o.ID})
 		}
 	}
 }
 
 func (w *World) planSeat(v *VM, s *Server) {
 	first, next := w.ranked(s, v)
-	m := seat.PlanMsg{Lead: first == v}
+	m := lessor.RoleMsg{Lead: first == v}
 	if next != nil {
 		m.Deputy = next.ID
 	}
@@ -142,23 +142,23 @@
 
 // shift is how far the roster has passed the seats on by now.
 func (w *World) shift() int {
-	if w.Opt.Level <= 0 {
+	if w.Opt.ReassignEvery <= 0 {
 		return 0
 	}
-	return int(w.now / w.Opt.Level)
+	return int(w.now / w.Opt.ReassignEvery)
 }
 
 // level makes each lead take its seats over from whoever holds them as it knows.
 func (w *World) level() {
 	for _, v := range w.VMs {
 		for _, s := range w.Servers {
-			holder := v.seats[s.Name].(seat.Seat).Status().Holder
+			holder := v.seats[s.Name].(lessor.Lessor).Status().Holder
 			if !v.Dead && v.plans[s.Name].Lead && holder != v.ID && holder != "" {
-				v.Send(s.Name, seat.RelieveMsg{VM: holder})
+				v.Send(s.Name, lessor.TakeOverMsg{VM: holder})
 			}
 		}
 	}
-	w.after(w.Opt.Level/2, w.level)
+	w.after(w.Opt.ReassignEvery/2, w.level)
 }
 
 // resync stands for the watch that catches up after an outage.
@@ -171,11 +171,11 @@
 
 // planMoves stands for the planner: it spreads the keys of a server over those
 // that seem well. It can be wrong about them.
-func (w *World) planMoves(v *VM, c seat.PlanCmd) {
+func (w *World) planMoves(v *VM, c lessor.PlanCmd) {
 	var to []ident.Server
 	for _, s := range w.Servers {
-		well := !s.Dead && !s.Frozen() && !s.Drains
-		if s.Name != c.Server && (well || w.chance(w.Noise.Late)) {
+		well := !s.Dead && !s.Frozen() && !s.Draining
+		if s.Name != c.Server && (well || w.chance(w.Noise.Delay)) {
 			to = append(to, s.Name)
 		}
 	}
@@ -190,7 +190,7 @@
 	for _, k := range set.Keys {
 		moves = append(moves, table.Move{Key: k, To: to[len(moves)%len(to)]})
 	}
-	w.after(time.Millisecond, func() { v.Send(c.Server, seat.MoveMsg{Moves: moves, Lost: c.Lost}) })
+	w.after(time.Millisecond, func() { v.Send(c.Server, lessor.MoveMsg{Moves: moves, Lost: c.Lost}) })
 }
 
 // heldOnce checks that one epoch of a seat has one holder.
--- a/internal/fake/world/server.go
+++ b/internal/fake/world/server.go
@@ -11,10 +11,10 @@
 // Server is a fake backend server. It keeps its lease on its own clock, and a
 // record of what it served and when, in the history's time.
 type Server struct {
-	Name   ident.Server
-	Centre int
-	Dead   bool
-	Drains bool
+	Name     ident.Server
+	Centre   int
+	Dead     bool
+	Draining bool
 
 	w        *World
 	index    int
@@ -130,7 +130,7 @@
 func (l *lane) reply(done bool, why string) server.Reply {
 	now := l.s.local()
 	return server.Reply{
-		Done: done, Why: why, Fence: l.fence, Rev: l.rev, Left: max(l.end-now, 0),
+		Done: done, Reason: why, Fence: l.fence, Rev: l.rev, Left: max(l.end-now, 0),
 		Mark: server.Mark{Boot: l.s.boot, At: now},
 	}
 }
@@ -140,11 +140,11 @@
 	end, now, w := o.Mark.At+o.TTL, l.s.local(), l.s.w
 	switch {
 	case o.Mark.Boot != l.s.boot || now >= end:
-		return l.reply(false, server.WhyLate)
-	case w.Opt.Checks && o.Fence.Less(l.fence):
-		return l.reply(false, server.WhyFence)
+		return l.reply(false, server.ReasonLate)
+	case w.Opt.FenceChecks && o.Fence.Less(l.fence):
+		return l.reply(false, server.ReasonFence)
 	case !revoke && !o.Full && (now >= l.end || l.rev != o.Rev):
-		return l.reply(false, server.WhyRev)
+		return l.reply(false, server.ReasonRev)
 	}
 	if l.fence.Less(o.Fence) {
 		l.fence = o.Fence
--- a/internal/fake/world/store.go
+++ b/internal/fake/world/store.go
@@ -5,7 +5,7 @@
 
 	"hawthornfield.org/hawthornfield/internal/core/ident"
 	"hawthornfield.org/hawthornfield/internal/core/kinds"
-	"hawthornfield.org/hawthornfield/internal/owner/seat"
+	"hawthornfield.org/hawthornfield/internal/owner/lessor"
 	"hawthornfield.org/hawthornfield/internal/owner/table"
 	"hawthornfield.org/hawthornfield/internal/plat/object"
 )
@@ -22,7 +22,7 @@
 }
 
 type versioned struct {
-	rec seat.Record
+	rec lessor.Record
 	ver object.Version
 }
 
@@ -40,7 +40,7 @@
 func (s *Store) Table() table.Table { return s.table }
 
 // Record returns the record of a seat.
-func (s *Store) Record(srv ident.Server) seat.Record { return s.records[srv].rec }
+func (s *Store) Record(srv ident.Server) lessor.Record { return s.records[srv].rec }
 
 func (s *Store) down() bool { return s.w.now < s.downTo }
 
@@ -91,14 +91,14 @@
 	}
 	switch a := a.(type) {
 	case refused:
-		return kinds.Down
+		return kinds.Unavailable
 	case kinds.Kind:
 		return a
 	}
 	return kinds.None
 }
 
-func (s *Store) putRecord(srv ident.Server, c seat.PutRecordCmd) any {
+func (s *Store) putRecord(srv ident.Server, c lessor.PutRecordCmd) any {
 	old := s.records[srv]
 	if old.ver != c.Old {
 		return kinds.Conflict
@@ -110,7 +110,7 @@
 	return old.ver + 1
 }
 
-func (s *Store) putTable(c seat.PutTableCmd) any {
+func (s *Store) putTable(c lessor.PutTableCmd) any {
 	if s.version != c.Old {
 		return kinds.Conflict
 	}
@@ -135,7 +135,7 @@
 
 // acknowledged checks that a reported move stands in the table that is said to
 // give it: the old owner has lost the key there, and nobody but the new one has it.
-func (s *Store) acknowledged(srv ident.Server, c seat.MovedCmd) {
+func (s *Store) acknowledged(srv ident.Server, c lessor.MovedCmd) {
 	t, ok := s.past[c.Rev]
 	if !ok {
 		s.w.errorf("move acknowledged under revision %d, which never was", c.Rev)
--- a/internal/fake/world/vm.go
+++ b/internal/fake/world/vm.go
@@ -9,7 +9,7 @@
 	"hawthornfield.org/hawthornfield/internal/core/kinds"
 	"hawthornfield.org/hawthornfield/internal/core/loop"
 	"hawthornfield.org/hawthornfield/internal/core/wire"
-	"hawthornfield.org/hawthornfield/internal/owner/seat"
+	"hawthornfield.org/hawthornfield/internal/owner/lessor"
 	"hawthornfield.org/hawthornfield/internal/owner/table"
 	"hawthornfield.org/hawthornfield/internal/plat/object"
 	"hawthornfield.org/hawthornfield/internal/plat/server"
@@ -32,7 +32,7 @@
 	life     int // process number; effects of an earlier one are gone
 	seats    map[ident.Server]loop.Model
 	promised map[ident.Server]ident.Epoch
-	plans    map[ident.Server]seat.PlanMsg // last sent
+	plans    map[ident.Server]lessor.RoleMsg // last sent
 	table    table.Table
 	writer   loop.Model // nil where each seat writes for itself
 	involved []bool     // by server, in a lean world: see noteInvolved
@@ -52,15 +52,15 @@
 func (v *VM) boot() {
 	v.life++
 	v.promised = map[ident.Server]ident.Epoch{}
-	v.plans = map[ident.Server]seat.PlanMsg{}
+	v.plans = map[ident.Server]lessor.RoleMsg{}
 	v.table = table.Table{}
 	v.bootWriter()
 	v.seats = map[ident.Server]loop.Model{}
 	v.involved = make([]bool, len(v.w.Servers))
 	for _, s := range v.w.Servers {
-		v.seats[s.Name] = v.w.Opt.New(seat.Config{
-			Self: v.ID, Service: Service, Server: s.Name, Checks: v.w.Opt.Checks,
-			Times: v.w.times, Patience: v.w.Opt.Patience, Stand: v.w.Opt.Stand,
+		v.seats[s.Name] = v.w.Opt.NewLessor(lessor.Config{
+			Self: v.ID, Service: Service, Server: s.Name, FenceChecks: v.w.Opt.FenceChecks,
+			Times: v.w.times, Patience: v.w.Opt.Patience, Standby: v.w.Opt.Standby,
 		})
 	}
 }
@@ -108,7 +108,7 @@
 func (v *VM) Leave() {
 	v.Left = true
 	for _, s := range v.w.Servers {
-		v.Send(s.Name, seat.LeaveMsg{})
+		v.Send(s.Name, lessor.LeaveMsg{})
 	}
 }
 
@@ -167,7 +167,7 @@
 // epoch that the VM promised not to use any more.
 func (v *VM) watch(srv ident.Server, cmd loop.Cmd) {
 	switch c := cmd.(type) {
-	case seat.OrderCmd:
+	case lessor.OrderCmd:
 		if !c.Valid(v.local()) {
 			v.w.errorf("%s orders %s after its term", v.ID, srv)
 		}
@@ -177,15 +177,15 @@
 		if c.Order.Fence.Epoch < v.promised[srv] && !c.Revoke {
 			v.w.errorf("%s orders %s after its promise", v.ID, srv)
 		}
-	case seat.SendCmd:
-		if m, ok := c.Msg.(seat.YieldedMsg); ok {
+	case lessor.SendCmd:
+		if m, ok := c.Msg.(lessor.PromiseMsg); ok {
 			v.promised[srv] = max(v.promised[srv], m.Below)
 		}
 	}
 }
 
-// Seat returns the state of one seat on this VM.
-func (v *VM) Seat(srv ident.Server) loop.Model { return v.seats[srv] }
+// Lessor returns the state of one seat on this VM.
+func (v *VM) Lessor(srv ident.Server) loop.Model { return v.seats[srv] }
 
 func (v *VM) learn(t table.Table, ver object.Version) {
 	v.run(v.life, func() {
@@ -194,8 +194,8 @@
 		}
 		v.seen(t, ver)
 		for i, s := range v.w.Servers {
-			if !v.w.Opt.Lean || v.involved[i] {
-				v.update(s.Name, seat.TableMsg{Table: t, Version: ver})
+			if !v.w.Opt.SkipIdleTables || v.involved[i] {
+				v.update(s.Name, lessor.TableMsg{Table: t, Version: ver})
 			}
 		}
 	})
@@ -203,13 +203,13 @@
 
 // noteInvolved keeps whether the VM is a member of a seat, or about to be.
 func (v *VM) noteInvolved(srv ident.Server, m loop.Model) {
-	if !v.w.Opt.Lean {
+	if !v.w.Opt.SkipIdleTables {
 		return
 	}
 	involved := true
-	if s, ok := m.(interface{ Status() seat.Status }); ok {
+	if s, ok := m.(interface{ Status() lessor.Status }); ok {
 		now := s.Status()
-		involved = now.Authority != "idle" || now.Stand != "off"
+		involved = now.Authority != "idle" || now.Standby != "off"
 	}
 	v.involved[v.w.server(srv).index] = involved
 }
@@ -219,80 +219,80 @@
 	case loop.AfterCmd:
 		life := v.life
 		v.w.after(v.real(c.D), func() { v.run(life, func() { v.update(srv, c.Msg) }) })
-	case seat.ReadRecordCmd, seat.PutRecordCmd, seat.ReadTableCmd, seat.PutTableCmd:
+	case lessor.ReadRecordCmd, lessor.PutRecordCmd, lessor.ReadTableCmd, lessor.PutTableCmd:
 		v.execStore(srv, cmd)
-	case seat.OrderCmd:
+	case lessor.OrderCmd:
 		v.execOrder(srv, c)
-	case seat.ReadServerCmd:
+	case lessor.ReadServerCmd:
 		v.w.Count.Asks++
 		v.ask(cmp.Or(c.To, srv), func(s *Server) any { return s.lane(srv).read() }, func(r server.Reply, k kinds.Kind) {
-			v.Send(srv, seat.ReplyMsg{Read: c, Reply: r, Kind: k})
+			v.Send(srv, lessor.ReplyMsg{Read: c, Reply: r, Kind: k})
 		})
-	case seat.SendCmd:
+	case lessor.SendCmd:
 		v.execSend(srv, c)
-	case seat.PlanCmd:
+	case lessor.PlanCmd:
 		v.w.planMoves(v, c)
-	case seat.MovedCmd:
+	case lessor.MovedCmd:
 		v.w.Store.acknowledged(srv, c)
-	case seat.HeldCmd:
+	case lessor.AcquiredCmd:
 		v.w.heldOnce(srv, c.Epoch, v.ID)
-	case seat.FaultCmd:
+	case lessor.FaultCmd:
 		v.w.errorf("%s: %v", v.ID, c.Err)
 	}
 }
 
 func (v *VM) execStore(srv ident.Server, cmd loop.Cmd) {
-	st, wait, life := v.w.Store, v.w.times.Store, v.life
+	st, wait, life := v.w.Store, v.w.times.StoreTimeout, v.life
 	send := func(m loop.Msg) { v.run(life, func() { v.update(srv, m) }) }
 	switch c := cmd.(type) {
-	case seat.ReadRecordCmd:
+	case lessor.ReadRecordCmd:
 		v.w.Count.Reads++
 		v.w.call(v, "store", wait, func(reply func(any)) {
 			st.serve(reply, func() any { return st.records[srv] })
 		}, func(a any, ok bool) {
 			got, _ := a.(versioned)
-			send(seat.RecordMsg{Cmd: c, Record: got.rec, Version: got.ver, Kind: kindOf(a, ok, kinds.Down)})
+			send(lessor.RecordMsg{Cmd: c, Record: got.rec, Version: got.ver, Kind: kindOf(a, ok, kinds.Unavailable)})
 		})
-	case seat.PutRecordCmd:
+	case lessor.PutRecordCmd:
 		v.w.Count.Writes++
 		v.w.call(v, "store", wait, func(reply func(any)) {
 			st.serve(reply, func() any { return st.putRecord(srv, c) })
 		}, func(a any, ok bool) {
 			ver, _ := a.(object.Version)
-			send(seat.RecordPutMsg{Cmd: c, Version: ver, Kind: kindOf(a, ok, kinds.Ambiguous)})
+			send(lessor.RecordPutMsg{Cmd: c, Version: ver, Kind: kindOf(a, ok, kinds.Ambiguous)})
 		})
-	case seat.ReadTableCmd:
+	case lessor.ReadTableCmd:
 		v.w.Count.Reads++
 		v.w.call(v, "store", wait, func(reply func(any)) {
-			st.serve(reply, func() any { return seat.TableMsg{Table: st.table, Version: st.version} })
+			st.serve(reply, func() any { return lessor.TableMsg{Table: st.table, Version: st.version} })
 		}, func(a any, ok bool) {
-			m, _ := a.(seat.TableMsg)
-			m.Kind = kindOf(a, ok, kinds.Down)
+			m, _ := a.(lessor.TableMsg)
+			m.Kind = kindOf(a, ok, kinds.Unavailable)
 			if m.Kind == kinds.None {
 				v.run(life, func() { v.seen(m.Table, m.Version) })
 			}
 			send(m)
 		})
-	case seat.PutTableCmd:
+	case lessor.PutTableCmd:
 		if !v.put(srv, c) {
 			v.execPutTable(c, send)
 		}
 	}
 }
 
-func (v *VM) execPutTable(c seat.PutTableCmd, send func(loop.Msg)) {
+func (v *VM) execPutTable(c lessor.PutTableCmd, send func(loop.Msg)) {
 	if !c.Valid(v.local()) {
-		send(seat.TablePutMsg{Cmd: c, Kind: kinds.Down})
+		send(lessor.TablePutMsg{Cmd: c, Kind: kinds.Unavailable})
 		return
 	}
 	st := v.w.Store
 	v.w.Count.Writes++
-	v.w.call(v, "store", v.w.times.Store, func(reply func(any)) {
+	v.w.call(v, "store", v.w.times.StoreTimeout, func(reply func(any)) {
 		st.serve(reply, func() any { return st.putTable(c) })
 	}, func(a any, ok bool) {
 		ver, _ := a.(object.Version)
 		k := kindOf(a, ok, kinds.Ambiguous)
-		send(seat.TablePutMsg{Cmd: c, Version: ver, Kind: k})
+		send(lessor.TablePutMsg{Cmd: c, Version: ver, Kind: k})
 		if k == kinds.None {
 			v.tell(c.Table, ver)
 		}
@@ -308,23 +308,23 @@
 	}
 }
 
-func (v *VM) execOrder(srv ident.Server, c seat.OrderCmd) {
+func (v *VM) execOrder(srv ident.Server, c lessor.OrderCmd) {
 	v.w.Count.Orders++
-	if b, err := wire.Encode(c.Order); err == nil && v.w.Opt.Lean {
+	if b, err := wire.Encode(c.Order); err == nil && v.w.Opt.SkipIdleTables {
 		v.w.Count.OrderBytes += len(b)
 	}
 	if !c.Valid(v.local()) {
-		v.Send(srv, seat.ReplyMsg{Order: c, Kind: kinds.Down})
+		v.Send(srv, lessor.ReplyMsg{Order: c, Kind: kinds.Unavailable})
 		return
 	}
 	v.ask(c.Order.Server, func(s *Server) any { return s.lane(srv).obey(c.Order, c.Revoke) }, func(r server.Reply, k kinds.Kind) {
-		v.Send(srv, seat.ReplyMsg{Order: c, Reply: r, Kind: k})
+		v.Send(srv, lessor.ReplyMsg{Order: c, Reply: r, Kind: k})
 	})
 }
 
 func (v *VM) ask(srv ident.Server, serve func(*Server) any, done func(server.Reply, kinds.Kind)) {
 	s, life := v.w.server(srv), v.life
-	v.w.call(v, string(srv), v.w.times.Call, func(reply func(any)) {
+	v.w.call(v, string(srv), v.w.times.CallTimeout, func(reply func(any)) {
 		s.run(func() { reply(serve(s)) })
 	}, func(a any, ok bool) {
 		r, _ := a.(server.Reply)
@@ -332,7 +332,7 @@
 	})
 }
 
-func (v *VM) execSend(srv ident.Server, c seat.SendCmd) {
+func (v *VM) execSend(srv ident.Server, c lessor.SendCmd) {
 	v.w.Count.Peer++
 	if b, err := wire.Encode(c.Msg); err == nil {
 		v.w.Count.PeerBytes += len(b)
--- a/internal/fake/world/world.go
+++ b/internal/fake/world/world.go
@@ -21,7 +21,7 @@
 	"hawthornfield.org/hawthornfield/internal/core/loop"
 	"hawthornfield.org/hawthornfield/internal/owner/commit"
 	"hawthornfield.org/hawthornfield/internal/owner/lease"
-	"hawthornfield.org/hawthornfield/internal/owner/seat"
+	"hawthornfield.org/hawthornfield/internal/owner/lessor"
 	"hawthornfield.org/hawthornfield/internal/owner/table"
 )
 
@@ -30,27 +30,27 @@
 
 // Options describe a world. The zero value of a field means its default.
 type Options struct {
-	Seed     uint64
-	VMs      int // default 4
-	Servers  int // default 3
-	Slices   int // default 6; slices and hot keys together at most 64
-	Centres  int // default 3
-	Checks   bool
-	Patience time.Duration
-	Stand    bool // stand-bys serve for lost servers while the store is down
-	// New makes a seat; tests put a flawed one here.
-	New func(seat.Config) loop.Model
-	// Join makes the writer that joins the table's edits of one VM's seats; nil
+	Seed        uint64
+	VMs         int // default 4
+	Servers     int // default 3
+	Slices      int // default 6; slices and hot keys together at most 64
+	Centres     int // default 3
+	FenceChecks bool
+	Patience    time.Duration
+	Standby     bool // stand-bys serve for lost servers while the store is down
+	// NewLessor makes a seat; tests put a flawed one here.
+	NewLessor func(lessor.Config) loop.Model
+	// NewWriter makes the writer that joins the table's edits of one VM's seats; nil
 	// lets each seat write for itself.
-	Join func(commit.Config) loop.Model
-	// Lean spares seats that neither hold nor stand by the news of each table, as
+	NewWriter func(commit.Config) loop.Model
+	// SkipIdleTables spares seats that neither hold nor stand by the news of each table, as
 	// a runner of many seats would; they read it when they take over.
-	Lean bool
+	SkipIdleTables bool
 	// Term shortens the authority's term, so that a history outlasts it.
 	Term time.Duration
-	// Level is how often the seats are dealt out anew, each to another VM, which
+	// ReassignEvery is how often the seats are dealt out anew, each to another VM, which
 	// takes them over from holders that are well; zero for never.
-	Level time.Duration
+	ReassignEvery time.Duration
 	// Skew is how far a clock's rate may be off, in parts of a thousand.
 	Skew int
 }
@@ -65,17 +65,17 @@
 	set(&o.Servers, 3)
 	set(&o.Slices, 6)
 	set(&o.Centres, 3)
-	if o.New == nil {
-		o.New = func(c seat.Config) loop.Model { return seat.New(c) }
+	if o.NewLessor == nil {
+		o.NewLessor = func(c lessor.Config) loop.Model { return lessor.New(c) }
 	}
 	return o
 }
 
 // Noise says how badly links behave. Probabilities are in parts of a thousand.
 type Noise struct {
-	Drop, Double, Late int           // of a message
-	Stall              int           // of a VM between a decision and its effect
-	MaxLate, MaxStall  time.Duration // how long at most
+	Drop, Duplicate, Delay int           // of a message
+	Stall                  int           // of a VM between a decision and its effect
+	MaxDelay, MaxStall     time.Duration // how long at most
 }
 
 // World is one history. Make it with New.
@@ -119,7 +119,7 @@
 
 var start = time.Date(2026, 9, 21, 6, 0, 0, 0, time.UTC)
 
-// New makes a world and starts its VMs.
+// NewLessor makes a world and starts its VMs.
 func New(o Options) *World {
 	o = o.withDefaults()
 	w := &World{
@@ -138,7 +138,7 @@
 	}
 	t, _ := table.New(Service, uint32(o.Slices), names...)
 	for x := range o.Slices {
-		t, _ = t.Assigned(table.Move{Slice: ident.Slice(x), To: names[x%len(names)]})
+		t, _ = t.WithAssigned(table.Move{Slice: ident.Slice(x), To: names[x%len(names)]})
 	}
 	w.Store = newStore(w, t)
 	w.Hot = []ident.Key{"scale-1", "scale-2"}
@@ -146,8 +146,8 @@
 		w.VMs = append(w.VMs, newVM(w, i))
 	}
 	w.roster()
-	if o.Level > 0 {
-		w.after(o.Level/2, w.level)
+	if o.ReassignEvery > 0 {
+		w.after(o.ReassignEvery/2, w.level)
 	}
 	w.resync()
 	return w
@@ -197,8 +197,8 @@
 	return 1 + float64(w.rng.IntN(2*w.Opt.Skew+1)-w.Opt.Skew)/1000
 }
 
-// Cut breaks the link between two names ("store" is one) for a while.
-func (w *World) Cut(a, b string, d time.Duration) {
+// Partition breaks the link between two names ("store" is one) for a while.
+func (w *World) Partition(a, b string, d time.Duration) {
 	w.cuts[link(a, b)] = w.now + d
 }
 
@@ -217,13 +217,13 @@
 		return
 	}
 	copies := 1
-	if w.chance(w.Noise.Double) {
+	if w.chance(w.Noise.Duplicate) {
 		copies = 2
 	}
 	for i := range copies {
 		d := w.between(700*time.Microsecond, 1500*time.Microsecond)
-		if w.chance(w.Noise.Late) || i > 0 {
-			d += w.between(0, w.Noise.MaxLate)
+		if w.chance(w.Noise.Delay) || i > 0 {
+			d += w.between(0, w.Noise.MaxDelay)
 		}
 		w.after(d, do)
 	}
--- a/internal/load/bench/ours.go
+++ b/internal/load/bench/ours.go
@@ -95,7 +95,7 @@
 func (o *ours) offer(f *flight, repeat bool, avoid ident.Server) {
 	t := &gate.Ticket{Job: o.job(f.req, repeat)}
 	if f.tries > 0 {
-		t.Job = t.Job.Again(avoid)
+		t.Job = t.Job.NextAttempt(avoid)
 	}
 	o.live[t] = f
 	vm := f.req.vm
@@ -242,7 +242,7 @@
 	if f.req.ended || l.attempt.over || f.hedge != nil {
 		return
 	}
-	t := &gate.Ticket{Job: o.job(f.req, false).Again(l.ticket.Server())}
+	t := &gate.Ticket{Job: o.job(f.req, false).NextAttempt(l.ticket.Server())}
 	vm := f.req.vm
 	if !o.cores[vm].Hedge(o.w.time(), t) {
 		return
--- a/internal/load/conns/conns.go
+++ b/internal/load/conns/conns.go
@@ -54,23 +54,23 @@
 	p.wish, p.wishAt = part, now.Add(Settle)
 }
 
-// Most is how many connections may be open now.
-func (p *Pool) Most(now time.Time) int {
+// Max is how many connections may be open now.
+func (p *Pool) Max(now time.Time) int {
 	if p.wish > p.most && !now.Before(p.wishAt) {
 		p.most = p.wish
 	}
 	return max(p.most, 1)
 }
 
-// Use notes that one more connection is in use, and Free that one is not.
-func (p *Pool) Use(now time.Time) {
+// Acquire notes that one more connection is in use, and Free that one is not.
+func (p *Pool) Acquire(now time.Time) {
 	p.using++
 	p.decay(now)
 	p.peak = max(p.peak, float64(p.using))
 }
 
-// Free notes that a connection is no longer in use.
-func (p *Pool) Free(now time.Time) {
+// Release notes that a connection is no longer in use.
+func (p *Pool) Release(now time.Time) {
 	p.using--
 	p.decay(now)
 }
@@ -86,8 +86,8 @@
 	p.peakAt = now
 }
 
-// Warm is how many idle connections are worth keeping.
-func (p *Pool) Warm(now time.Time) int {
+// MaxIdle is how many idle connections are worth keeping.
+func (p *Pool) MaxIdle(now time.Time) int {
 	p.decay(now)
-	return min(int(math.Ceil(p.peak)), p.Most(now))
+	return min(int(math.Ceil(p.peak)), p.Max(now))
 }
--- a/internal/load/conns/conns_test.go
+++ b/internal/load/conns/conns_test.go
@@ -17,14 +17,14 @@
 func TestShareShrinksAtOnceAndGrowsLate(t *testing.T) {
 	var p Pool
 	p.Share(begin, 45, 9)
-	assert.Equal(t, p.Most(begin), 5)
+	assert.Equal(t, p.Max(begin), 5)
 	p.Share(begin, 45, 10)
-	assert.Equal(t, p.Most(begin), 4)
+	assert.Equal(t, p.Max(begin), 4)
 	p.Share(begin, 45, 5)
-	assert.Equal(t, p.Most(begin.Add(Settle-1)), 4)
-	assert.Equal(t, p.Most(begin.Add(Settle)), 9)
+	assert.Equal(t, p.Max(begin.Add(Settle-1)), 4)
+	assert.Equal(t, p.Max(begin.Add(Settle)), 9)
 	p.Share(begin, 3, 10)
-	assert.Equal(t, p.Most(begin), 1, "a VM without any connection is shut out")
+	assert.Equal(t, p.Max(begin), 1, "a VM without any connection is shut out")
 }
 
 // Connections used lately stay warm, those of a burst minutes ago do not.
@@ -32,14 +32,14 @@
 	var p Pool
 	p.Share(begin, 100, 10)
 	for range 8 {
-		p.Use(begin)
+		p.Acquire(begin)
 	}
 	for range 8 {
-		p.Free(begin)
+		p.Release(begin)
 	}
-	assert.Equal(t, p.Warm(begin.Add(time.Second)), 8)
-	assert.Equal(t, p.Warm(begin.Add(HalfLife)), 4)
-	assert.Assert(t, p.Warm(begin.Add(10*HalfLife)) <= 1)
+	assert.Equal(t, p.MaxIdle(begin.Add(time.Second)), 8)
+	assert.Equal(t, p.MaxIdle(begin.Add(HalfLife)), 4)
+	assert.Assert(t, p.MaxIdle(begin.Add(10*HalfLife)) <= 1)
 }
 
 // VMs join and leave, and hear of it at different moments, each before the next
@@ -57,7 +57,7 @@
 		}
 		sum := func(at time.Time) (all int) {
 			for i := range pools {
-				all += pools[i].Most(at)
+				all += pools[i].Max(at)
 			}
 			return all
 		}
--- a/internal/load/fair/fair.go
+++ b/internal/load/fair/fair.go
@@ -50,12 +50,12 @@
 	// MaxDebt bounds what a flow can owe, in requests: one that has calmed down
 	// is an ordinary one again as soon as these are paid.
 	MaxDebt = 8
-	// Free is the debt that counts as none: two requests in a row are usual.
-	Free = 2
+	// FreeDebt is the debt that counts as none: two requests in a row are usual.
+	FreeDebt = 2
 
-	// Much is the debt that only a hot flow reaches: the others are refused while
+	// HotDebt is the debt that only a hot flow reaches: the others are refused while
 	// they owe more than Free, and so gain little beyond it.
-	Much = 3
+	HotDebt = 3
 
 	tighter = 0.9
 	looser  = 1.001
@@ -66,9 +66,9 @@
 	sweep   = 4 // slots looked at for each new flow at the bound, to forget faster than they come
 )
 
-// Book keeps the debts of the flows of one queue. The zero value is ready to
+// Debts keeps the debts of the flows of one queue. The zero value is ready to
 // use and remembers DefaultFlows flows.
-type Book struct {
+type Debts struct {
 	Max int // most flows remembered; zero is DefaultFlows
 
 	flows  flows
@@ -80,7 +80,7 @@
 
 // Debt is how many requests the flow owes. More than Free is over its share,
 // more than Much is hot.
-func (b *Book) Debt(now time.Time, f Flow) float64 {
+func (b *Debts) Debt(now time.Time, f Flow) float64 {
 	if f == 0 {
 		return 0
 	}
@@ -92,12 +92,12 @@
 	return b.debt(s)
 }
 
-func (b *Book) debt(s *slot) float64 { return max(s.due-b.paid, 0) }
+func (b *Debts) debt(s *slot) float64 { return max(s.due-b.paid, 0) }
 
 // Delay is how long it takes to pay a debt down to Free; zero for one that is
 // within its share.
-func (b *Book) Delay(debt float64) time.Duration {
-	over := debt - Free
+func (b *Debts) Delay(debt float64) time.Duration {
+	over := debt - FreeDebt
 	if over <= 0 {
 		return 0
 	}
@@ -105,7 +105,7 @@
 }
 
 // Charge adds a request that was let in.
-func (b *Book) Charge(now time.Time, f Flow, cost float64) {
+func (b *Debts) Charge(now time.Time, f Flow, cost float64) {
 	if f == 0 {
 		return
 	}
@@ -118,33 +118,33 @@
 }
 
 // Refund takes back a charge whose request was refused or abandoned after all.
-func (b *Book) Refund(f Flow, cost float64) {
+func (b *Debts) Refund(f Flow, cost float64) {
 	if s := b.flows.find(f); s != nil {
 		s.due -= cost
 	}
 }
 
-// Squeeze lowers the common rate, because someone without debt was refused.
+// LowerRate lowers the common rate, because someone without debt was refused.
 // Most is the rate, in requests per second, that one flow could reach alone.
-func (b *Book) Squeeze(most float64) {
+func (b *Debts) LowerRate(most float64) {
 	share := 1 / float64(max(b.flows.n, b.lately, 1))
 	b.rate = max(min(b.speed(), most)*tighter, most*max(Least, share))
 }
 
-// Ease raises the common rate a little, because a request was let in.
-func (b *Book) Ease() { b.rate = min(b.speed()*looser, fastest) }
+// RaiseRate raises the common rate a little, because a request was let in.
+func (b *Debts) RaiseRate() { b.rate = min(b.speed()*looser, fastest) }
 
 // Len is the number of flows remembered.
-func (b *Book) Len() int { return b.flows.n }
+func (b *Debts) Len() int { return b.flows.n }
 
-func (b *Book) speed() float64 {
+func (b *Debts) speed() float64 {
 	if b.rate == 0 {
 		return fastest
 	}
 	return b.rate
 }
 
-func (b *Book) pay(now time.Time) {
+func (b *Debts) pay(now time.Time) {
 	passed := now.Sub(b.at)
 	if passed <= 0 {
 		return
@@ -159,7 +159,7 @@
 // the table is full, before it grows. When all owe something and the book is at
 // its bound it drops the next one, which then starts afresh: a bounded unfairness
 // in place of unbounded memory.
-func (b *Book) remember(f Flow) *slot {
+func (b *Debts) remember(f Flow) *slot {
 	if b.Max <= 0 {
 		b.Max = DefaultFlows
 	}
--- a/internal/load/fair/fair_test.go
+++ b/internal/load/fair/fair_test.go
@@ -14,8 +14,8 @@
 
 // A million callers pass through: the book stays at its bound.
 func TestMemoryStaysBounded(t *testing.T) {
-	b := Book{Max: 64}
-	b.Squeeze(1)
+	b := Debts{Max: 64}
+	b.LowerRate(1)
 	for i := range 1_000_000 {
 		b.Charge(start.Add(time.Duration(i)*time.Millisecond), Flow(i+1), 1)
 		assert.Assert(t, b.Len() <= 64)
@@ -27,7 +27,7 @@
 // one must show as over its share, or everybody is refused alike; an ordinary
 // caller must not, or it is refused for what another did.
 func TestOnlyTheHotFlowIsOverItsShare(t *testing.T) {
-	var b Book
+	var b Debts
 	const hot = Flow(1)
 	b.rate = 10
 	for i := range 1000 {
@@ -46,14 +46,14 @@
 // its bounded debt is paid, and not be refused for what it did an hour ago.
 func TestDebtIsPaidAndBounded(t *testing.T) {
 	seeds.Check(t, func(t *rapid.T) {
-		var b Book
+		var b Debts
 		b.rate = rapid.Float64Range(0.1, 1000).Draw(t, "rate")
 		now := start
 		for range rapid.IntRange(1, 300).Draw(t, "requests") {
 			b.Charge(now, 7, rapid.Float64Range(0.5, 4).Draw(t, "cost"))
 			assert.Assert(t, b.Debt(now, 7) <= MaxDebt+1e-6)
 		}
-		assert.Assert(t, b.Delay(b.Debt(now, 7)) <= time.Duration((MaxDebt-Free)/b.rate*1e9)+1)
+		assert.Assert(t, b.Delay(b.Debt(now, 7)) <= time.Duration((MaxDebt-FreeDebt)/b.rate*1e9)+1)
 		now = now.Add(time.Duration(MaxDebt/b.rate*1e9) + time.Millisecond)
 		assert.Equal(t, b.Debt(now, 7), 0.0)
 	})
@@ -61,7 +61,7 @@
 
 // A refund must leave the debt as if the request had never been let in.
 func TestRefundUndoesACharge(t *testing.T) {
-	var b Book
+	var b Debts
 	b.rate = 1
 	b.Charge(start, 7, 1)
 	before := b.Debt(start, 7)
@@ -75,14 +75,14 @@
 // otherwise both be held to a fiftieth of a server that idles.
 func TestNobodyIsSqueezedBelowAnEqualShare(t *testing.T) {
 	seeds.Check(t, func(t *rapid.T) {
-		var b Book
+		var b Debts
 		n := rapid.IntRange(1, 200).Draw(t, "flows")
 		most := rapid.Float64Range(1, 1000).Draw(t, "most")
 		for i := range n {
 			b.Charge(start, Flow(i+1), 1)
 		}
 		for range 500 {
-			b.Squeeze(most)
+			b.LowerRate(most)
 		}
 		want := most * max(Least, 1/float64(n))
 		assert.Assert(t, b.rate >= want*0.999 && b.rate <= want*1.001, "%v, want %v", b.rate, want)
--- a/internal/load/gate/admit.go
+++ b/internal/load/gate/admit.go
@@ -45,8 +45,8 @@
 // lane is one queue, and who has had how much of it.
 type lane struct {
 	q       queue.Queue[*Ticket]
-	callers fair.Book
-	keys    fair.Book
+	callers fair.Debts
+	keys    fair.Debts
 	modest  float64       // share of those who come while it stands and owe next to nothing
 	gap     time.Duration // average time between two starts while others wait
 	last    time.Time     // the last start, while others wait
@@ -55,7 +55,7 @@
 // see notes who comes while the queue is standing.
 func (l *lane) see(debt float64) {
 	l.modest -= l.modest * modestFollow
-	if debt <= fair.Free/2 {
+	if debt <= fair.FreeDebt/2 {
 		l.modest += modestFollow
 	}
 }
@@ -88,8 +88,8 @@
 func (l *lane) charge(now time.Time, t *Ticket) {
 	l.callers.Charge(now, t.caller, cost)
 	l.keys.Charge(now, t.key, cost)
-	l.callers.Ease()
-	l.keys.Ease()
+	l.callers.RaiseRate()
+	l.keys.RaiseRate()
 }
 
 func (l *lane) refund(t *Ticket) {
@@ -101,9 +101,9 @@
 // each such time, had to refuse one that was within them.
 func (l *lane) squeeze(now time.Time, each time.Duration) {
 	most := 1 / max(each.Seconds(), 1e-6)
-	l.callers.Squeeze(most)
-	l.keys.Squeeze(most)
-	l.q.Full(now)
+	l.callers.LowerRate(most)
+	l.keys.LowerRate(most)
+	l.q.MarkFull(now)
 }
 
 // heldOff notes that a request was refused because its flow is over its share.
@@ -111,9 +111,9 @@
 // had their room; the shares ease, or those that became small in an overload
 // would be held to them for long after it.
 func (l *lane) heldOff(now time.Time) {
-	l.q.Full(now)
-	l.callers.Ease()
-	l.keys.Ease()
+	l.q.MarkFull(now)
+	l.callers.RaiseRate()
+	l.keys.RaiseRate()
 }
 
 // lanes is a pair of queues, short and long, that share servers.
@@ -185,12 +185,12 @@
 func (c *Core) admit(now time.Time, l *lane, owner *server, t *Ticket, debt float64) Verdict {
 	each := max(c.each(now, owner, t.long), l.pace(now))
 	l.q.Target = max(queue.DefaultTarget, each)
-	t.item.By = t.Job.Deadline.Add(-margin * c.typical(t.long))
+	t.item.Deadline = t.Job.Deadline.Add(-margin * c.typical(t.long))
 	over := l.callers.Delay(debt)
 	back := min(over, max(Early, turns(each, float64(l.q.Len()))))
 	t.item.Rank = now.Add(back)
 	wait := turns(each, l.q.Ahead(uint8(t.Job.Class), t.item.Rank)) + stalled(now, owner) + back
-	slack := t.item.By.Sub(now)
+	slack := t.item.Deadline.Sub(now)
 	switch {
 	case owner != nil && owner.health.Failing():
 		return c.unserved(now, t, owner.fault, wait)
@@ -199,7 +199,7 @@
 		return c.refuse(t, kinds.Busy, c.hint(over))
 	case float64(wait) > float64(slack)*patience:
 		l.squeeze(now, each)
-		return c.refuse(t, kinds.Late, c.hint(wait-max(slack, 0)))
+		return c.refuse(t, kinds.DeadlineMissed, c.hint(wait-max(slack, 0)))
 	case l.q.Standing() && wait > standing(each):
 		l.squeeze(now, each)
 		return c.refuse(t, kinds.Busy, c.hint(wait))
@@ -225,7 +225,7 @@
 	}
 	each := time.Duration(float64(held) / max(width, 1))
 	if owner != nil && k == sizes.Long && c.mix.Mixed(now) {
-		each = max(each, c.token(owner).Round())
+		each = max(each, c.token(owner).Period())
 	}
 	return each
 }
@@ -246,7 +246,7 @@
 	if owner == nil {
 		return 0
 	}
-	return owner.health.Stalled(now)
+	return owner.health.StalledFor(now)
 }
 
 func (c *Core) enqueue(now time.Time, l *lane, owner *server, t *Ticket) {
@@ -261,17 +261,17 @@
 	if owner != nil && c.thinkAt.IsZero() {
 		c.thinkAt = now.Add(rethinkEvery)
 	}
-	if c.soonest.IsZero() || t.item.By.Before(c.soonest) {
-		c.soonest = t.item.By
+	if c.soonest.IsZero() || t.item.Deadline.Before(c.soonest) {
+		c.soonest = t.item.Deadline
 	}
 }
 
 // displace makes room in a full queue for a request that goes before the worst
 // one there, if that one has not waited long.
 func (c *Core) displace(now time.Time, l *lane, t *Ticket) bool {
-	l.q.Full(now)
-	worst := l.q.Worst()
-	if worst == nil || !t.item.Rank.Before(worst.Rank) || now.Sub(worst.Since()) > Early {
+	l.q.MarkFull(now)
+	worst := l.q.Last()
+	if worst == nil || !t.item.Rank.Before(worst.Rank) || now.Sub(worst.EnqueuedAt()) > Early {
 		return false
 	}
 	c.drop(l, worst.Value, kinds.Busy, c.hint(0))
@@ -283,11 +283,11 @@
 func (c *Core) trim(now time.Time, l *lane, each time.Duration, t *Ticket) {
 	for l.q.Standing() {
 		wait := turns(each, float64(l.q.Len()-1))
-		worst := l.q.Worst()
-		if wait <= standing(each) || worst == &t.item || now.Sub(worst.Since()) > Early {
+		worst := l.q.Last()
+		if wait <= standing(each) || worst == &t.item || now.Sub(worst.EnqueuedAt()) > Early {
 			return
 		}
-		l.q.Full(now)
+		l.q.MarkFull(now)
 		c.drop(l, worst.Value, kinds.Busy, c.hint(wait))
 	}
 }
--- a/internal/load/gate/again.go
+++ b/internal/load/gate/again.go
@@ -30,7 +30,7 @@
 	if t.Job.Server != "" && o.Refused && !t.srv.hasRoom(t) {
 		return false // it is full, and would refuse the next attempt as well
 	}
-	ok := c.budget.May(retry.Try{
+	ok := c.budget.Allow(retry.Attempt{
 		Kind:       o.Kind,
 		Refused:    o.Refused,
 		Idempotent: t.Job.Idempotent,
@@ -62,7 +62,7 @@
 	if s == nil || s.info.Name == t.Job.avoid {
 		return false
 	}
-	if !c.budget.MayHedge(t.Job.Idempotent, false, t.Job.Deadline.Sub(now)) {
+	if !c.budget.AllowHedge(t.Job.Idempotent, false, t.Job.Deadline.Sub(now)) {
 		return false
 	}
 	t.in = &c.any
@@ -81,27 +81,27 @@
 	s.Waiting, s.Held, s.Running = c.waiting, c.holds.n, c.running
 	s.Ejected = c.panel.Ejected()
 	s.Overload = c.Overload()
-	s.Budget = c.budget.Left()
+	s.Budget = c.budget.Remaining()
 	for _, srv := range c.servers {
 		s.Servers = append(s.Servers, srv.stats(now))
 	}
 	return s
 }
 
-// Look returns what decides about requests for a server, see [Gate.Look].
-func (c *Core) Look(now time.Time, name ident.Server) Sight {
+// Look returns what decides about requests for a server, see [Gate.Inspect].
+func (c *Core) Look(now time.Time, name ident.Server) Snapshot {
 	if s := c.byName[name]; s != nil {
-		v := Sight{Running: s.running, Most: s.most(now), Slots: s.info.Slots}
+		v := Snapshot{Running: s.running, Limit: s.most(now), Slots: s.info.Slots}
 		if s.own != nil {
 			v.Waiting = s.own.len()
 		}
 		if !s.toldAt.IsZero() {
-			v.Load, v.Age = s.told, now.Sub(s.toldAt)
+			v.Load, v.LoadAge = s.told, now.Sub(s.toldAt)
 		}
-		v.Far = c.cfg.Centre != "" && s.info.Centre != c.cfg.Centre
+		v.Remote = c.cfg.Centre != "" && s.info.Centre != c.cfg.Centre
 		return v
 	}
-	return Sight{Running: c.running, Most: int(c.width[sizes.Short]), Waiting: c.any.len()}
+	return Snapshot{Running: c.running, Limit: int(c.width[sizes.Short]), Waiting: c.any.len()}
 }
 
 func (s *server) stats(now time.Time) ServerStats {
--- a/internal/load/gate/bench_test.go
+++ b/internal/load/gate/bench_test.go
@@ -102,6 +102,6 @@
 	c.scoreAt = begin
 	b.ReportAllocs()
 	for b.Loop() {
-		c.open.Two(c.rng, -1, c.score)
+		c.open.Choose(c.rng, -1, c.score)
 	}
 }
--- a/internal/load/gate/cold_test.go
+++ b/internal/load/gate/cold_test.go
@@ -67,7 +67,7 @@
 				continue
 			}
 			kind, _ := k.Refusal()
-			assert.Assert(t, kind == kinds.Late || kind == kinds.Busy, "%v", kind)
+			assert.Assert(t, kind == kinds.DeadlineMissed || kind == kinds.Busy, "%v", kind)
 			if now.Sub(begin) > work+500*time.Millisecond {
 				late++
 			}
--- a/internal/load/gate/core.go
+++ b/internal/load/gate/core.go
@@ -19,22 +19,22 @@
 	Service  ident.Service
 	Deadline time.Duration // for jobs without one; zero is DefaultDeadline
 	Queue    int           // most requests waiting in one queue; zero is the queue's default
-	Held     int           // most requests waiting for moves; zero is DefaultHeld
+	MaxHeld  int           // most requests waiting for moves; zero is DefaultHeld
 	Seed     uint64        // of the random choices; zero takes a fresh one
-	// Extra bounds the attempts beyond the first of all VMs together: a share of the
+	// RetryBudget bounds the attempts beyond the first of all VMs together: a share of the
 	// requests, and a burst that the VMs divide. Zero leaves it to package retry.
-	Extra Extra
-	// Ask is the pause between two requests that go and ask whether the owner of a
+	RetryBudget RetryBudget
+	// ProbeInterval is the pause between two requests that go and ask whether the owner of a
 	// key takes them yet. Zero suits backend servers that are asked for nothing, see
 	// firstAsk; where each attempt is counted and owners are told at once, more.
-	Ask time.Duration
+	ProbeInterval time.Duration
 	// Centre is this VM's data centre. A server there is preferred to others; empty
 	// means no preference.
 	Centre ident.Centre
 }
 
-// Extra is a bound on attempts beyond the first.
-type Extra struct {
+// RetryBudget is a bound on attempts beyond the first.
+type RetryBudget struct {
 	Share float64
 	Burst float64
 }
@@ -73,7 +73,7 @@
 	open    pick.Set
 	near    pick.Set // those of open in this VM's data centre
 	warm    pick.Set // those of open, near if any are, that were used a moment ago
-	panel   health.Panel
+	panel   health.Monitor
 	checked []*health.Server // argument of panel.Judge, kept for reuse
 	score   func(int) float64
 	scoreAt time.Time
@@ -84,9 +84,9 @@
 	width   [sizes.Kinds]float64
 	holds   holds
 	spaced  spacings                      // keys for which their owner was crowded
-	owner   func(ident.Key) (Place, bool) // nil when owners are not followed
+	owner   func(ident.Key) (Owner, bool) // nil when owners are not followed
 	askAt   time.Time                     // when a request that is held goes and asks
-	mix     sizes.Mix
+	mix     sizes.Classifier
 	share   sizes.Share
 	budget  retry.Budget
 	press   float64 // recent share of requests refused
@@ -110,8 +110,8 @@
 	if cfg.Deadline <= 0 {
 		cfg.Deadline = DefaultDeadline
 	}
-	if cfg.Held <= 0 {
-		cfg.Held = DefaultHeld
+	if cfg.MaxHeld <= 0 {
+		cfg.MaxHeld = DefaultHeld
 	}
 	if cfg.Seed == 0 {
 		cfg.Seed = rand.Uint64()
@@ -166,9 +166,9 @@
 	switch {
 	case t.Job.again:
 	case t.Job.Repeat:
-		c.budget.Repeat()
+		c.budget.ChargeRepeat()
 	default:
-		c.budget.First()
+		c.budget.Earn()
 	}
 }
 
@@ -209,7 +209,7 @@
 	if l.q.Standing() {
 		l.see(debt)
 	}
-	if l.q.Standing() && debt > fair.Much && !c.spare(now, l, owner) {
+	if l.q.Standing() && debt > fair.HotDebt && !c.spare(now, l, owner) {
 		l.heldOff(now)
 		return c.refuse(t, kinds.Busy, c.hint(l.callers.Delay(debt)))
 	}
@@ -249,7 +249,7 @@
 	c.press -= c.press * pressFollow
 	c.setOpen(now, s)
 	if c.judgeAt.IsZero() {
-		c.judgeAt = now.Add(health.Every)
+		c.judgeAt = now.Add(health.CheckInterval)
 	}
 }
 
@@ -315,12 +315,12 @@
 	l.popped(now)
 	c.waiting--
 	if t.Job.Deadline.Sub(now) < margin*c.typical(kind) {
-		l.q.Full(now)
+		l.q.MarkFull(now)
 		l.refund(t)
-		c.decide(t, kinds.Late, c.hint(c.each(now, owned(ls, s), kind)))
+		c.decide(t, kinds.DeadlineMissed, c.hint(c.each(now, owned(ls, s), kind)))
 		return true
 	}
-	s.limit[s.kind].Tight() // it waited for a place here
+	s.limit[s.kind].MarkLimited() // it waited for a place here
 	ls.spend(kind, c.typical(kind).Seconds())
 	c.start(now, t, s)
 	c.ready = append(c.ready, t)
--- a/internal/load/gate/core_test.go
+++ b/internal/load/gate/core_test.go
@@ -34,7 +34,7 @@
 
 func newMachine(t *rapid.T) *machine {
 	m := &machine{
-		core: NewCore(Config{Seed: 7, Queue: 6, Held: 4}), now: begin,
+		core: NewCore(Config{Seed: 7, Queue: 6, MaxHeld: 4}), now: begin,
 		decided: map[*Ticket]int{}, waiting: map[*Ticket]bool{}, owners: map[ident.Key]ident.Server{},
 	}
 	m.core.Follow(m.now, m.place)
@@ -43,9 +43,9 @@
 }
 
 // place looks the owner of a key up; the keys k0 and k1 share a slice.
-func (m *machine) place(k ident.Key) (Place, bool) {
+func (m *machine) place(k ident.Key) (Owner, bool) {
 	s, ok := m.owners[k]
-	return Place{Server: s, Slice: sliceOf(k)}, ok
+	return Owner{Server: s, Slice: sliceOf(k)}, ok
 }
 
 func sliceOf(k ident.Key) ident.Slice {
@@ -92,8 +92,8 @@
 	}
 	if rapid.Bool().Draw(t, "keyed") {
 		j.Key = "k" + ident.Key(strconv.Itoa(m.n%4))
-		j.Slice, j.Hot = sliceOf(j.Key), j.Key == "k3"
-		j.Patience = time.Duration(rapid.IntRange(0, 300).Draw(t, "patience")) * time.Millisecond
+		j.Slice, j.HotKey = sliceOf(j.Key), j.Key == "k3"
+		j.MaxOwnerWait = time.Duration(rapid.IntRange(0, 300).Draw(t, "patience")) * time.Millisecond
 		j.Server = name(rapid.IntRange(0, servers-1).Draw(t, "owner")) // the caller's table may be old
 	}
 	k := &Ticket{Job: j}
@@ -120,7 +120,7 @@
 			continue
 		}
 		m.running = append(m.running[:i], m.running[i+1:]...)
-		again := &Ticket{Job: k.Job.Again("")}
+		again := &Ticket{Job: k.Job.NextAttempt("")}
 		m.core.Done(m.now, k, Outcome{Kind: kinds.Misrouted, Refused: true})
 		m.collect(t)
 		m.take(t, again, m.core.Await(m.now, again))
@@ -162,7 +162,7 @@
 	if k.long == sizes.Long && m.core.mix.Mixed(m.now) {
 		assert.Assert(t, k.Job.Server == "" || srv.long <= max(srv.info.Slots/2, 1), "uploads on more than half the slots")
 	}
-	assert.Assert(t, srv.running <= srv.pool.Most(m.now), "more than the connections")
+	assert.Assert(t, srv.running <= srv.pool.Max(m.now), "more than the connections")
 }
 
 func (m *machine) Done(t *rapid.T) {
@@ -249,7 +249,7 @@
 func (m *machine) Check(t *rapid.T) {
 	st := m.core.Stats(m.now)
 	assert.Equal(t, st.Waiting+st.Held, len(m.waiting))
-	assert.Assert(t, st.Held <= m.core.cfg.Held, "more held than the bound")
+	assert.Assert(t, st.Held <= m.core.cfg.MaxHeld, "more held than the bound")
 	for k, n := range m.decided {
 		assert.Equal(t, n, 1, "decided twice")
 		assert.Assert(t, !m.waiting[k])
--- a/internal/load/gate/gate.go
+++ b/internal/load/gate/gate.go
@@ -72,20 +72,20 @@
 // Late (the deadline cannot be met), Moving (the key is between owners),
 // NoServer, Closing, or Canceled when ctx ended first. In each case nothing was
 // sent. A caller that goes away frees its place at once.
-func (g *Gate) Enter(ctx context.Context, j Job) (Pass, error) {
+func (g *Gate) Enter(ctx context.Context, j Job) (Permit, error) {
 	return g.enter(ctx, j, g.core.Offer)
 }
 
-// Await asks for a place like [Gate.Enter], for a request whose key is between
+// WaitOwner asks for a place like [Gate.Enter], for a request whose key is between
 // owners: the server of the job said that it is not the owner, or could not be
 // reached, or none is known. It waits, bounded, behind those of the key who were
 // asked before, until the key's owner takes requests or the deadline or the
 // patience of the job can no longer be kept (kind Moving).
-func (g *Gate) Await(ctx context.Context, j Job) (Pass, error) {
+func (g *Gate) WaitOwner(ctx context.Context, j Job) (Permit, error) {
 	return g.enter(ctx, j, g.core.Await)
 }
 
-func (g *Gate) enter(ctx context.Context, j Job, offer func(time.Time, *Ticket) Verdict) (Pass, error) {
+func (g *Gate) enter(ctx context.Context, j Job, offer func(time.Time, *Ticket) Verdict) (Permit, error) {
 	g.mu.Lock()
 	t := g.ticket(j)
 	gen := t.gen
@@ -100,7 +100,7 @@
 }
 
 // await waits until the core has decided, or the caller goes away.
-func (g *Gate) await(ctx context.Context, t *Ticket, gen uint64) (Pass, error) {
+func (g *Gate) await(ctx context.Context, t *Ticket, gen uint64) (Permit, error) {
 	select {
 	case <-t.wake:
 		g.mu.Lock()
@@ -117,21 +117,21 @@
 	g.recycle(t)
 	g.mu.Unlock()
 	if errors.Is(ctx.Err(), context.DeadlineExceeded) {
-		return Pass{}, refusal(kinds.Late, 0)
+		return Permit{}, refusal(kinds.DeadlineMissed, 0)
 	}
-	return Pass{}, refusal(kinds.Canceled, 0)
+	return Permit{}, refusal(kinds.Canceled, 0)
 }
 
 // settle turns a decided ticket into the answer for the caller. It is called
 // with the lock held and releases it.
-func (g *Gate) settle(t *Ticket, gen uint64) (Pass, error) {
+func (g *Gate) settle(t *Ticket, gen uint64) (Permit, error) {
 	defer g.mu.Unlock()
 	if t.state == started {
-		return Pass{g: g, t: t, gen: gen, server: t.Server()}, nil
+		return Permit{g: g, t: t, gen: gen, server: t.Server()}, nil
 	}
 	err := refusal(t.kind, t.after)
 	g.recycle(t)
-	return Pass{}, err
+	return Permit{}, err
 }
 
 // SetServers replaces the list of backend servers. A server that is no longer
@@ -153,15 +153,15 @@
 	g.change(func(now time.Time) { g.core.Report(now, s, load, age) })
 }
 
-// Follow sets how the owner of a key is looked up, which must be quick and must
-// not call the gate. Call [Gate.Moved] whenever its answers have changed.
-func (g *Gate) Follow(owner func(ident.Key) (Place, bool)) {
+// SetOwnerLookup sets how the owner of a key is looked up, which must be quick and must
+// not call the gate. Call [Gate.OwnersChanged] whenever its answers have changed.
+func (g *Gate) SetOwnerLookup(owner func(ident.Key) (Owner, bool)) {
 	g.change(func(now time.Time) { g.core.Follow(now, owner) })
 }
 
-// Moved says that owners have changed: requests whose key has another one now
+// OwnersChanged says that owners have changed: requests whose key has another one now
 // go there at once.
-func (g *Gate) Moved() { g.change(g.core.Moved) }
+func (g *Gate) OwnersChanged() { g.change(g.core.Moved) }
 
 // Conns returns how many connections this entry VM may hold open to a server,
 // and how many of them to keep warm while idle.
@@ -179,21 +179,21 @@
 	return g.core.HedgeAfter()
 }
 
-// Sight is what the gate sees of where a request was to go: of its key's owner, or of
+// Snapshot is what the gate sees of where a request was to go: of its key's owner, or of
 // all servers together.
-type Sight struct {
+type Snapshot struct {
 	Running int           // requests of this VM there
-	Most    int           // as many may run there
+	Limit   int           // as many may run there
 	Waiting int           // requests of this VM that wait for a place there
 	Load    int           // the server's last word on requests running and waiting there
-	Age     time.Duration // of that word; zero if there was none
-	Far     bool          // it is in another data centre
+	LoadAge time.Duration // of that word; zero if there was none
+	Remote  bool          // it is in another data centre
 	Slots   int           // requests that it works on at once
 }
 
-// Look returns what decides about requests for a server's keys now, or, for the empty
+// Inspect returns what decides about requests for a server's keys now, or, for the empty
 // name, about those that may go anywhere.
-func (g *Gate) Look(s ident.Server) Sight {
+func (g *Gate) Inspect(s ident.Server) Snapshot {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.core.Look(time.Now(), s)
--- a/internal/load/gate/gate_test.go
+++ b/internal/load/gate/gate_test.go
@@ -34,7 +34,7 @@
 		ctx, cancel := context.WithTimeout(t.Context(), 10*time.Millisecond)
 		defer cancel()
 		_, err = g.Enter(ctx, Job{Caller: "leaver"})
-		assert.Equal(t, kinds.Of(err), kinds.Late)
+		assert.Equal(t, kinds.Of(err), kinds.DeadlineMissed)
 		assert.Equal(t, g.Stats().Waiting, 0)
 		first.Done(Outcome{})
 		next, err := g.Enter(t.Context(), Job{Caller: "next"})
--- a/internal/load/gate/grey_test.go
+++ b/internal/load/gate/grey_test.go
@@ -19,7 +19,7 @@
 		greyPart = 0.45
 		owners   = 100
 	)
-	c := NewCore(Config{Seed: 1, Extra: Extra{Share: greyShare, Burst: greyBurst * fleet}})
+	c := NewCore(Config{Seed: 1, RetryBudget: RetryBudget{Share: greyShare, Burst: greyBurst * fleet}})
 	now := time.Unix(1000, 0)
 	var list []ServerInfo
 	for i := range owners {
@@ -50,7 +50,7 @@
 			if o.Kind == kinds.None {
 				served++
 			}
-			job = job.Again(tk.Server())
+			job = job.NextAttempt(tk.Server())
 		}
 		c.Tick(now)
 	}
--- a/internal/load/gate/hold.go
+++ b/internal/load/gate/hold.go
@@ -42,15 +42,15 @@
 	forget = time.Second
 )
 
-// Place is where a key is served, and under which authority.
-type Place struct {
+// Owner is where a key is served, and under which authority.
+type Owner struct {
 	Server ident.Server
 	Slice  ident.Slice
 	Epoch  ident.Epoch
 }
 
-// Follow sets how the owner of a key is looked up. See [Core.Moved].
-func (c *Core) Follow(now time.Time, owner func(ident.Key) (Place, bool)) {
+// Follow sets how the owner of a key is looked up. See [Core.OwnersChanged].
+func (c *Core) Follow(now time.Time, owner func(ident.Key) (Owner, bool)) {
 	c.owner = owner
 	c.Moved(now)
 }
@@ -72,8 +72,8 @@
 // hold keeps a request whose owner did not take it.
 func (c *Core) hold(now time.Time, t *Ticket) Verdict {
 	h := c.holds.open(now, &t.Job)
-	if h.refused.IsZero() && c.cfg.Ask > 0 {
-		h.ask = now.Add(c.cfg.Ask)
+	if h.refused.IsZero() && c.cfg.ProbeInterval > 0 {
+		h.ask = now.Add(c.cfg.ProbeInterval)
 	}
 	h.at, h.refused = t.Job.place(), now
 	return c.keep(now, h, t)
@@ -89,9 +89,9 @@
 	return c.hold(now, t)
 }
 
-func (c *Core) lookup(k ident.Key) (Place, bool) {
+func (c *Core) lookup(k ident.Key) (Owner, bool) {
 	if c.owner == nil {
-		return Place{}, false
+		return Owner{}, false
 	}
 	return c.owner(k)
 }
@@ -107,7 +107,7 @@
 }
 
 // mayAgain charges a request that is sent once more, where that is bounded.
-func (c *Core) mayAgain() bool { return c.cfg.Extra.Burst == 0 || c.budget.Again() }
+func (c *Core) mayAgain() bool { return c.cfg.RetryBudget.Burst == 0 || c.budget.ChargeSafe() }
 
 func (h *hold) asking(now time.Time, least time.Duration) {
 	h.pause = max(min(2*h.pause, lastAsk), least)
@@ -138,7 +138,7 @@
 
 // asking notes that a request of the hold goes and asks now.
 func (c *Core) asking(now time.Time, h *hold) {
-	h.asking(now, c.cfg.Ask)
+	h.asking(now, c.cfg.ProbeInterval)
 	if s := c.byName[h.at.Server]; s != nil {
 		s.asks.asking(now)
 	}
@@ -176,26 +176,26 @@
 	if !back {
 		t.Job.met = now
 	}
-	t.item.By = t.Job.Deadline.Add(-margin * c.typical(t.long))
-	if by := t.Job.met.Add(t.Job.Patience); t.Job.Patience > 0 && by.Before(t.item.By) {
-		t.item.By = by
+	t.item.Deadline = t.Job.Deadline.Add(-margin * c.typical(t.long))
+	if by := t.Job.met.Add(t.Job.MaxOwnerWait); t.Job.MaxOwnerWait > 0 && by.Before(t.item.Deadline) {
+		t.item.Deadline = by
 	}
 	left := c.holds.left(now, h)
-	due := t.item.By.Sub(now)
+	due := t.item.Deadline.Sub(now)
 	switch {
 	case due <= 0, !back && due < left+c.drained(h):
 		return c.refuse(t, kinds.Moving, c.hint(left))
-	case back && c.holds.n >= c.cfg.Held:
+	case back && c.holds.n >= c.cfg.MaxHeld:
 		c.giveWay(h, t)
 	}
-	if c.holds.n >= c.cfg.Held || !back && !c.holds.room(c.cfg.Held, t.Job.Caller) {
+	if c.holds.n >= c.cfg.MaxHeld || !back && !c.holds.room(c.cfg.MaxHeld, t.Job.Caller) {
 		return c.refuse(t, kinds.Moving, c.hint(left))
 	}
 	t.state = held
 	c.holds.add(h, t)
 	c.stats.Queued++
-	if c.soonest.IsZero() || t.item.By.Before(c.soonest) {
-		c.soonest = t.item.By
+	if c.soonest.IsZero() || t.item.Deadline.Before(c.soonest) {
+		c.soonest = t.item.Deadline
 	}
 	c.askSoon(h)
 	return Wait
@@ -309,13 +309,13 @@
 	}
 	c.holds.learn(now, h)
 	all := c.empty(h)
-	if t.Job.Hot {
+	if t.Job.HotKey {
 		delete(c.holds.keys, t.Job.Key)
 	} else {
 		delete(c.holds.slices, t.Job.Slice)
 	}
 	c.release(now, all, true)
-	if c.cfg.Ask == 0 {
+	if c.cfg.ProbeInterval == 0 {
 		c.obeyed(now, t.srv)
 	}
 }
--- a/internal/load/gate/hold_test.go
+++ b/internal/load/gate/hold_test.go
@@ -18,15 +18,15 @@
 // mover is a core whose one slice moves from a to b.
 type mover struct {
 	core  *Core
-	owner Place
+	owner Owner
 	known bool
 	now   time.Time
 }
 
 func newMover(held int) *mover {
-	m := &mover{core: NewCore(Config{Seed: 1, Held: held}), owner: Place{Server: "a", Slice: 1, Epoch: 1}, known: true, now: begin}
+	m := &mover{core: NewCore(Config{Seed: 1, MaxHeld: held}), owner: Owner{Server: "a", Slice: 1, Epoch: 1}, known: true, now: begin}
 	m.core.SetServers(begin, []ServerInfo{{Name: "a", Slots: 4, Conns: 10}, {Name: "b", Slots: 1, Conns: 1}})
-	m.core.Follow(begin, func(ident.Key) (Place, bool) { return m.owner, m.known })
+	m.core.Follow(begin, func(ident.Key) (Owner, bool) { return m.owner, m.known })
 	return m
 }
 
@@ -39,7 +39,7 @@
 
 // refused is a request that the owner of the table turned away.
 func (m *mover) refused(c ident.Caller, left time.Duration) (*Ticket, Verdict) {
-	t := &Ticket{Job: m.job(c, left).Again("")}
+	t := &Ticket{Job: m.job(c, left).NextAttempt("")}
 	return t, m.core.Await(m.now, t)
 }
 
@@ -71,7 +71,7 @@
 			}
 			asked++
 			m.core.Done(m.now, k, Outcome{Kind: kinds.Misrouted, Refused: true})
-			m.core.Await(m.now, &Ticket{Job: k.Job.Again("")})
+			m.core.Await(m.now, &Ticket{Job: k.Job.NextAttempt("")})
 		}
 	}
 	return asked
@@ -85,18 +85,18 @@
 		g := New(Config{Seed: 1})
 		defer g.Close()
 		g.SetServers([]ServerInfo{{Name: "a", Slots: 4, Conns: 10}, {Name: "b", Slots: 4, Conns: 10}})
-		var owner atomic.Pointer[Place]
-		owner.Store(&Place{Server: "a", Slice: 1, Epoch: 1})
-		g.Follow(func(ident.Key) (Place, bool) { return *owner.Load(), true })
+		var owner atomic.Pointer[Owner]
+		owner.Store(&Owner{Server: "a", Slice: 1, Epoch: 1})
+		g.SetOwnerLookup(func(ident.Key) (Owner, bool) { return *owner.Load(), true })
 		job := Job{Key: "scale-7", Slice: 1, Server: "a", Epoch: 1}
 		first, err := g.Enter(t.Context(), job)
 		assert.NilError(t, err)
 		time.AfterFunc(5*time.Millisecond, func() {
-			owner.Store(&Place{Server: "b", Slice: 1, Epoch: 2})
-			g.Moved()
+			owner.Store(&Owner{Server: "b", Slice: 1, Epoch: 2})
+			g.OwnersChanged()
 		})
 		start := time.Now()
-		p, err := first.Await(t.Context(), Outcome{Kind: kinds.Misrouted, Refused: true})
+		p, err := first.WaitOwner(t.Context(), Outcome{Kind: kinds.Misrouted, Refused: true})
 		assert.NilError(t, err)
 		assert.Equal(t, p.Server(), ident.Server("b"))
 		assert.Equal(t, time.Since(start), 5*time.Millisecond)
@@ -125,7 +125,7 @@
 			assert.Equal(t, v, Wait)
 			asked = append(asked, k)
 		}
-		m.owner = Place{Server: "b", Slice: 1, Epoch: 2}
+		m.owner = Owner{Server: "b", Slice: 1, Epoch: 2}
 		m.core.Moved(m.now)
 		var ran []*Ticket
 		for len(ran) < len(asked) {
@@ -201,8 +201,8 @@
 func TestPatienceCountsFromTheFirstMeeting(t *testing.T) {
 	m := newMover(100)
 	j := m.job("c", time.Hour)
-	j.Patience = 300 * time.Millisecond
-	k := &Ticket{Job: j.Again("")}
+	j.MaxOwnerWait = 300 * time.Millisecond
+	k := &Ticket{Job: j.NextAttempt("")}
 	assert.Equal(t, m.core.Await(m.now, k), Wait)
 	for {
 		got := m.pass(time.Millisecond)
@@ -214,7 +214,7 @@
 			break
 		}
 		m.core.Done(m.now, got[0], Outcome{Kind: kinds.Misrouted, Refused: true})
-		k = &Ticket{Job: got[0].Job.Again("")}
+		k = &Ticket{Job: got[0].Job.NextAttempt("")}
 		if m.core.Await(m.now, k) == Refuse {
 			break
 		}
@@ -251,17 +251,17 @@
 	young, v := m.offer("young", time.Hour)
 	assert.Equal(t, v, Start)
 	for i := range 4 {
-		k := &Ticket{Job: m.job(ident.Caller(strconv.Itoa(i)), time.Hour).Again("")}
+		k := &Ticket{Job: m.job(ident.Caller(strconv.Itoa(i)), time.Hour).NextAttempt("")}
 		k.Job.asked, k.Job.met = begin.Add(-time.Second), begin
 		assert.Equal(t, m.core.Await(m.now, k), Wait)
 	}
 	m.now = m.now.Add(time.Millisecond)
-	back := &Ticket{Job: young.Job.Again("")}
+	back := &Ticket{Job: young.Job.NextAttempt("")}
 	back.Job.met = m.now
 	m.core.Done(m.now, young, Outcome{Kind: kinds.Misrouted, Refused: true})
 	assert.Equal(t, m.core.Await(m.now, back), Refuse)
 	assert.Equal(t, m.core.Stats(m.now).Held, 4)
-	old := &Ticket{Job: m.job("old", time.Hour).Again("")}
+	old := &Ticket{Job: m.job("old", time.Hour).NextAttempt("")}
 	old.Job.asked, old.Job.met = begin.Add(-2*time.Second), begin
 	assert.Equal(t, m.core.Await(m.now, old), Wait, "older than all: the newest gives way")
 	assert.Equal(t, m.core.Stats(m.now).Held, 4)
@@ -291,8 +291,8 @@
 func TestAHotKeysMoveHoldsNobodyElse(t *testing.T) {
 	m := newMover(100)
 	j := m.job("c", time.Hour)
-	j.Hot = true
-	hot := &Ticket{Job: j.Again("")}
+	j.HotKey = true
+	hot := &Ticket{Job: j.NextAttempt("")}
 	assert.Equal(t, m.core.Await(m.now, hot), Wait)
 	_, v := m.offer("other", time.Hour)
 	assert.Equal(t, v, Start)
@@ -307,7 +307,7 @@
 	m := newMover(4 * slices)
 	m.known = false
 	await := func(j Job) {
-		m.core.Await(m.now, &Ticket{Job: j.Again("")})
+		m.core.Await(m.now, &Ticket{Job: j.NextAttempt("")})
 	}
 	for i := range slices {
 		j := m.job("weighbridge", time.Hour)
--- a/internal/load/gate/holds.go
+++ b/internal/load/gate/holds.go
@@ -11,7 +11,7 @@
 // between owners.
 type hold struct {
 	key     ident.Key // of the first request, to look the owner up
-	at      Place     // who refused it last
+	at      Owner     // who refused it last
 	since   time.Time
 	refused time.Time // when it did
 	ask     time.Time // when one of those who wait goes and asks
@@ -33,7 +33,7 @@
 	switch {
 	case j.Key == "":
 		return nil
-	case j.Hot:
+	case j.HotKey:
 		return h.keys[j.Key]
 	default:
 		return h.slices[j.Slice]
@@ -50,7 +50,7 @@
 		h.callers = map[ident.Caller]int{}
 	}
 	made := &hold{key: j.Key, since: now, ask: now.Add(firstAsk), pause: firstAsk}
-	if j.Hot {
+	if j.HotKey {
 		h.keys[j.Key] = made
 	} else {
 		h.slices[j.Slice] = made
@@ -138,9 +138,9 @@
 	var next time.Time
 	h.each(func(held *hold) bool {
 		held.waiting = slices.DeleteFunc(held.waiting, func(t *Ticket) bool {
-			if now.Before(t.item.By) {
-				if next.IsZero() || t.item.By.Before(next) {
-					next = t.item.By
+			if now.Before(t.item.Deadline) {
+				if next.IsZero() || t.item.Deadline.Before(next) {
+					next = t.item.Deadline
 				}
 				return false
 			}
--- a/internal/load/gate/long.go
+++ b/internal/load/gate/long.go
@@ -35,7 +35,7 @@
 	if s.long >= max(s.info.Slots/2, 1) {
 		return false
 	}
-	at, holds := c.token(s).Turn(now, s.idx)
+	at, holds := c.token(s).Window(now, s.idx)
 	if !holds || s.turn.used == at {
 		return false
 	}
@@ -63,6 +63,6 @@
 
 // useTurn notes that a long request starts with the token.
 func (c *Core) useTurn(now time.Time, s *server) {
-	at, _ := c.token(s).Turn(now, s.idx)
+	at, _ := c.token(s).Window(now, s.idx)
 	s.turn = turn{used: at}
 }
--- a/internal/load/gate/lost_test.go
+++ b/internal/load/gate/lost_test.go
@@ -22,7 +22,7 @@
 
 func (l *loss) ask(slice int) {
 	j := l.job(ident.Caller("caller-"+strconv.Itoa(slice)), 3*time.Second)
-	j.Slice, j.Key, j.Patience = ident.Slice(slice), ident.Key(strconv.Itoa(slice)), 2*time.Second
+	j.Slice, j.Key, j.MaxOwnerWait = ident.Slice(slice), ident.Key(strconv.Itoa(slice)), 2*time.Second
 	k := &Ticket{Job: j}
 	switch l.core.Offer(l.now, k) {
 	case Start:
@@ -30,7 +30,7 @@
 	case Refuse:
 		kind, _ := k.Refusal()
 		assert.Equal(l.t, kind, kinds.NoServer)
-		again := &Ticket{Job: k.Job.Again("")}
+		again := &Ticket{Job: k.Job.NextAttempt("")}
 		assert.Equal(l.t, l.core.Await(l.now, again), Wait)
 	default:
 	}
@@ -41,7 +41,7 @@
 	l.failed++
 	l.settle(l.pass(5 * time.Millisecond))
 	l.core.Done(l.now, k, Outcome{Kind: kinds.NoServer})
-	l.core.Await(l.now, &Ticket{Job: k.Job.Again("")})
+	l.core.Await(l.now, &Ticket{Job: k.Job.NextAttempt("")})
 }
 
 func (l *loss) settle(decided []*Ticket) {
@@ -60,7 +60,7 @@
 func TestThoseWhoWaitForALostOwnersKeysAreNotTurnedAway(t *testing.T) {
 	const slices = 8
 	l := &loss{mover: newMover(0), t: t}
-	l.core.Follow(begin, func(k ident.Key) (Place, bool) {
+	l.core.Follow(begin, func(k ident.Key) (Owner, bool) {
 		x, err := strconv.Atoi(string(k))
 		p := l.owner
 		p.Slice = ident.Slice(x)
@@ -73,7 +73,7 @@
 		l.settle(l.pass(10 * time.Millisecond))
 	}
 	assert.Assert(t, l.failed > slices)
-	l.owner = Place{Server: "b", Epoch: 2}
+	l.owner = Owner{Server: "b", Epoch: 2}
 	l.core.Moved(l.now)
 	served := 0
 	for until := l.now.Add(2 * time.Second); l.now.Before(until); {
--- a/internal/load/gate/near_test.go
+++ b/internal/load/gate/near_test.go
@@ -71,7 +71,7 @@
 		for range 200 {
 			now = now.Add(20 * time.Millisecond)
 			c.Tick(now)
-			tk := &Ticket{Job: Job{Deadline: now.Add(time.Second), Aim: 200 * time.Millisecond}, wake: make(chan struct{}, 1)}
+			tk := &Ticket{Job: Job{Deadline: now.Add(time.Second), LatencyTarget: 200 * time.Millisecond}, wake: make(chan struct{}, 1)}
 			assert.Equal(t, c.Offer(now, tk), Start)
 			took := one.near
 			if tk.Server() == "b" || tk.Server() == "d" {
--- a/internal/load/gate/pass.go
+++ b/internal/load/gate/pass.go
@@ -8,9 +8,9 @@
 	"hawthornfield.org/hawthornfield/internal/core/kinds"
 )
 
-// Pass is a place on a backend server. It is held from Enter until Done; the
+// Permit is a place on a backend server. It is held from Enter until Done; the
 // zero value holds nothing. Copy it freely: Done counts once.
-type Pass struct {
+type Permit struct {
 	g      *Gate
 	t      *Ticket
 	gen    uint64
@@ -18,11 +18,11 @@
 }
 
 // Server returns the backend server to send the request to.
-func (p Pass) Server() ident.Server { return p.server }
+func (p Permit) Server() ident.Server { return p.server }
 
 // Done gives the place back and tells the gate what was observed. A second
 // call does nothing.
-func (p Pass) Done(o Outcome) {
+func (p Permit) Done(o Outcome) {
 	if p.g == nil {
 		return
 	}
@@ -44,14 +44,14 @@
 //
 // The next attempt may wait in the queue, as Enter does, and avoids the server
 // that failed where the service is not divided by key.
-func (p Pass) Retry(ctx context.Context, o Outcome) (Pass, bool) {
+func (p Permit) Retry(ctx context.Context, o Outcome) (Permit, bool) {
 	if p.g == nil {
-		return Pass{}, false
+		return Permit{}, false
 	}
 	p.g.mu.Lock()
 	if !p.live() {
 		p.g.mu.Unlock()
-		return Pass{}, false
+		return Permit{}, false
 	}
 	now := time.Now()
 	job := p.t.Job
@@ -61,7 +61,7 @@
 	p.g.wake()
 	p.g.mu.Unlock()
 	if !ok {
-		return Pass{}, false
+		return Permit{}, false
 	}
 	job.again = true
 	job.avoid = p.server
@@ -69,17 +69,17 @@
 	return next, err == nil
 }
 
-// Await ends this attempt with its outcome, because the server said that it is
+// WaitOwner ends this attempt with its outcome, because the server said that it is
 // not the key's owner or could not be reached, and waits for the owner as
-// [Gate.Await] does, in the place that the request's age gives it.
-func (p Pass) Await(ctx context.Context, o Outcome) (Pass, error) {
+// [Gate.WaitOwner] does, in the place that the request's age gives it.
+func (p Permit) WaitOwner(ctx context.Context, o Outcome) (Permit, error) {
 	if p.g == nil {
-		return Pass{}, refusal(kinds.NoOwner, 0)
+		return Permit{}, refusal(kinds.NoOwner, 0)
 	}
 	p.g.mu.Lock()
 	if !p.live() {
 		p.g.mu.Unlock()
-		return Pass{}, refusal(kinds.NoOwner, 0)
+		return Permit{}, refusal(kinds.NoOwner, 0)
 	}
 	job := p.t.Job
 	job.again = true
@@ -87,7 +87,7 @@
 	p.g.recycle(p.t)
 	p.g.wake()
 	p.g.mu.Unlock()
-	return p.g.Await(ctx, job)
+	return p.g.WaitOwner(ctx, job)
 }
 
 // Hedge asks for a second place for the same idempotent request on another
@@ -95,15 +95,15 @@
 // granted only when a server is free now and the hedge budget has room. When
 // the first answer arrives, cancel the other request and end its Pass with
 // Outcome{Kind: kinds.Canceled}.
-func (p Pass) Hedge() (Pass, bool) {
+func (p Permit) Hedge() (Permit, bool) {
 	if p.g == nil {
-		return Pass{}, false
+		return Permit{}, false
 	}
 	g := p.g
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if !p.live() {
-		return Pass{}, false
+		return Permit{}, false
 	}
 	job := p.t.Job
 	job.again = true
@@ -111,13 +111,13 @@
 	t := g.ticket(job)
 	if !g.core.Hedge(time.Now(), t) {
 		g.recycle(t)
-		return Pass{}, false
+		return Permit{}, false
 	}
-	return Pass{g: g, t: t, gen: t.gen, server: t.Server()}, true
+	return Permit{g: g, t: t, gen: t.gen, server: t.Server()}, true
 }
 
 // live reports whether the pass still holds its place.
-func (p Pass) live() bool { return p.t.gen == p.gen && p.t.state == started }
+func (p Permit) live() bool { return p.t.gen == p.gen && p.t.state == started }
 
 // Cancel is the outcome of an attempt whose answer is no longer wanted.
 func Cancel() Outcome { return Outcome{Kind: kinds.Canceled} }
--- a/internal/load/gate/pause_test.go
+++ b/internal/load/gate/pause_test.go
@@ -91,7 +91,7 @@
 			serve(0, 300*time.Millisecond)
 			for range 3 {
 				serve(0, 6*time.Millisecond)
-				now = now.Add(health.Every)
+				now = now.Add(health.CheckInterval)
 				c.Tick(now)
 				assert.Equal(t, c.Stats(now).Ejected, 0)
 			}
@@ -116,7 +116,7 @@
 	c.Tick(now)
 	assert.Equal(t, c.Stats(now).Ejected, 0)
 	for range 11 {
-		now = now.Add(health.Every / 10)
+		now = now.Add(health.CheckInterval / 10)
 		c.Tick(now)
 	}
 	assert.Equal(t, c.Stats(now).Ejected, 1)
--- a/internal/load/gate/place.go
+++ b/internal/load/gate/place.go
@@ -21,11 +21,11 @@
 		skip = s.idx
 	}
 	c.scoreAt = now
-	i := c.open.Two(c.rng, skip, c.score)
+	i := c.open.Choose(c.rng, skip, c.score)
 	if i < 0 {
 		return nil
 	}
-	if n := c.near.Two(c.rng, skip, c.score); n >= 0 && n != skip && c.stays(t, n, i) {
+	if n := c.near.Choose(c.rng, skip, c.score); n >= 0 && n != skip && c.stays(t, n, i) {
 		i = n
 	}
 	return c.servers[c.warmer(now, i, skip)]
@@ -45,7 +45,7 @@
 // alone before).
 func (c *Core) stays(t *Ticket, near, best int) bool {
 	n, b := &c.servers[near].load, &c.servers[best].load
-	if t.Job.Aim > 0 && n.Fails() <= mostFails && n.Answer()-b.Answer() <= t.Job.Aim {
+	if t.Job.LatencyTarget > 0 && n.FailureRate() <= mostFails && n.AnswerLatency()-b.AnswerLatency() <= t.Job.LatencyTarget {
 		return true
 	}
 	return c.score(near) <= c.score(best)*farCost(t.Job.Bytes)
--- a/internal/load/gate/rethink.go
+++ b/internal/load/gate/rethink.go
@@ -52,8 +52,8 @@
 // overdue is for how long an owner has been silent, once that is longer than
 // its answers take at most.
 func overdue(now time.Time, owner *server, typical time.Duration) time.Duration {
-	silent := owner.health.Silent(now)
-	if silent < max(overdueLeast, overdueTimes*max(typical, owner.load.Answer())) {
+	silent := owner.health.SilentFor(now)
+	if silent < max(overdueLeast, overdueTimes*max(typical, owner.load.AnswerLatency())) {
 		return 0
 	}
 	return silent
@@ -72,15 +72,15 @@
 		if guessed && !t.guess {
 			return false
 		}
-		by := it.By
+		by := it.Deadline
 		if t.guess {
 			by = t.Job.Deadline.Add(-need) // it.By goes by the guess
 		}
 		return now.Add(turns(each, ahead) + stall).After(by)
 	}, func(t *Ticket) {
-		l.q.Full(now)
+		l.q.MarkFull(now)
 		l.refund(t)
 		c.waiting--
-		c.decide(t, kinds.Late, c.hint(stall+each))
+		c.decide(t, kinds.DeadlineMissed, c.hint(stall+each))
 	})
 }
--- a/internal/load/gate/rethink_test.go
+++ b/internal/load/gate/rethink_test.go
@@ -52,7 +52,7 @@
 		c.Tick(now)
 		for _, k := range c.Ready() {
 			kind, after := k.Refusal()
-			assert.Equal(t, kind, kinds.Late)
+			assert.Equal(t, kind, kinds.DeadlineMissed)
 			assert.Assert(t, after > 0)
 			at[k] = now.Sub(froze)
 		}
@@ -172,7 +172,7 @@
 	c.Report(now, "a", 9, 0)
 	upload := ask("a", now, time.Minute)
 	upload.Job.Size = 1 << 20
-	round := c.token(c.byName["a"]).Round()
+	round := c.token(c.byName["a"]).Period()
 	assert.Equal(t, c.Offer(now, upload), Wait)
 	for upload.state != started {
 		now = now.Add(5 * time.Millisecond)
--- a/internal/load/gate/servers.go
+++ b/internal/load/gate/servers.go
@@ -56,8 +56,8 @@
 // most is how many requests this VM may have there now, for keys it owns. An
 // ejected owner still gets one at a time: nobody else can answer for its keys.
 func (s *server) most(now time.Time) int {
-	allowed := min(s.limit[s.kind].Max(), s.pool.Most(now))
-	return max(s.health.Most(allowed), 1)
+	allowed := min(s.limit[s.kind].Max(), s.pool.Max(now))
+	return max(s.health.MaxRunning(allowed), 1)
 }
 
 // roomKeyed reports whether another request for a key that it owns may start
@@ -69,7 +69,7 @@
 	if s.kind == sizes.Short {
 		running -= s.long
 	}
-	return !s.gone && running < s.most(now) && s.running < s.pool.Most(now)
+	return !s.gone && running < s.most(now) && s.running < s.pool.Max(now)
 }
 
 // room reports whether a request that may go anywhere may go here.
@@ -77,8 +77,8 @@
 	if s.gone || s.info.Drain || now.Before(s.endedTo) {
 		return false
 	}
-	allowed := min(s.limit[s.kind].Max(), s.pool.Most(now))
-	return s.running < s.health.Most(allowed)
+	allowed := min(s.limit[s.kind].Max(), s.pool.Max(now))
+	return s.running < s.health.MaxRunning(allowed)
 }
 
 func (s *server) start(now time.Time, k sizes.Kind, expect time.Duration) {
@@ -89,7 +89,7 @@
 		s.long++
 	}
 	s.health.Sent(now, expect)
-	s.pool.Use(now)
+	s.pool.Acquire(now)
 }
 
 // learn takes in what became of an attempt.
@@ -100,7 +100,7 @@
 	if t.long == sizes.Long {
 		s.long--
 	}
-	s.pool.Free(now)
+	s.pool.Release(now)
 	took := o.Latency
 	if took <= 0 {
 		took = now.Sub(t.at)
@@ -109,9 +109,9 @@
 	switch {
 	case o.Kind == kinds.Misrouted && t.Job.Server == "":
 		s.endedTo = now.Add(endedFor)
-		s.health.Gone()
+		s.health.Abandoned()
 	case o.Kind == kinds.Canceled, o.Kind == kinds.Misrouted:
-		s.health.Gone()
+		s.health.Abandoned()
 	case o.Refused:
 		s.fault = kinds.Busy
 		if !s.hasRoom(t) {
@@ -132,7 +132,7 @@
 // this VM is counted as failing, so that others are preferred.
 func (c *Core) learnRefused(now time.Time, s *server, t *Ticket, took time.Duration) {
 	least := s.limit[s.kind].Max() == 1
-	s.limit[s.kind].Refused()
+	s.limit[s.kind].MarkRefused()
 	s.load.Observe(now, took, true)
 	if least {
 		s.health.Done(now, 0, true)
@@ -182,7 +182,7 @@
 
 func (c *Core) adopt(now time.Time, s *server, info ServerInfo) {
 	if info.Cold && !s.info.Cold {
-		s.health.Cold(now)
+		s.health.MarkCold(now)
 	}
 	s.info = info
 	s.idx = len(c.servers)
@@ -209,8 +209,8 @@
 // SetShare says how many entry VMs share the servers, and which this one is.
 func (c *Core) SetShare(now time.Time, n, index int) {
 	c.share = sizes.Share{VMs: max(n, 1), Index: max(index, 0)}
-	if x := c.cfg.Extra; x.Burst > 0 {
-		c.budget.Bound(x.Share, x.Burst/float64(c.share.VMs))
+	if x := c.cfg.RetryBudget; x.Burst > 0 {
+		c.budget.SetLimits(x.Share, x.Burst/float64(c.share.VMs))
 	}
 	for _, s := range c.servers {
 		s.pool.Share(now, s.info.Conns, c.share.VMs)
@@ -235,7 +235,7 @@
 	if s == nil {
 		return 0, 0
 	}
-	return s.pool.Most(now), s.pool.Warm(now)
+	return s.pool.Max(now), s.pool.MaxIdle(now)
 }
 
 // refresh recomputes what follows from the servers' states: bounds, room and
@@ -253,7 +253,7 @@
 	for _, s := range c.servers {
 		s.kind = kind
 		for k := range s.limit {
-			s.limit[k].Bound(s.info.Slots, c.share.VMs, s.pool.Most(now))
+			s.limit[k].SetBounds(s.info.Slots, c.share.VMs, s.pool.Max(now))
 		}
 		s.load.Weight = s.health.Weight(now)
 		c.setOpen(now, s)
@@ -271,7 +271,7 @@
 	if s.info.Drain {
 		return
 	}
-	most := s.health.Most(min(s.limit[s.kind].Max(), s.pool.Most(now)))
+	most := s.health.MaxRunning(min(s.limit[s.kind].Max(), s.pool.Max(now)))
 	c.width[sizes.Short] += float64(most)
 	if mixed {
 		most = min(most, c.share.Long(s.idx, len(c.servers), s.info.Slots))
@@ -289,7 +289,7 @@
 	if c.judgeAt.IsZero() || now.Before(c.judgeAt) {
 		return
 	}
-	if again := c.paused.to.Add(health.Every); now.Before(again) {
+	if again := c.paused.to.Add(health.CheckInterval); now.Before(again) {
 		c.judgeAt = again // when the answers that lie unread have been read
 		return
 	}
@@ -297,12 +297,12 @@
 	c.refresh(now)
 	c.eachLanes(func(ls *lanes) {
 		for k := range ls.by {
-			ls.by[k].q.Calm(now)
+			ls.by[k].q.ClearStanding(now)
 		}
 	})
 	c.judgeAt = time.Time{}
 	if c.running > 0 || c.waiting > 0 || c.unsettled() {
-		c.judgeAt = now.Add(health.Every)
+		c.judgeAt = now.Add(health.CheckInterval)
 	}
 }
 
@@ -311,7 +311,7 @@
 	for _, s := range c.servers {
 		c.checked = append(c.checked, &s.health)
 	}
-	c.panel.Judge(now, c.checked)
+	c.panel.Evaluate(now, c.checked)
 }
 
 // unsettled reports whether time alone will change some server's state, or a
@@ -340,12 +340,12 @@
 
 func (c *Core) expireLane(now time.Time, l *lane) {
 	l.q.Expire(now, func(t *Ticket) {
-		l.q.Full(now)
+		l.q.MarkFull(now)
 		l.refund(t)
 		c.waiting--
-		c.decide(t, kinds.Late, c.hint(0))
+		c.decide(t, kinds.DeadlineMissed, c.hint(0))
 	})
-	if at := l.q.Soonest(); !at.IsZero() && (c.soonest.IsZero() || at.Before(c.soonest)) {
+	if at := l.q.NextExpiry(); !at.IsZero() && (c.soonest.IsZero() || at.Before(c.soonest)) {
 		c.soonest = at
 	}
 }
--- a/internal/load/gate/types.go
+++ b/internal/load/gate/types.go
@@ -27,19 +27,19 @@
 	Key     ident.Key
 	Slice   ident.Slice
 	Epoch   ident.Epoch // under which Server owns the key
-	Hot     bool        // the key is owned apart from its slice
+	HotKey  bool        // the key is owned apart from its slice
 	Class   Class
 	// Server is the key's owner in a service divided by key. Empty lets the
 	// gate choose.
 	Server ident.Server
 	// Deadline is when the caller stops waiting; zero takes Config.Deadline.
 	Deadline time.Time
-	// Aim is how soon after it was asked an answer serves its caller fully; zero where
+	// LatencyTarget is how soon after it was asked an answer serves its caller fully; zero where
 	// nobody said.
-	Aim time.Duration
-	// Patience bounds the wait for the key to get an owner; zero waits until
+	LatencyTarget time.Duration
+	// MaxOwnerWait bounds the wait for the key to get an owner; zero waits until
 	// the deadline.
-	Patience time.Duration
+	MaxOwnerWait time.Duration
 	// Size is the length of the body in bytes, -1 when unknown.
 	Size int64
 	// Bytes is what the body weighs on the way, whatever its work is like.
@@ -55,9 +55,9 @@
 	avoid ident.Server // the server of the attempt before
 }
 
-func (j *Job) place() Place { return Place{j.Server, j.Slice, j.Epoch} }
+func (j *Job) place() Owner { return Owner{j.Server, j.Slice, j.Epoch} }
 
-func (j *Job) settle(p Place) { j.Server, j.Slice, j.Epoch = p.Server, p.Slice, p.Epoch }
+func (j *Job) settle(p Owner) { j.Server, j.Slice, j.Epoch = p.Server, p.Slice, p.Epoch }
 
 // Outcome is what became of an attempt.
 type Outcome struct {
@@ -115,7 +115,7 @@
 )
 
 var refusalKinds = [...]kinds.Kind{
-	kinds.Busy, kinds.Late, kinds.Moving, kinds.NoServer, kinds.NoOwner, kinds.Closing, kinds.Canceled,
+	kinds.Busy, kinds.DeadlineMissed, kinds.Moving, kinds.NoServer, kinds.NoOwner, kinds.Closing, kinds.Canceled,
 }
 
 var refusals = func() (all [len(refusalKinds)][hintSteps]Refusal) {
@@ -166,10 +166,10 @@
 	State   string        `json:"state"`
 }
 
-// Again returns the job as a further attempt of the gate's own, which avoids
+// NextAttempt returns the job as a further attempt of the gate's own, which avoids
 // the server of the attempt before. [Pass.Retry] and [Pass.Hedge] do this
 // themselves; use it with a [Core].
-func (j Job) Again(avoid ident.Server) Job {
+func (j Job) NextAttempt(avoid ident.Server) Job {
 	j.again, j.avoid = true, avoid
 	return j
 }
--- a/internal/load/gate/warm.go
+++ b/internal/load/gate/warm.go
@@ -23,7 +23,7 @@
 	warmFor = 3 * time.Second
 	// warmGain is how much worse a warm server may look and still be taken. What a VM
 	// knows of equal servers differs by up to that by chance, see pick.Clear.
-	warmGain = pick.Clear
+	warmGain = pick.BetterFactor
 )
 
 // warmer returns i, or a warm server to be taken in its place.
@@ -36,7 +36,7 @@
 		return i
 	}
 	for c.warm.Len() > 0 {
-		w := c.warm.Two(c.rng, skip, c.score)
+		w := c.warm.Choose(c.rng, skip, c.score)
 		if c.isCold(now, w) {
 			c.warm.Put(w, false)
 			continue
--- a/internal/load/health/health.go
+++ b/internal/load/health/health.go
@@ -34,20 +34,20 @@
 
 // Settings, with their grounds in the package comment.
 const (
-	Enough    = 5   // answers before a judgement
-	FailShare = 0.5 // of recent answers
-	SlowTimes = 4.0 // of the peers' median latency
-	Frozen    = 10  // of the own latency, without any answer
-	MinFrozen = 100 * time.Millisecond
-	FirstOut  = time.Second            // first pause
-	LastOut   = 30 * time.Second       // longest pause
-	Ramp      = 5 * time.Second        // until full load
-	Probes    = 3                      // good answers that end a probe
-	Every     = 100 * time.Millisecond // between judgements
-	minWeight = 0.1
-	follow    = 0.2
-	maxShare  = 3                // one in this many may be ejected
-	forgive   = 60 * time.Second // without ejection, until the pause starts afresh
+	Enough        = 5   // answers before a judgement
+	FailShare     = 0.5 // of recent answers
+	SlowTimes     = 4.0 // of the peers' median latency
+	Frozen        = 10  // of the own latency, without any answer
+	MinFrozen     = 100 * time.Millisecond
+	FirstOut      = time.Second            // first pause
+	LastOut       = 30 * time.Second       // longest pause
+	Ramp          = 5 * time.Second        // until full load
+	Probes        = 3                      // good answers that end a probe
+	CheckInterval = 100 * time.Millisecond // between judgements
+	minWeight     = 0.1
+	follow        = 0.2
+	maxShare      = 3                // one in this many may be ejected
+	forgive       = 60 * time.Second // without ejection, until the pause starts afresh
 )
 
 //go:embed health.toml
@@ -108,8 +108,8 @@
 	s.n, s.good, s.fails = 0, 0, 0
 }
 
-// Cold notes that the server has just started: it gets load in steps.
-func (s *Server) Cold(now time.Time) { s.fire(now, onCold) }
+// MarkCold notes that the server has just started: it gets load in steps.
+func (s *Server) MarkCold(now time.Time) { s.fire(now, onCold) }
 
 // Sent notes that a request was sent to it, and how long a typical answer to
 // such a request takes on this service.
@@ -124,9 +124,9 @@
 	s.running++
 }
 
-// Gone notes that a request ended without saying anything about the server,
+// Abandoned notes that a request ended without saying anything about the server,
 // because the caller went away or a hedge lost.
-func (s *Server) Gone() { s.running-- }
+func (s *Server) Abandoned() { s.running-- }
 
 // Done takes in an answer or a failure. The latency is relative to a typical
 // answer of the same kind, so that long and short requests can be judged
@@ -185,18 +185,18 @@
 	}
 }
 
-// Silent is for how long nothing has come back from a server that has requests
+// SilentFor is for how long nothing has come back from a server that has requests
 // to answer.
-func (s *Server) Silent(now time.Time) time.Duration {
+func (s *Server) SilentFor(now time.Time) time.Duration {
 	if s.running == 0 {
 		return 0
 	}
 	return now.Sub(s.heard)
 }
 
-// Stalled is for how long nothing has come back although something should have;
+// StalledFor is for how long nothing has come back although something should have;
 // zero when all is well.
-func (s *Server) Stalled(now time.Time) time.Duration {
+func (s *Server) StalledFor(now time.Time) time.Duration {
 	if s.running == 0 {
 		return 0
 	}
@@ -207,8 +207,8 @@
 	return silent
 }
 
-// Most is how many requests may run there now, given its limit.
-func (s *Server) Most(limit int) int {
+// MaxRunning is how many requests may run there now, given its limit.
+func (s *Server) MaxRunning(limit int) int {
 	switch s.State() {
 	case Ejected:
 		return 0
@@ -229,7 +229,7 @@
 
 // bad judges the server against the median latency of all.
 func (s *Server) bad(now time.Time, median float64) bool {
-	if s.Stalled(now) > 0 {
+	if s.StalledFor(now) > 0 {
 		return true
 	}
 	if s.n < Enough {
@@ -238,23 +238,23 @@
 	return s.fails >= FailShare || (median > 0 && s.latency > SlowTimes*median)
 }
 
-// Panel judges the servers of one service together.
-type Panel struct {
+// Monitor judges the servers of one service together.
+type Monitor struct {
 	latencies []float64
 	ejected   int
 	panic     bool
 }
 
 // Ejected is how many servers were out after the last judgement.
-func (p *Panel) Ejected() int { return p.ejected }
+func (p *Monitor) Ejected() int { return p.ejected }
 
 // Panic reports whether more than half looked bad at the last judgement, so
 // that none is ejected.
-func (p *Panel) Panic() bool { return p.panic }
+func (p *Monitor) Panic() bool { return p.panic }
 
-// Judge moves every server along its chart: ejects, probes, ramps. Call it
-// about every [Every].
-func (p *Panel) Judge(now time.Time, servers []*Server) {
+// Evaluate moves every server along its chart: ejects, probes, ramps. Call it
+// about every [CheckInterval].
+func (p *Monitor) Evaluate(now time.Time, servers []*Server) {
 	median := p.median(servers)
 	bad, out := p.count(now, servers, median)
 	p.panic = len(servers) > 1 && 2*(bad+out) > len(servers)
@@ -278,7 +278,7 @@
 	p.ejected = p.out(servers)
 }
 
-func (p *Panel) median(servers []*Server) float64 {
+func (p *Monitor) median(servers []*Server) float64 {
 	p.latencies = p.latencies[:0]
 	for _, s := range servers {
 		if s.n > 0 && s.latency > 0 {
@@ -292,7 +292,7 @@
 	return p.latencies[(len(p.latencies)-1)/2]
 }
 
-func (p *Panel) count(now time.Time, servers []*Server, median float64) (bad, out int) {
+func (p *Monitor) count(now time.Time, servers []*Server, median float64) (bad, out int) {
 	for _, s := range servers {
 		switch {
 		case s.State() == Ejected || s.State() == Probe:
@@ -304,7 +304,7 @@
 	return bad, out
 }
 
-func (p *Panel) out(servers []*Server) int {
+func (p *Monitor) out(servers []*Server) int {
 	n := 0
 	for _, s := range servers {
 		if s.State() == Ejected {
--- a/internal/load/health/health_test.go
+++ b/internal/load/health/health_test.go
@@ -41,7 +41,7 @@
 // One of six servers is slow, one fails, one goes silent: each is taken out, and
 // the rest stay.
 func TestBadServersAreEjected(t *testing.T) {
-	var p Panel
+	var p Monitor
 	all := fleet(9)
 	round(all, begin, func(i int) float64 {
 		if i == 0 {
@@ -50,7 +50,7 @@
 		return 1
 	}, func(i int) bool { return i == 1 })
 	all[2].Sent(begin, typical)
-	p.Judge(begin.Add(MinFrozen), all)
+	p.Evaluate(begin.Add(MinFrozen), all)
 	for i, s := range all {
 		assert.Equal(t, s.State() == Ejected, i < 3, "server %d: %s", i, s.State())
 	}
@@ -60,10 +60,10 @@
 // Everything looks bad at once: then it is our side, or plain overload. Taking
 // servers out would send their load to the rest until none is left.
 func TestNothingIsEjectedWhenAllLookBad(t *testing.T) {
-	var p Panel
+	var p Monitor
 	all := fleet(6)
 	round(all, begin, even, always)
-	p.Judge(begin, all)
+	p.Evaluate(begin, all)
 	assert.Assert(t, p.Panic())
 	assert.Equal(t, p.Ejected(), 0)
 }
@@ -71,18 +71,18 @@
 // Whatever servers do, at most a third are out at once.
 func TestEjectionIsBounded(t *testing.T) {
 	seeds.Check(t, func(t *rapid.T) {
-		var p Panel
+		var p Monitor
 		n := rapid.IntRange(1, 12).Draw(t, "servers")
 		all := fleet(n)
 		now := begin
 		for range 40 {
 			now = now.Add(time.Duration(rapid.IntRange(50, 3000).Draw(t, "ms")) * time.Millisecond)
 			for _, s := range all {
-				if s.Most(1) > 0 && rapid.Bool().Draw(t, "asked") {
+				if s.MaxRunning(1) > 0 && rapid.Bool().Draw(t, "asked") {
 					answer(s, now, rapid.Float64Range(0.5, 20).Draw(t, "latency"), rapid.IntRange(0, 2).Draw(t, "fails") == 0)
 				}
 			}
-			p.Judge(now, all)
+			p.Evaluate(now, all)
 			bound := max(n/maxShare, 1)
 			if n == 1 {
 				bound = 0
@@ -95,20 +95,20 @@
 // A server flaps: it answers its probes and fails again. Its pauses must grow,
 // or every few seconds a part of the requests fails there.
 func TestFlappingServerPausesLonger(t *testing.T) {
-	var p Panel
+	var p Monitor
 	all := fleet(6)
 	now := begin
 	last := time.Duration(0)
 	for range 4 {
 		round(all, now, even, func(i int) bool { return i == 0 })
-		p.Judge(now, all)
+		p.Evaluate(now, all)
 		assert.Equal(t, all[0].State(), Ejected)
 		assert.Assert(t, all[0].out > last)
 		last = all[0].out
-		assert.Equal(t, all[0].Most(5), 0)
+		assert.Equal(t, all[0].MaxRunning(5), 0)
 		now = now.Add(last)
-		p.Judge(now, all)
-		assert.Equal(t, all[0].Most(5), 1, "one probe at a time")
+		p.Evaluate(now, all)
+		assert.Equal(t, all[0].MaxRunning(5), 1, "one probe at a time")
 		for range Probes {
 			answer(all[0], now, 1, false)
 		}
@@ -119,12 +119,12 @@
 // A server that has just started is cold. It must get little at first, and all
 // of its part in the end.
 func TestColdServerRampsUp(t *testing.T) {
-	var p Panel
+	var p Monitor
 	s := &Server{}
-	s.Cold(begin)
+	s.MarkCold(begin)
 	assert.Equal(t, s.Weight(begin), minWeight)
 	assert.Equal(t, s.Weight(begin.Add(Ramp/2)), 0.5)
-	p.Judge(begin.Add(Ramp), []*Server{s, {}, {}})
+	p.Evaluate(begin.Add(Ramp), []*Server{s, {}, {}})
 	assert.Equal(t, s.State(), OK)
 	assert.Equal(t, s.Weight(begin.Add(Ramp)), 1.0)
 }
@@ -141,19 +141,19 @@
 		s.Done(now.Add(time.Second/2), 0, true)
 	}
 	now := begin.Add(5 * time.Second)
-	assert.Equal(t, s.Silent(now), time.Duration(0), "nothing is asked of it")
+	assert.Equal(t, s.SilentFor(now), time.Duration(0), "nothing is asked of it")
 	s.Sent(now, typical)
-	assert.Equal(t, s.Silent(now), 5*time.Second)
-	assert.Assert(t, s.Stalled(now) > 0)
+	assert.Equal(t, s.SilentFor(now), 5*time.Second)
+	assert.Assert(t, s.StalledFor(now) > 0)
 	s.Done(now, 1, false)
 	s.Sent(now, typical)
-	assert.Equal(t, s.Silent(now), time.Duration(0))
+	assert.Equal(t, s.SilentFor(now), time.Duration(0))
 }
 
 // A server refuses everything. It is failing from the fifth refusal on, through
 // its pause and its probes, until it answers one.
 func TestFailingUntilAnAnswer(t *testing.T) {
-	var p Panel
+	var p Monitor
 	all := fleet(4)
 	s := all[0]
 	answer(s, begin, 1, false)
@@ -162,10 +162,10 @@
 		answer(s, begin, 1, true)
 	}
 	assert.Assert(t, s.Failing())
-	p.Judge(begin, all)
+	p.Evaluate(begin, all)
 	assert.Equal(t, s.State(), Ejected)
 	assert.Assert(t, s.Failing())
-	p.Judge(begin.Add(FirstOut), all)
+	p.Evaluate(begin.Add(FirstOut), all)
 	assert.Equal(t, s.State(), Probe)
 	assert.Assert(t, s.Failing())
 	answer(s, begin.Add(FirstOut), 1, false)
--- a/internal/load/limit/limit.go
+++ b/internal/load/limit/limit.go
@@ -60,10 +60,10 @@
 	tight bool // the limit held a request back during this batch
 }
 
-// Bound sets this VM's share of the slots, and the most requests ever allowed:
+// SetBounds sets this VM's share of the slots, and the most requests ever allowed:
 // slots+1, or the connections this VM may hold if those are fewer. A new limit
 // starts at the share.
-func (l *Limit) Bound(slots, vms, conns int) {
+func (l *Limit) SetBounds(slots, vms, conns int) {
 	vms = max(vms, 1)
 	l.most = float64(max(min(slots+1, conns), minimum))
 	l.share = min(float64((2*slots+vms-1)/vms+1), l.most)
@@ -76,9 +76,9 @@
 // Max is the number of requests allowed now.
 func (l *Limit) Max() int { return max(int(l.value), minimum) }
 
-// Tight notes that a request had to wait because of the limit: only then does
+// MarkLimited notes that a request had to wait because of the limit: only then does
 // it make sense to grow.
-func (l *Limit) Tight() { l.tight = true }
+func (l *Limit) MarkLimited() { l.tight = true }
 
 // Report takes in the server's own word on its load, as a multiple of its slots.
 func (l *Limit) Report(now time.Time, crowd float64) {
@@ -138,9 +138,9 @@
 	l.quiet += (avg - l.quiet) * rate
 }
 
-// Refused notes that the server itself turned a request away: the VMs together
+// MarkRefused notes that the server itself turned a request away: the VMs together
 // are over its slots, whatever the latency says.
-func (l *Limit) Refused() {
+func (l *Limit) MarkRefused() {
 	l.cut()
 	l.sum, l.n, l.tight = 0, 0, false
 }
--- a/internal/load/limit/limit_test.go
+++ b/internal/load/limit/limit_test.go
@@ -14,14 +14,14 @@
 
 func feed(l *Limit, now time.Time, batches int, latency time.Duration) {
 	for range batches * Batch {
-		l.Tight()
+		l.MarkLimited()
 		l.Observe(now, latency)
 	}
 }
 
 func fresh() *Limit {
 	var l Limit
-	l.Bound(4, 10, 10)
+	l.SetBounds(4, 10, 10)
 	return &l
 }
 
@@ -31,17 +31,17 @@
 	seeds.Check(t, func(t *rapid.T) {
 		l := &Limit{}
 		slots, vms, conns := rapid.IntRange(1, 8).Draw(t, "slots"), rapid.IntRange(1, 20).Draw(t, "vms"), rapid.IntRange(1, 20).Draw(t, "conns")
-		l.Bound(slots, vms, conns)
+		l.SetBounds(slots, vms, conns)
 		now := begin
 		for range 200 {
 			now = now.Add(time.Duration(rapid.IntRange(0, 500).Draw(t, "ms")) * time.Millisecond)
 			switch rapid.IntRange(0, 4).Draw(t, "event") {
 			case 0:
-				l.Refused()
+				l.MarkRefused()
 			case 1:
 				l.Report(now, rapid.Float64Range(0, 30).Draw(t, "crowd"))
 			case 2:
-				l.Tight()
+				l.MarkLimited()
 			default:
 				l.Observe(now, time.Duration(rapid.IntRange(1, 500).Draw(t, "latency"))*time.Millisecond)
 			}
@@ -61,7 +61,7 @@
 	feed(l, begin, 3, 8*time.Millisecond)
 	assert.Equal(t, l.Max(), 2)
 	for range 100 {
-		l.Refused()
+		l.MarkRefused()
 	}
 	feed(l, begin, 2, 8*time.Millisecond)
 	assert.Equal(t, l.Max(), 2, "many refusals took longer to forget than a few")
@@ -102,12 +102,12 @@
 	seeds.Check(t, func(t *rapid.T) {
 		slots, vms := rapid.IntRange(2, 8).Draw(t, "slots"), rapid.IntRange(1, 20).Draw(t, "vms")
 		var l Limit
-		l.Bound(slots, vms, 100)
+		l.SetBounds(slots, vms, 100)
 		share := l.Max()
 		feed(&l, begin, 1, 8*time.Millisecond)
 		for range rapid.IntRange(20, 200).Draw(t, "cuts") {
 			if rapid.Bool().Draw(t, "refused") {
-				l.Refused()
+				l.MarkRefused()
 			} else {
 				l.Report(begin, Crowd)
 			}
@@ -127,7 +127,7 @@
 func TestTheZeroLimitAllowsOne(t *testing.T) {
 	var l Limit
 	assert.Equal(t, l.Max(), 1)
-	l.Refused()
+	l.MarkRefused()
 	assert.Equal(t, l.Max(), 1)
 	l.Report(begin, 10)
 	assert.Equal(t, l.Max(), 1)
--- a/internal/load/pick/pick.go
+++ b/internal/load/pick/pick.go
@@ -8,7 +8,7 @@
 // one whose report lies. Counting only one's own requests in flight makes a
 // server that fails at once look idle, and it attracts everything.
 //
-// Two servers are compared: the next in turn, and one drawn at random. Turns
+// Choose servers are compared: the next in turn, and one drawn at random. Turns
 // spread this VM's requests more evenly than chance, and what it knows of equal
 // servers is mostly noise, so the random one is taken only when it is better by
 // Clear; then it removes most of the harm of a bad server. It cannot herd, since
@@ -21,7 +21,7 @@
 // which a queue of a few slots turns over. A report adds at most two servers'
 // worth of load and never subtracts, so a lie can move a server's score by a
 // factor of three, less than the observed latency of the overload it causes.
-// Clear of 2 is where the p99 of equal servers is that of plain turns (see
+// BetterFactor of 2 is where the p99 of equal servers is that of plain turns (see
 // docs/design/load.md); averages of ten answers differ by less than that.
 package pick
 
@@ -32,12 +32,12 @@
 
 // Settings, with their grounds in the package comment.
 const (
-	HalfAge    = 200 * time.Millisecond
-	MaxForeign = 2.0 // a report's load counts up to this many times the slots
-	Clear      = 2.0 // the random server must be better by this factor
-	Penalty    = 10  // a failure counts as an answer this many times longer
-	follow     = 0.2
-	failDecay  = 0.9
+	HalfAge      = 200 * time.Millisecond
+	MaxForeign   = 2.0 // a report's load counts up to this many times the slots
+	BetterFactor = 2.0 // the random server must be better by this factor
+	Penalty      = 10  // a failure counts as an answer this many times longer
+	follow       = 0.2
+	failDecay    = 0.9
 	// forget is how fast a server's bad latency fades while it is not tried, so
 	// that one bad minute is not held against it for ever.
 	forget = 10 * time.Second
@@ -70,7 +70,7 @@
 	if failed {
 		l.fails += 1 - failDecay
 		l.answered(max(s, l.answer)) // it would have taken longer than that
-		s = max(s, l.Answer().Seconds()*Penalty)
+		s = max(s, l.AnswerLatency().Seconds()*Penalty)
 	} else {
 		l.answered(s)
 	}
@@ -90,17 +90,17 @@
 	l.answer += (s - l.answer) * follow
 }
 
-// Answer is the average latency of the answers alone: what a request that is
+// AnswerLatency is the average latency of the answers alone: what a request that is
 // answered can expect.
-func (l *Load) Answer() time.Duration {
+func (l *Load) AnswerLatency() time.Duration {
 	if l.answer == 0 {
 		return time.Duration(typical * float64(time.Second))
 	}
 	return time.Duration(l.answer * float64(time.Second))
 }
 
-// Fails is the recent share of attempts that failed.
-func (l *Load) Fails() float64 { return l.fails }
+// FailureRate is the recent share of attempts that failed.
+func (l *Load) FailureRate() float64 { return l.fails }
 
 // Latency is the average latency observed, Penalty included.
 func (l *Load) Latency() time.Duration {
@@ -185,17 +185,17 @@
 	}
 }
 
-// Clear empties the set.
+// BetterFactor empties the set.
 func (s *Set) Clear() {
 	s.open = s.open[:0]
 	clear(s.at)
 }
 
-// Two takes the next server in turn and a random one, and returns the one that
+// Choose takes the next server in turn and a random one, and returns the one that
 // score rates better: the random one only if it is better by Clear. It never
 // returns skip (an index, or -1 for none) unless that is the only one; it
 // returns -1 when no server has room.
-func (s *Set) Two(r *rand.Rand, skip int, score func(i int) float64) int {
+func (s *Set) Choose(r *rand.Rand, skip int, score func(i int) float64) int {
 	n := len(s.open)
 	switch n {
 	case 0:
@@ -208,7 +208,7 @@
 	if b == skip && n > 2 {
 		b = s.draw(r, n, a)
 	}
-	if b == skip || score(a) <= score(b)*Clear {
+	if b == skip || score(a) <= score(b)*BetterFactor {
 		return a
 	}
 	return b
--- a/internal/load/pick/pick_test.go
+++ b/internal/load/pick/pick_test.go
@@ -29,7 +29,7 @@
 			}
 			assert.Equal(t, s.Len(), len(naive))
 			skip := rapid.IntRange(-1, 12).Draw(t, "skip")
-			got := s.Two(r, skip, func(i int) float64 { return float64(i % 3) })
+			got := s.Choose(r, skip, func(i int) float64 { return float64(i % 3) })
 			if len(naive) == 0 {
 				assert.Equal(t, got, -1)
 				continue
@@ -85,7 +85,7 @@
 	for range 100 {
 		l.Observe(now, time.Millisecond, true)
 	}
-	assert.Equal(t, l.Answer(), 8*time.Millisecond)
+	assert.Equal(t, l.AnswerLatency(), 8*time.Millisecond)
 	assert.Assert(t, l.Latency() <= Penalty*8*time.Millisecond, "%v", l.Latency())
 	for range 20 {
 		l.Observe(now, 8*time.Millisecond, false)
@@ -104,7 +104,7 @@
 			s.Put(i, true)
 		}
 		r := rand.New(rand.NewPCG(vm, vm))
-		went[s.Two(r, -1, func(int) float64 { return 1 })]++
+		went[s.Choose(r, -1, func(int) float64 { return 1 })]++
 	}
 	most := 0
 	for _, n := range went {
--- a/internal/load/poison/bench_test.go
+++ b/internal/load/poison/bench_test.go
@@ -11,10 +11,10 @@
 // BenchmarkScreen is what a request costs while another one is under suspicion.
 func BenchmarkScreen(b *testing.B) {
 	tab := NewTable()
-	tab.Accuse(t0, crasher, "s1")
+	tab.RecordCrash(t0, crasher, "s1")
 	b.ReportAllocs()
 	for b.Loop() {
-		if tab.Knows(HeadOf("GET", "budget.example", "/forecast/ward-17/2026")) {
+		if tab.Suspected(HeadOf("GET", "budget.example", "/forecast/ward-17/2026")) {
 			b.Fatal("known")
 		}
 	}
@@ -24,7 +24,7 @@
 func BenchmarkVerdict(b *testing.B) {
 	tab := NewTable()
 	for _, s := range []ident.Server{"i-267427395c", "i-598e18d132", "i-7c71da8af1"} {
-		tab.Accuse(t0, crasher, s)
+		tab.RecordCrash(t0, crasher, s)
 	}
 	size := func(v any) float64 {
 		text, err := json.Marshal(v)
@@ -34,8 +34,8 @@
 		return float64(len(text))
 	}
 	for b.Loop() {
-		_ = size(tab.Since(t0.Add(time.Second), 0))
+		_ = size(tab.ChangesSince(t0.Add(time.Second), 0))
 	}
-	b.ReportMetric(size(tab.Since(t0.Add(time.Second), 0)), "bytes/verdict")
+	b.ReportMetric(size(tab.ChangesSince(t0.Add(time.Second), 0)), "bytes/verdict")
 	b.ReportMetric(size(tab.Reports(t0.Add(time.Second), "x")[:1]), "bytes/report")
 }
--- a/internal/load/poison/poison.go
+++ b/internal/load/poison/poison.go
@@ -5,7 +5,7 @@
 // at whichever entry VM, ends another server. A service of ten servers is gone within
 // ten attempts, however few requests that is.
 //
-// A request is identified by what a repeat has in common with it, see [Print]. When a
+// A request is identified by what a repeat has in common with it, see [Fingerprint]. When a
 // server breaks off under a request, the request is accused. Three accusations by the
 // crashes of different servers quarantine it, unless it was answered in between: a
 // request that crashes servers crashes each of them. An accusation is dropped when its
@@ -37,12 +37,12 @@
 // Body is the digest of a request's body.
 type Body [part]byte
 
-// Print identifies a request over all its attempts: the same method, host, path and
+// Fingerprint identifies a request over all its attempts: the same method, host, path and
 // query, body and caller. Ids and deadlines differ between attempts and are no part of it.
 //
 // A caller may be known by an address that differs between its attempts, so that each
-// request is under suspicion twice: as this caller's, and as anybody's, see [Print.Wide].
-type Print [3 * part]byte
+// request is under suspicion twice: as this caller's, and as anybody's, see [Print.AnyCaller].
+type Fingerprint [3 * part]byte
 
 // HeadOf returns the digest of a request line.
 func HeadOf(method, host, uri string) Head {
@@ -70,9 +70,9 @@
 	return BodyOf(b[:])
 }
 
-// Of returns the print of a caller's request with a body.
-func (h Head) Of(caller string, b Body) Print {
-	var p Print
+// Fingerprint returns the print of a caller's request with a body.
+func (h Head) Fingerprint(caller string, b Body) Fingerprint {
+	var p Fingerprint
 	copy(p[:part], h[:])
 	copy(p[part:], b[:])
 	sum := sha256.Sum256([]byte(caller))
@@ -81,27 +81,27 @@
 }
 
 // Head returns the part for the request line.
-func (p Print) Head() Head { return Head(p[:part]) }
+func (p Fingerprint) Head() Head { return Head(p[:part]) }
 
-// Wide returns the print of the same request, whoever sends it.
-func (p Print) Wide() Print {
+// AnyCaller returns the print of the same request, whoever sends it.
+func (p Fingerprint) AnyCaller() Fingerprint {
 	clear(p[2*part:])
 	return p
 }
 
 // String renders the print for logs.
-func (p Print) String() string { return hex.EncodeToString(p[:]) }
+func (p Fingerprint) String() string { return hex.EncodeToString(p[:]) }
 
 // MarshalText renders what UnmarshalText reads.
-func (p Print) MarshalText() ([]byte, error) { return []byte(p.String()), nil }
+func (p Fingerprint) MarshalText() ([]byte, error) { return []byte(p.String()), nil }
 
 // UnmarshalText reads a print. Anything else is Malformed.
-func (p *Print) UnmarshalText(text []byte) error {
+func (p *Fingerprint) UnmarshalText(text []byte) error {
 	b, err := hex.DecodeString(string(text))
 	if err != nil || len(b) != len(p) {
 		return kinds.New(kinds.Malformed, "print of a request")
 	}
-	*p = Print(b)
+	*p = Fingerprint(b)
 	return nil
 }
 
--- a/internal/load/poison/share.go
+++ b/internal/load/poison/share.go
@@ -11,9 +11,9 @@
 // Verdict is a case as one VM tells it to others. Times are told as ages, since VMs'
 // clocks differ.
 type Verdict struct {
-	Print   Print         `json:"print"`
-	Crashes []Crashed     `json:"crashes,omitempty"`
-	Cleared time.Duration `json:"cleared,omitempty"` // so long ago, zero for never
+	Fingerprint Fingerprint   `json:"print"`
+	Crashes     []Crashed     `json:"crashes,omitempty"`
+	Cleared     time.Duration `json:"cleared,omitempty"` // so long ago, zero for never
 }
 
 // Crashed is a crash so long ago.
@@ -26,7 +26,7 @@
 // Report is what one VM has seen of a request: that a server broke off under it, or,
 // without a server, that it was answered.
 type Report struct {
-	Print  Print         `json:"print"`
+	Print  Fingerprint   `json:"print"`
 	Server ident.Server  `json:"server,omitempty"`
 	Ago    time.Duration `json:"ago"`
 }
@@ -40,11 +40,11 @@
 	var all []Report
 	for _, c := range t.cases {
 		if !c.cleared.IsZero() && c.told != leader {
-			all = append(all, Report{Print: c.Print, Ago: now.Sub(c.cleared)})
+			all = append(all, Report{Print: c.Fingerprint, Ago: now.Sub(c.cleared)})
 		}
 		for _, crash := range c.Crashes {
 			if crash.told != leader {
-				all = append(all, Report{Print: c.Print, Server: crash.Server, Ago: now.Sub(crash.At)})
+				all = append(all, Report{Print: c.Fingerprint, Server: crash.Server, Ago: now.Sub(crash.At)})
 			}
 		}
 	}
@@ -52,8 +52,8 @@
 	return all[:min(len(all), mostReports)]
 }
 
-// Told notes that a leader has got reports.
-func (t *Table) Told(leader string, all []Report) {
+// MarkReported notes that a leader has got reports.
+func (t *Table) MarkReported(leader string, all []Report) {
 	for _, r := range all {
 		c := t.cases[r.Print]
 		if c == nil {
@@ -70,8 +70,8 @@
 	}
 }
 
-// Hear takes in what another VM has seen, on the VM that leads.
-func (t *Table) Hear(now time.Time, all []Report) {
+// AddReports takes in what another VM has seen, on the VM that leads.
+func (t *Table) AddReports(now time.Time, all []Report) {
 	for _, r := range all {
 		if r.Server == "" {
 			t.Clear(now.Add(-r.Ago), r.Print)
@@ -81,8 +81,8 @@
 	}
 }
 
-// Since lists what changed after a number, for other VMs.
-func (t *Table) Since(now time.Time, seq uint64) []Verdict {
+// ChangesSince lists what changed after a number, for other VMs.
+func (t *Table) ChangesSince(now time.Time, seq uint64) []Verdict {
 	var all []Verdict
 	for _, c := range t.cases {
 		if c.shared && c.seq > seq {
@@ -94,7 +94,7 @@
 
 // verdict renders a case for others.
 func (c *Case) verdict(now time.Time) Verdict {
-	v := Verdict{Print: c.Print}
+	v := Verdict{Fingerprint: c.Fingerprint}
 	if !c.cleared.IsZero() {
 		v.Cleared = max(now.Sub(c.cleared), 1)
 	}
@@ -104,11 +104,11 @@
 	return v
 }
 
-// Take takes in the leader's verdicts. They stand in place of what is known here, but
+// ApplyVerdicts takes in the leader's verdicts. They stand in place of what is known here, but
 // for what the leader has not been told yet.
-func (t *Table) Take(now time.Time, leader string, all []Verdict) {
+func (t *Table) ApplyVerdicts(now time.Time, leader string, all []Verdict) {
 	for _, v := range all {
-		c := t.open(v.Print)
+		c := t.open(v.Fingerprint)
 		before := slices.Clone(c.Crashes)
 		c.Crashes = slices.DeleteFunc(c.Crashes, func(crash Crash) bool { return crash.told == leader })
 		t.merge(now, c, v, leader)
@@ -119,7 +119,7 @@
 // Merge adds verdicts to what is known, as a leader does with what the store kept.
 func (t *Table) Merge(now time.Time, all []Verdict) {
 	for _, v := range all {
-		c := t.open(v.Print)
+		c := t.open(v.Fingerprint)
 		before := slices.Clone(c.Crashes)
 		t.merge(now, c, v, "")
 		t.compare(c, before)
--- a/internal/load/poison/table.go
+++ b/internal/load/poison/table.go
@@ -33,12 +33,12 @@
 	mostTies = Enough + 2
 )
 
-// Life is what is known of a server that broke off.
-type Life uint8
+// Liveness is what is known of a server that broke off.
+type Liveness uint8
 
 // What is known of a server.
 const (
-	Unknown Life = iota // for example while the store is away
+	Unknown Liveness = iota // for example while the store is away
 	Alive
 	Gone
 )
@@ -53,12 +53,12 @@
 
 // Case is a request under suspicion.
 type Case struct {
-	Print   Print
-	Crashes []Crash // of different servers, oldest first
-	cleared time.Time
-	told    string // the leader's process that knows when it was cleared
-	seq     uint64 // of the last change that others are told
-	shared  bool
+	Fingerprint Fingerprint
+	Crashes     []Crash // of different servers, oldest first
+	cleared     time.Time
+	told        string // the leader's process that knows when it was cleared
+	seq         uint64 // of the last change that others are told
+	shared      bool
 }
 
 // last is the time of the last crash, or that at which the case was cleared.
@@ -92,13 +92,13 @@
 // Table holds the requests under suspicion. The times are all of one clock. Make one
 // with NewTable; it is not safe for concurrent use.
 type Table struct {
-	cases map[Print]*Case
+	cases map[Fingerprint]*Case
 	heads map[Head]int // cases by head
 	seq   uint64
 }
 
 // NewTable returns an empty table.
-func NewTable() *Table { return &Table{cases: map[Print]*Case{}, heads: map[Head]int{}} }
+func NewTable() *Table { return &Table{cases: map[Fingerprint]*Case{}, heads: map[Head]int{}} }
 
 // Len counts the requests under suspicion.
 func (t *Table) Len() int { return len(t.cases) }
@@ -106,11 +106,11 @@
 // Seq is the number of the last change that others are told.
 func (t *Table) Seq() uint64 { return t.seq }
 
-// Knows reports whether a request with this head is under suspicion.
-func (t *Table) Knows(h Head) bool { return t.heads[h] > 0 }
+// Suspected reports whether a request with this head is under suspicion.
+func (t *Table) Suspected(h Head) bool { return t.heads[h] > 0 }
 
 // Crashes counts the servers that broke off under a request.
-func (t *Table) Crashes(p Print) int {
+func (t *Table) Crashes(p Fingerprint) int {
 	most := 0
 	for _, c := range t.about(p) {
 		most = max(most, len(c.Crashes))
@@ -118,8 +118,8 @@
 	return most
 }
 
-// Barred is for how much longer a request may reach no server; zero where it may.
-func (t *Table) Barred(now time.Time, p Print) time.Duration {
+// QuarantineLeft is for how much longer a request may reach no server; zero where it may.
+func (t *Table) QuarantineLeft(now time.Time, p Fingerprint) time.Duration {
 	var left time.Duration
 	for _, c := range t.about(p) {
 		left = max(left, t.until(c).Sub(now))
@@ -128,7 +128,7 @@
 }
 
 // about lists the cases of a request, its caller's and anybody's.
-func (t *Table) about(p Print) []*Case {
+func (t *Table) about(p Fingerprint) []*Case {
 	var all []*Case
 	for _, q := range both(p) {
 		if c := t.cases[q]; c != nil {
@@ -139,11 +139,11 @@
 }
 
 // both returns a print and the wide one, once where they are the same.
-func both(p Print) []Print {
-	if p == p.Wide() {
-		return []Print{p}
+func both(p Fingerprint) []Fingerprint {
+	if p == p.AnyCaller() {
+		return []Fingerprint{p}
 	}
-	return []Print{p, p.Wide()}
+	return []Fingerprint{p, p.AnyCaller()}
 }
 
 // until is when the quarantine of a request ends. Requests that ran beside a crashing one are
@@ -155,7 +155,7 @@
 		return time.Time{}
 	}
 	for _, other := range t.cases {
-		twin := other.Print.Wide() == c.Print.Wide()
+		twin := other.Fingerprint.AnyCaller() == c.Fingerprint.AnyCaller()
 		if twin || len(other.Crashes) < len(c.Crashes) || !other.covers(c) {
 			continue
 		}
@@ -177,18 +177,18 @@
 			all = append(all, *c)
 		}
 	}
-	slices.SortFunc(all, func(a, b Case) int { return cmp.Compare(a.Print.String(), b.Print.String()) })
+	slices.SortFunc(all, func(a, b Case) int { return cmp.Compare(a.Fingerprint.String(), b.Fingerprint.String()) })
 	return all
 }
 
-// Accuse notes that a server broke off under a request that this VM sent it, and returns
+// RecordCrash notes that a server broke off under a request that this VM sent it, and returns
 // how many have by now.
-func (t *Table) Accuse(now time.Time, p Print, s ident.Server) int {
+func (t *Table) RecordCrash(now time.Time, p Fingerprint, s ident.Server) int {
 	t.accuse(p, Crash{Server: s, At: now})
 	return t.Crashes(p)
 }
 
-func (t *Table) accuse(p Print, crash Crash) {
+func (t *Table) accuse(p Fingerprint, crash Crash) {
 	for _, q := range both(p) {
 		if c := t.open(q); c.add(crash) {
 			t.changed(c)
@@ -198,16 +198,16 @@
 
 // Clear notes that a request was answered: whatever happened before was not its doing, or
 // is mended.
-func (t *Table) Clear(now time.Time, p Print) {
+func (t *Table) Clear(now time.Time, p Fingerprint) {
 	for _, c := range t.about(p) {
 		t.clear(now, c)
 	}
 }
 
-// Lift clears a request of all its callers, as an operator asks.
-func (t *Table) Lift(now time.Time, p Print) {
+// Release clears a request of all its callers, as an operator asks.
+func (t *Table) Release(now time.Time, p Fingerprint) {
 	for _, c := range t.cases {
-		if c.Print.Wide() == p.Wide() {
+		if c.Fingerprint.AnyCaller() == p.AnyCaller() {
 			t.clear(now, c)
 		}
 	}
@@ -222,9 +222,9 @@
 	t.changed(c)
 }
 
-// Settle drops the accusations by servers that are alive, and all that is old. It
+// Reconcile drops the accusations by servers that are alive, and all that is old. It
 // reports whether anything changed that others are told.
-func (t *Table) Settle(now time.Time, life func(ident.Server) Life) bool {
+func (t *Table) Reconcile(now time.Time, life func(ident.Server) Liveness) bool {
 	before := t.seq
 	for p, c := range t.cases {
 		n := len(c.Crashes)
@@ -246,14 +246,14 @@
 }
 
 // open returns the case of a request, a new one if there is none.
-func (t *Table) open(p Print) *Case {
+func (t *Table) open(p Fingerprint) *Case {
 	if c := t.cases[p]; c != nil {
 		return c
 	}
 	if len(t.cases) >= mostCases {
 		t.evict()
 	}
-	c := &Case{Print: p}
+	c := &Case{Fingerprint: p}
 	t.cases[p] = c
 	t.heads[p.Head()]++
 	return c
@@ -269,11 +269,11 @@
 		}
 	}
 	if least != nil {
-		t.forget(least.Print)
+		t.forget(least.Fingerprint)
 	}
 }
 
-func (t *Table) forget(p Print) {
+func (t *Table) forget(p Fingerprint) {
 	delete(t.cases, p)
 	if t.heads[p.Head()]--; t.heads[p.Head()] <= 0 {
 		delete(t.heads, p.Head())
