--- a/internal/load/queue/queue.go
+++ b/internal/load/queue/queue.go
@@ -40,18 +40,18 @@
 
 // Item is one waiting request; embed it. An Item is in at most one queue.
 type Item[T any] struct {
-	Value T
-	Class uint8
-	Rank  time.Time // order within the class, earliest first
-	By    time.Time // when it is too late to start
+	Value    T
+	Class    uint8
+	Rank     time.Time // order within the class, earliest first
+	Deadline time.Time // when it is too late to start
 
 	seq uint64
 	at  time.Time
 	in  bool
 }
 
-// Since is when the item began to wait.
-func (i *Item[T]) Since() time.Time { return i.at }
+// EnqueuedAt is when the item began to wait.
+func (i *Item[T]) EnqueuedAt() time.Time { return i.at }
 
 // Waiting reports whether the item is in a queue.
 func (i *Item[T]) Waiting() bool { return i.in }
@@ -124,8 +124,8 @@
 	i := l.find(it.Rank, it.seq)
 	l.entries = slices.Insert(l.entries, i, entry[T]{it.Rank, it.seq, it})
 	q.n++
-	if q.soonest.IsZero() || it.By.Before(q.soonest) {
-		q.soonest = it.By
+	if q.soonest.IsZero() || it.Deadline.Before(q.soonest) {
+		q.soonest = it.Deadline
 	}
 }
 
@@ -214,9 +214,9 @@
 	return ahead
 }
 
-// Worst returns the item that is served last in its class: the one whose flow
+// Last returns the item that is served last in its class: the one whose flow
 // has taken most, in the lowest class that has any.
-func (q *Queue[T]) Worst() *Item[T] {
+func (q *Queue[T]) Last() *Item[T] {
 	for _, class := range [Classes]int{2, 0, 1} {
 		if e := q.lines[class].entries; len(e) > 0 {
 			return e[len(e)-1].item
@@ -225,9 +225,9 @@
 	return nil
 }
 
-// Soonest is when the first item may become too late; zero when none waits. It
+// NextExpiry is when the first item may become too late; zero when none waits. It
 // can be early, never late.
-func (q *Queue[T]) Soonest() time.Time { return q.soonest }
+func (q *Queue[T]) NextExpiry() time.Time { return q.soonest }
 
 // Expire removes the items that are too late to start and hands each to drop.
 func (q *Queue[T]) Expire(now time.Time, drop func(T)) {
@@ -242,9 +242,9 @@
 
 func (q *Queue[T]) expire(l *line[T], now time.Time, drop func(T)) {
 	l.entries = slices.DeleteFunc(l.entries, func(e entry[T]) bool {
-		if now.Before(e.item.By) {
-			if q.soonest.IsZero() || e.item.By.Before(q.soonest) {
-				q.soonest = e.item.By
+		if now.Before(e.item.Deadline) {
+			if q.soonest.IsZero() || e.item.Deadline.Before(q.soonest) {
+				q.soonest = e.item.Deadline
 			}
 			return false
 		}
@@ -287,8 +287,8 @@
 	}
 }
 
-// Full notes that something was turned away for want of room.
-func (q *Queue[T]) Full(now time.Time) { q.full = now }
+// MarkFull notes that something was turned away for want of room.
+func (q *Queue[T]) MarkFull(now time.Time) { q.full = now }
 
 // pauseTurns is for how many usual turns nothing is served in a pause.
 const pauseTurns = 4
@@ -304,7 +304,7 @@
 	q.served = now
 	if wait <= q.target() {
 		q.short = now
-		q.Calm(now)
+		q.ClearStanding(now)
 		return
 	}
 	if paused {
@@ -316,9 +316,9 @@
 	}
 }
 
-// Calm ends the standing state once nothing has been turned away for Settle.
+// ClearStanding ends the standing state once nothing has been turned away for Settle.
 // Call it also while nothing is served.
-func (q *Queue[T]) Calm(now time.Time) {
+func (q *Queue[T]) ClearStanding(now time.Time) {
 	if q.standing && now.Sub(q.full) > Settle {
 		q.standing = false
 		q.short = now
--- a/internal/load/queue/queue_test.go
+++ b/internal/load/queue/queue_test.go
@@ -26,7 +26,7 @@
 			now += rapid.IntRange(0, 3).Draw(t, "ms")
 			switch rapid.IntRange(0, 4).Draw(t, "action") {
 			case 0, 1:
-				it := &Item[int]{Value: i, Rank: at(rapid.IntRange(0, 20).Draw(t, "rank")), By: at(now + rapid.IntRange(1, 60).Draw(t, "by"))}
+				it := &Item[int]{Value: i, Rank: at(rapid.IntRange(0, 20).Draw(t, "rank")), Deadline: at(now + rapid.IntRange(1, 60).Draw(t, "by"))}
 				q.Push(at(now), it)
 				naive = append(naive, it)
 				slices.SortStableFunc(naive, func(a, b *Item[int]) int { return a.Rank.Compare(b.Rank) })
@@ -48,12 +48,12 @@
 				late := 0
 				q.Expire(at(now), func(int) { late++ })
 				before := len(naive)
-				naive = slices.DeleteFunc(naive, func(it *Item[int]) bool { return !it.By.After(at(now)) })
+				naive = slices.DeleteFunc(naive, func(it *Item[int]) bool { return !it.Deadline.After(at(now)) })
 				assert.Equal(t, late, before-len(naive))
 			}
 			assert.Equal(t, q.Len(), len(naive))
 			if len(naive) > 0 {
-				assert.Assert(t, !q.Soonest().After(slices.MinFunc(naive, func(a, b *Item[int]) int { return a.By.Compare(b.By) }).By))
+				assert.Assert(t, !q.NextExpiry().After(slices.MinFunc(naive, func(a, b *Item[int]) int { return a.Deadline.Compare(b.Deadline) }).Deadline))
 			}
 		}
 	})
@@ -64,7 +64,7 @@
 func TestClassesShareByWeight(t *testing.T) {
 	var q Queue[int]
 	served := [Classes]int{}
-	push := func(class int) { q.Push(begin, &Item[int]{Value: class, Class: uint8(class), By: at(1000)}) }
+	push := func(class int) { q.Push(begin, &Item[int]{Value: class, Class: uint8(class), Deadline: at(1000)}) }
 	for class := range Classes {
 		push(class)
 		push(class)
@@ -89,7 +89,7 @@
 	// serve keeps as many waiting as it takes for each to wait so long.
 	serve := func(from, to, wait int) {
 		for ms := from; ms < to; ms++ {
-			q.Push(at(ms), &Item[int]{Rank: at(ms), By: at(10_000)})
+			q.Push(at(ms), &Item[int]{Rank: at(ms), Deadline: at(10_000)})
 			for q.Len() > wait {
 				q.Pop(at(ms))
 			}
@@ -112,16 +112,16 @@
 func TestAPauseMakesNoStandingQueue(t *testing.T) {
 	var q Queue[int]
 	one := func(from, to int) {
-		q.Push(at(from), &Item[int]{Rank: at(from), By: at(10_000)})
+		q.Push(at(from), &Item[int]{Rank: at(from), Deadline: at(10_000)})
 		q.Pop(at(to))
 	}
 	one(100, 400)
 	assert.Assert(t, !q.Standing())
 	one(500, 800)
 	assert.Assert(t, !q.Standing(), "two pauses with an idle queue between them")
-	q.Push(at(1000), &Item[int]{Rank: at(1000), By: at(10_000)})
+	q.Push(at(1000), &Item[int]{Rank: at(1000), Deadline: at(10_000)})
 	for ms := 1050; ms <= 1200; ms += 50 {
-		q.Push(at(ms), &Item[int]{Rank: at(ms), By: at(10_000)})
+		q.Push(at(ms), &Item[int]{Rank: at(ms), Deadline: at(10_000)})
 		q.Pop(at(ms))
 	}
 	assert.Assert(t, q.Standing(), "waits of 50 ms for longer than the interval")
@@ -139,7 +139,7 @@
 		clock := 0
 		for i := range rapid.IntRange(0, 40).Draw(t, "items") {
 			by := rapid.IntRange(0, 200).Draw(t, "by")
-			q.Push(begin, &Item[int]{Value: i, Rank: at(i), By: at(by)})
+			q.Push(begin, &Item[int]{Value: i, Rank: at(i), Deadline: at(by)})
 			if clock+each > by {
 				gone = append(gone, i)
 				continue
@@ -149,7 +149,7 @@
 		}
 		var shed []int
 		q.Shed(func(ahead float64, it *Item[int]) bool {
-			return at(int(ahead+1) * each).After(it.By)
+			return at(int(ahead+1) * each).After(it.Deadline)
 		}, func(v int) { shed = append(shed, v) })
 		assert.DeepEqual(t, shed, gone)
 		var left []int
@@ -167,7 +167,7 @@
 	var q Queue[int]
 	items := make([]*Item[int], 12)
 	for i := range items {
-		items[i] = &Item[int]{Value: i, Class: uint8(i % 2), Rank: at(i), By: at(1000)}
+		items[i] = &Item[int]{Value: i, Class: uint8(i % 2), Rank: at(i), Deadline: at(1000)}
 		q.Push(begin, items[i])
 	}
 	i := 0
--- a/internal/load/retry/retry.go
+++ b/internal/load/retry/retry.go
@@ -36,8 +36,8 @@
 	step       = 0.05
 )
 
-// Try is what the decision needs to know of a failed attempt.
-type Try struct {
+// Attempt is what the decision needs to know of a failed attempt.
+type Attempt struct {
 	Kind       kinds.Kind
 	Refused    bool // the server said that it ran nothing
 	Idempotent bool
@@ -48,7 +48,7 @@
 
 // Safe reports whether repeating could never run the request twice in a way
 // that matters.
-func (t Try) Safe() bool {
+func (t Attempt) Safe() bool {
 	if t.Kind == kinds.Canceled || t.Kind == kinds.None {
 		return false
 	}
@@ -68,10 +68,10 @@
 // New returns a full budget.
 func New() Budget { return Budget{retries: Burst, hedges: Burst} }
 
-// Bound sets what a first attempt earns and how much is saved up at most. Within
+// SetLimits sets what a first attempt earns and how much is saved up at most. Within
 // any span of time the attempts beyond the first then stay below the burst and the
 // share of the requests in it.
-func (b *Budget) Bound(share, burst float64) {
+func (b *Budget) SetLimits(share, burst float64) {
 	if b.burst == 0 {
 		b.retries = burst
 	}
@@ -79,9 +79,9 @@
 	b.retries = min(b.retries, burst)
 }
 
-// Again charges one more attempt of a request that certainly did not run, and
+// ChargeSafe charges one more attempt of a request that certainly did not run, and
 // reports whether there was anything left to charge.
-func (b *Budget) Again() bool {
+func (b *Budget) ChargeSafe() bool {
 	if b.retries < 1 {
 		return false
 	}
@@ -89,21 +89,21 @@
 	return true
 }
 
-// Left is how many retries the budget has.
-func (b *Budget) Left() float64 { return b.retries }
+// Remaining is how many retries the budget has.
+func (b *Budget) Remaining() float64 { return b.retries }
 
-// First earns for a first attempt.
-func (b *Budget) First() {
+// Earn earns for a first attempt.
+func (b *Budget) Earn() {
 	b.retries = min(b.retries+cmp.Or(b.share, Share), cmp.Or(b.burst, Burst))
 	b.hedges = min(b.hedges+HedgeShare, Burst)
 }
 
-// Repeat charges a repeat by the caller itself. It is never refused for that:
+// ChargeRepeat charges a repeat by the caller itself. It is never refused for that:
 // the caller has already waited. But the gate's own retries stop.
-func (b *Budget) Repeat() { b.retries = max(b.retries-1, 0) }
+func (b *Budget) ChargeRepeat() { b.retries = max(b.retries-1, 0) }
 
-// May decides on a retry and charges it.
-func (b *Budget) May(t Try) bool {
+// Allow decides on a retry and charges it.
+func (b *Budget) Allow(t Attempt) bool {
 	if !t.Safe() || t.Overload || t.Left <= t.Needed || b.retries < 1 {
 		return false
 	}
@@ -111,8 +111,8 @@
 	return true
 }
 
-// MayHedge decides on a hedge and charges it. Left is until the deadline.
-func (b *Budget) MayHedge(idempotent, overload bool, left time.Duration) bool {
+// AllowHedge decides on a hedge and charges it. Left is until the deadline.
+func (b *Budget) AllowHedge(idempotent, overload bool, left time.Duration) bool {
 	if !idempotent || overload || left <= 0 || b.hedges < 1 {
 		return false
 	}
--- a/internal/load/retry/retry_test.go
+++ b/internal/load/retry/retry_test.go
@@ -20,8 +20,8 @@
 		first, retries := 0, 0
 		for range rapid.IntRange(1, 300).Draw(t, "attempts") {
 			first++
-			b.First()
-			try := Try{
+			b.Earn()
+			try := Attempt{
 				Kind:       rapid.SampledFrom(kinds.All()).Draw(t, "kind"),
 				Refused:    rapid.Bool().Draw(t, "refused"),
 				Idempotent: rapid.Bool().Draw(t, "idempotent"),
@@ -29,7 +29,7 @@
 				Needed:     10 * time.Millisecond,
 				Overload:   rapid.IntRange(0, 3).Draw(t, "overload") == 0,
 			}
-			if !b.May(try) {
+			if !b.Allow(try) {
 				continue
 			}
 			retries++
@@ -47,9 +47,9 @@
 func TestRepeatsOfCallersCount(t *testing.T) {
 	b := New()
 	for range Burst {
-		b.Repeat()
+		b.ChargeRepeat()
 	}
-	assert.Assert(t, !b.May(Try{Kind: kinds.Busy, Refused: true, Left: time.Second}))
+	assert.Assert(t, !b.Allow(Attempt{Kind: kinds.Busy, Refused: true, Left: time.Second}))
 }
 
 // Hedging starts after about the 95th percentile, or it doubles the load.
@@ -61,13 +61,13 @@
 	assert.Assert(t, b.HedgeAfter() > 85*time.Millisecond && b.HedgeAfter() < 105*time.Millisecond, "%v", b.HedgeAfter())
 	allowed := 0
 	for range 1000 {
-		b.First()
-		if b.MayHedge(true, false, time.Second) {
+		b.Earn()
+		if b.AllowHedge(true, false, time.Second) {
 			allowed++
 		}
 	}
 	assert.Assert(t, allowed <= Burst+50)
-	assert.Assert(t, !b.MayHedge(false, false, time.Second))
+	assert.Assert(t, !b.AllowHedge(false, false, time.Second))
 }
 
 // Ten VMs repeat what was lost, each within its own count, and a platform counts all of
@@ -79,17 +79,17 @@
 		all := make([]Budget, vms)
 		for i := range all {
 			all[i] = New()
-			all[i].Bound(share, burst/vms)
+			all[i].SetLimits(share, burst/vms)
 		}
 		asked, again := 0, 0
 		for range rapid.IntRange(1, 2000).Draw(t, "steps") {
 			b := &all[rapid.IntRange(0, vms-1).Draw(t, "vm")]
 			if rapid.Bool().Draw(t, "first") {
-				b.First()
+				b.Earn()
 				asked++
 				continue
 			}
-			if b.Again() {
+			if b.ChargeSafe() {
 				again++
 			}
 		}
--- a/internal/load/sizes/sizes.go
+++ b/internal/load/sizes/sizes.go
@@ -40,9 +40,9 @@
 	follow = 0.1
 )
 
-// Mix learns which requests are long and whether short ones are around. The
+// Classifier learns which requests are long and whether short ones are around. The
 // zero value is ready to use.
-type Mix struct {
+type Classifier struct {
 	short   float64          // average seconds of short requests
 	unknown [256]float64     // average seconds of requests of unknown size, by class
 	last    [Kinds]time.Time // when each kind was last seen
@@ -50,7 +50,7 @@
 
 // Kind tells a request's kind from its size in bytes, or from what others of
 // its class took when the size is unknown (below zero).
-func (m *Mix) Kind(size int64, class uint8) Kind {
+func (m *Classifier) Kind(size int64, class uint8) Kind {
 	switch {
 	case size >= LongBytes:
 		return Long
@@ -62,10 +62,10 @@
 }
 
 // Seen notes that a request of this kind arrived.
-func (m *Mix) Seen(now time.Time, k Kind) { m.last[k] = now }
+func (m *Classifier) Seen(now time.Time, k Kind) { m.last[k] = now }
 
 // Observe takes in how long a request took.
-func (m *Mix) Observe(size int64, class uint8, took time.Duration) {
+func (m *Classifier) Observe(size int64, class uint8, took time.Duration) {
 	s := took.Seconds()
 	switch {
 	case size < 0:
@@ -84,16 +84,16 @@
 }
 
 // Mixed reports whether both kinds are around.
-func (m *Mix) Mixed(now time.Time) bool {
+func (m *Classifier) Mixed(now time.Time) bool {
 	return m.around(now, Short) && m.around(now, Long)
 }
 
 // Only reports whether this kind is around and the other is not.
-func (m *Mix) Only(now time.Time, k Kind) bool {
+func (m *Classifier) Only(now time.Time, k Kind) bool {
 	return m.around(now, k) && !m.around(now, Long-k)
 }
 
-func (m *Mix) around(now time.Time, k Kind) bool {
+func (m *Classifier) around(now time.Time, k Kind) bool {
 	return !m.last[k].IsZero() && now.Sub(m.last[k]) < Linger
 }
 
@@ -167,13 +167,13 @@
 	return Token{Share: s, window: max(step/each, time.Millisecond)}
 }
 
-// Turn is the number of the window at this moment, and whether this VM holds the
+// Window is the number of the window at this moment, and whether this VM holds the
 // token of server i in it.
-func (t Token) Turn(now time.Time, i int) (turn int64, holds bool) {
+func (t Token) Window(now time.Time, i int) (turn int64, holds bool) {
 	turn = now.UnixNano() / int64(t.window)
 	vms := int64(max(t.VMs, 1))
 	return turn, (turn+int64(i))%vms == int64(t.Index)
 }
 
-// Round is how long it takes until the token is back.
-func (t Token) Round() time.Duration { return t.window * time.Duration(max(t.VMs, 1)) }
+// Period is how long it takes until the token is back.
+func (t Token) Period() time.Duration { return t.window * time.Duration(max(t.VMs, 1)) }
--- a/internal/load/sizes/sizes_test.go
+++ b/internal/load/sizes/sizes_test.go
@@ -39,7 +39,7 @@
 // Uploads alone may use everything; while lookups are around they may not, and
 // for a while after the last one.
 func TestMixedOnlyWhileBothAreAround(t *testing.T) {
-	var m Mix
+	var m Classifier
 	m.Seen(begin, Long)
 	assert.Assert(t, !m.Mixed(begin) && m.Only(begin, Long))
 	m.Seen(begin, Short)
@@ -51,7 +51,7 @@
 // Bodies of unknown length turn out to take a hundred times longer than others.
 // They must count as long from then on, or they fill the slots unseen.
 func TestUnknownSizesAreLearned(t *testing.T) {
-	var m Mix
+	var m Classifier
 	assert.Equal(t, m.Kind(-1, 0), Short)
 	m.Observe(100, 0, 5*time.Millisecond)
 	m.Observe(-1, 0, 500*time.Millisecond)
@@ -73,14 +73,14 @@
 		for v := range tokens {
 			tokens[v] = NewToken(Share{VMs: vms, Index: v}, length, slots)
 		}
-		step := tokens[0].Round() / time.Duration(vms)
-		first, _ := tokens[0].Turn(now, server)
+		step := tokens[0].Period() / time.Duration(vms)
+		first, _ := tokens[0].Window(now, server)
 		held := map[int]bool{}
 		for k := range vms {
 			at := now.Add(time.Duration(k) * step)
 			holders := 0
 			for v := range tokens {
-				turn, holds := tokens[v].Turn(at, server)
+				turn, holds := tokens[v].Window(at, server)
 				assert.Equal(t, turn, first+int64(k))
 				if holds {
 					holders++
@@ -90,10 +90,10 @@
 			assert.Equal(t, holders, 1)
 			here, next := 0, 0
 			for v := range tokens {
-				if _, holds := tokens[v].Turn(at, server); holds {
+				if _, holds := tokens[v].Window(at, server); holds {
 					here = v
 				}
-				if _, holds := tokens[v].Turn(at, server+1); holds {
+				if _, holds := tokens[v].Window(at, server+1); holds {
 					next = v
 				}
 			}
@@ -108,7 +108,7 @@
 // uploads are far longer.
 func TestTheTokenKeepsStep(t *testing.T) {
 	at := func(ms int) time.Duration {
-		return NewToken(Share{VMs: 10}, time.Duration(ms)*time.Millisecond, 4).Round()
+		return NewToken(Share{VMs: 10}, time.Duration(ms)*time.Millisecond, 4).Period()
 	}
 	assert.Equal(t, at(0), at(400))
 	assert.Equal(t, at(250), at(750))
--- a/internal/node/roster/bench_test.go
+++ b/internal/node/detect/bench_test.go
@@ -1,4 +1,4 @@
-package roster
+package detect
 
 import (
 	"strconv"
@@ -24,7 +24,7 @@
 				rows = append(rows, Listed[ident.Server]{ID: name(i), Group: "lookup", State: vmlist.Live})
 			}
 			var views ViewsMsg[ident.Server]
-			shard := ShardMsg{Self: "vm0"}
+			shard := ProbersMsg{Self: "vm0"}
 			for i := range 50 {
 				vm := ident.VM("vm" + strconv.Itoa(i))
 				shard.VMs = append(shard.VMs, Prober{VM: vm, Centre: ident.Centre(strconv.Itoa(i % 4))})
--- a/internal/node/roster/judge.go
+++ b/internal/node/detect/judge.go
@@ -1,4 +1,4 @@
-package roster
+package detect
 
 import (
 	"maps"
@@ -56,7 +56,7 @@
 		from := x.Is
 		on, why := verdict(x)
 		if on != "" && x.fire(now, on) {
-			cmds = append(cmds, ChangeCmd[K]{ID: x.ID, From: from, To: x.Is, Why: why})
+			cmds = append(cmds, ChangeCmd[K]{ID: x.ID, From: from, To: x.Is, Reason: why})
 		}
 	}
 	return cmds
--- a/internal/node/roster/member.go
+++ b/internal/node/detect/member.go
@@ -1,4 +1,4 @@
-package roster
+package detect
 
 import (
 	"time"
@@ -71,18 +71,18 @@
 }
 
 func (x *member[K]) onCalls(now time.Time, msg CallsMsg[K]) {
-	if msg.Good > 0 {
+	if msg.Succeeded > 0 {
 		x.callGood, x.callBad = now, 0
 		x.onBeat(now)
 		return
 	}
-	if msg.Bad == 0 {
+	if msg.Failed == 0 {
 		return
 	}
 	if x.callBad == 0 {
 		x.badSince = now
 	}
-	x.callBad += msg.Bad
+	x.callBad += msg.Failed
 	x.badLast = now
 	x.proofs = 0
 }
--- a/internal/node/roster/naive_test.go
+++ b/internal/node/detect/naive_test.go
@@ -1,4 +1,4 @@
-package roster
+package detect
 
 import (
 	"fmt"
@@ -79,10 +79,10 @@
 	var v ViewCmd[ident.Server]
 	for _, x := range n.all() {
 		if x.Is != Gone && x.suspect(now, n.cfg) {
-			v.Bad = append(v.Bad, x.ID)
+			v.Frozen = append(v.Frozen, x.ID)
 		}
 		if x.Is != Gone && x.odd() && n.shards() && slices.Contains(n.probersOf(x), n.shard.Self) {
-			v.Odd = append(v.Odd, x.ID)
+			v.Suspect = append(v.Suspect, x.ID)
 		}
 	}
 	return append(cmds, v)
@@ -193,7 +193,7 @@
 }
 
 func (d *draw) shard() loop.Msg {
-	m := ShardMsg{Self: d.vm(), Peers: d.pick(4, "peers") == 0}
+	m := ProbersMsg{Self: d.vm(), Peers: d.pick(4, "peers") == 0}
 	for i := range d.vms {
 		if d.pick(6, "there") > 0 {
 			m.VMs = append(m.VMs, Prober{VM: ident.VM(fmt.Sprint("vm", i)), Centre: ident.Centre(fmt.Sprint("c", i%3))})
@@ -208,7 +208,7 @@
 	for i := range d.vms {
 		v := ViewMsg[ident.Server]{From: ident.VM(fmt.Sprint("vm", i))}
 		if bad {
-			v.Bad = d.some("bad")
+			v.Frozen = d.some("bad")
 		}
 		m.Views = append(m.Views, v)
 	}
@@ -216,7 +216,7 @@
 		m.Views = append(m.Views, ViewMsg[ident.Server]{From: ident.VM(name(i))})
 	}
 	if d.pick(6, "odd views") == 0 {
-		m.Odd = d.some("odd")
+		m.Suspect = d.some("odd")
 	}
 	return m
 }
@@ -230,11 +230,11 @@
 	case 1:
 		return wait, d.shard()
 	case 2:
-		return wait, BeatMsg[ident.Server]{ID: d.one("beat")}
+		return wait, HeartbeatMsg[ident.Server]{ID: d.one("beat")}
 	case 3:
-		return wait, CallsMsg[ident.Server]{ID: d.one("calls"), Good: d.pick(2, "good"), Bad: d.pick(5, "bad")}
+		return wait, CallsMsg[ident.Server]{ID: d.one("calls"), Succeeded: d.pick(2, "good"), Failed: d.pick(5, "bad")}
 	case 4:
-		return wait, ViewMsg[ident.Server]{From: d.vm(), Bad: d.some("bad"), Odd: d.some("odd")}
+		return wait, ViewMsg[ident.Server]{From: d.vm(), Frozen: d.some("bad"), Odd: d.some("odd")}
 	case 5:
 		d.cuts[d.one("cut")] = answers(d.pick(4, "how it answers"))
 	case 6:
@@ -337,5 +337,5 @@
 	assert.Assert(t, now.Sub(x.probed) < DefaultConfig.Probe)
 	m.tell = true
 	_, cmds := m.Update(now, TickMsg{})
-	assert.DeepEqual(t, cmds, []loop.Cmd{ViewCmd[ident.Server]{Bad: []ident.Server{"s0"}}})
+	assert.DeepEqual(t, cmds, []loop.Cmd{ViewCmd[ident.Server]{Frozen: []ident.Server{"s0"}}})
 }
--- a/internal/node/roster/peers_test.go
+++ b/internal/node/detect/peers_test.go
@@ -1,4 +1,4 @@
-package roster
+package detect
 
 import (
 	"testing"
@@ -28,7 +28,7 @@
 		rows = append(rows, Listed[ident.VM]{ID: ident.VM(name(i)), State: vmlist.Live})
 	}
 	c.m.Update(c.now, ListMsg[ident.VM]{Rows: rows})
-	c.m.Update(c.now, ShardMsg{Self: "self", Peers: true})
+	c.m.Update(c.now, ProbersMsg{Self: "self", Peers: true})
 	c.run(6 * time.Second)
 	for i := range n {
 		x, _ := c.m.Member(ident.VM(name(i)))
@@ -57,9 +57,9 @@
 	var msg ViewsMsg[ident.VM]
 	for _, x := range c.m.Members() {
 		if !c.quiet[x.ID] {
-			msg.Views = append(msg.Views, ViewMsg[ident.VM]{From: x.ID, Bad: c.bad})
+			msg.Views = append(msg.Views, ViewMsg[ident.VM]{From: x.ID, Frozen: c.bad})
 		} else {
-			msg.Odd = append(msg.Odd, x.ID)
+			msg.Suspect = append(msg.Suspect, x.ID)
 		}
 	}
 	c.m.Update(c.now, msg)
--- a/internal/node/roster/rest.go
+++ b/internal/node/detect/rest.go
@@ -1,4 +1,4 @@
-package roster
+package detect
 
 import (
 	"cmp"
--- a/internal/node/roster/roster.go
+++ b/internal/node/detect/roster.go
@@ -1,4 +1,4 @@
-// Package roster decides which entry VMs and backend servers are live, joining,
+// Package detect decides which entry VMs and backend servers are live, joining,
 // draining, frozen or gone, out of witnesses that can each be wrong: the
 // platform's list lags, a health endpoint can say "ready" while nothing is
 // served, silence can be our own broken link, and callers' failures can be the
@@ -21,7 +21,7 @@
 //     whoever was silent may still hold what it held.
 //
 // The states and their changes stand in member.toml.
-package roster
+package detect
 
 import (
 	_ "embed"
@@ -117,13 +117,13 @@
 	Health server.Health
 }
 
-// BeatMsg tells that a member was heard directly: an answer to an order, a
+// HeartbeatMsg tells that a member was heard directly: an answer to an order, a
 // packet of a peer.
-type BeatMsg[K ~string] struct{ ID K }
+type HeartbeatMsg[K ~string] struct{ ID K }
 
-// WordMsg brings a member's own word out of an answer to something else, a
+// HealthMsg brings a member's own word out of an answer to something else, a
 // renewal of a lease. It stands for a probe: none is sent while such words come.
-type WordMsg[K ~string] struct {
+type HealthMsg[K ~string] struct {
 	ID     K
 	Health server.Health
 }
@@ -131,23 +131,23 @@
 // CallsMsg tells what callers observed since the last one. Bad counts requests
 // without any answer: refusals and errors are answers.
 type CallsMsg[K ~string] struct {
-	ID   K
-	Good int
-	Bad  int
+	ID        K
+	Succeeded int
+	Failed    int
 }
 
 // ViewMsg tells whom another VM holds to be frozen, and whom it would look at
 // more closely: see ViewCmd. Send it about once a second.
 type ViewMsg[K ~string] struct {
-	From ident.VM
-	Bad  []K
-	Odd  []K
+	From   ident.VM
+	Frozen []K
+	Odd    []K
 }
 
 // ViewsMsg brings many VMs' views at once, as the exchange collects them.
 type ViewsMsg[K ~string] struct {
-	Views []ViewMsg[K]
-	Odd   []K // as any of them finds
+	Views   []ViewMsg[K]
+	Suspect []K // as any of them finds
 }
 
 // TickMsg lets time pass; send it every 100 ms or so. States change only with it
@@ -164,15 +164,15 @@
 type ChangeCmd[K ~string] struct {
 	ID       K
 	From, To chart.State
-	Why      string
+	Reason   string
 }
 
 // ViewCmd tells the other VMs whom this VM holds to look frozen, and who of those
 // that it probes gave no answer or another word than "ready". It is made with
 // each round of probes, and soon after such a word changed.
 type ViewCmd[K ~string] struct {
-	Bad []K
-	Odd []K
+	Frozen  []K
+	Suspect []K
 }
 
 // Member is one member as seen now.
@@ -184,8 +184,8 @@
 	Avoid bool      // it looks frozen from here, but not to others
 }
 
-// Takes reports whether the member may get new work.
-func (m Member[K]) Takes() bool { return m.Is == Live }
+// Accepting reports whether the member may get new work.
+func (m Member[K]) Accepting() bool { return m.Is == Live }
 
 // Model is the decision module; it implements [loop.Model]. Make one with New.
 // It changes in place, so its state belongs to the goroutine that updates it.
@@ -195,7 +195,7 @@
 	views   map[ident.VM]view[K]
 	told    time.Time // when the others were last told
 	tell    bool      // there is something new to tell
-	shard   ShardMsg
+	shard   ProbersMsg
 	lists   uint64 // how many were taken in
 	resting[K]
 }
@@ -227,9 +227,9 @@
 		cmds = m.judge(now, m.lookedAt())
 	case ProbeMsg[K]:
 		m.with(now, msg.ID, func(x *member[K]) { m.tell = x.onProbe(now, msg) || m.tell })
-	case WordMsg[K]:
+	case HealthMsg[K]:
 		m.with(now, msg.ID, func(x *member[K]) { m.tell = x.onWord(now, msg.Health) || m.tell })
-	case BeatMsg[K]:
+	case HeartbeatMsg[K]:
 		m.with(now, msg.ID, func(x *member[K]) { x.onBeat(now) })
 	case CallsMsg[K]:
 		m.with(now, msg.ID, func(x *member[K]) { x.onCalls(now, msg) })
@@ -239,8 +239,8 @@
 		for _, v := range msg.Views {
 			m.onView(now, v)
 		}
-		m.onOdd(now, msg.Odd)
-	case ShardMsg:
+		m.onOdd(now, msg.Suspect)
+	case ProbersMsg:
 		m.wakeAll()
 		for _, x := range m.members {
 			m.excuse(now, x)
@@ -257,7 +257,7 @@
 }
 
 func (m *Model[K]) onView(now time.Time, v ViewMsg[K]) {
-	m.views[v.From] = view[K]{at: now, bad: v.Bad}
+	m.views[v.From] = view[K]{at: now, bad: v.Frozen}
 	if m.shard.Peers {
 		m.with(now, K(v.From), func(x *member[K]) { x.hear(now) })
 	}
--- a/internal/node/roster/roster_test.go
+++ b/internal/node/detect/roster_test.go
@@ -1,4 +1,4 @@
-package roster
+package detect
 
 import (
 	"testing"
@@ -153,7 +153,7 @@
 	}
 	w.run(2 * time.Second)
 	for _, x := range w.m.Members() {
-		assert.Assert(t, x.Takes() && !x.Avoid)
+		assert.Assert(t, x.Accepting() && !x.Avoid)
 	}
 }
 
@@ -207,7 +207,7 @@
 	w.run(5 * time.Second)
 	live := 0
 	for _, x := range w.m.Members() {
-		if x.Takes() {
+		if x.Accepting() {
 			live++
 		}
 	}
@@ -247,7 +247,7 @@
 		w.until(old, Gone, 5*time.Second)
 		takes := 0
 		for _, x := range w.m.Members() {
-			if x.Takes() {
+			if x.Accepting() {
 				takes++
 			}
 		}
--- a/internal/node/roster/shard.go
+++ b/internal/node/detect/shard.go
@@ -1,4 +1,4 @@
-package roster
+package detect
 
 import (
 	"cmp"
@@ -18,14 +18,14 @@
 	Centre ident.Centre
 }
 
-// ShardMsg says which entry VMs share the probes, this one included. Without it
+// ProbersMsg says which entry VMs share the probes, this one included. Without it
 // every VM probes every member.
 //
 // Each member is then probed by a few VMs, the same on every VM. The rest do
 // without while all is as it was; what they are told never changes what they
 // believe of a member, it only makes them look for themselves. So a VM that
 // lies, or a packet that is lost, costs probes and nothing else.
-type ShardMsg struct {
+type ProbersMsg struct {
 	Self ident.VM
 	VMs  []Prober
 	// Peers says that the members are these VMs themselves. Their own views then
@@ -73,10 +73,10 @@
 			continue
 		}
 		if x.suspect(now, m.cfg) {
-			v.Bad = append(v.Bad, x.ID)
+			v.Frozen = append(v.Frozen, x.ID)
 		}
 		if x.odd() && m.shards() && slices.Contains(m.probersOf(x), m.shard.Self) {
-			v.Odd = append(v.Odd, x.ID)
+			v.Suspect = append(v.Suspect, x.ID)
 		}
 	}
 	return v
--- a/internal/node/roster/shard_test.go
+++ b/internal/node/detect/shard_test.go
@@ -1,4 +1,4 @@
-package roster
+package detect
 
 import (
 	"fmt"
@@ -52,7 +52,7 @@
 	for _, vm := range w.order {
 		w.now = w.now.Add(time.Duration(rnd.IntN(150)) * time.Millisecond) // its own phase of probing
 		w.tell(vm, ListMsg[ident.Server]{Rows: rows})
-		w.tell(vm, ShardMsg{Self: vm, VMs: shard})
+		w.tell(vm, ProbersMsg{Self: vm, VMs: shard})
 		w.tell(vm, TickMsg{})
 	}
 	w.run(10 * time.Second)
@@ -66,7 +66,7 @@
 
 func (w *mesh) takes(vm ident.VM, id ident.Server) bool {
 	x, _ := w.vms[vm].Member(id)
-	return x.Takes()
+	return x.Accepting()
 }
 
 func (w *mesh) tell(vm ident.VM, msg loop.Msg) {
@@ -91,7 +91,7 @@
 	}
 	for _, to := range w.order {
 		if to != from && !w.lose() {
-			w.tell(to, ViewMsg[ident.Server]{From: from, Bad: c.Bad, Odd: c.Odd})
+			w.tell(to, ViewMsg[ident.Server]{From: from, Frozen: c.Frozen, Odd: c.Suspect})
 		}
 	}
 }
@@ -211,7 +211,7 @@
 	before := w.vms[other].members[name(0)].probed
 	w.run(5 * time.Second)
 	assert.Equal(t, w.vms[other].members[name(0)].probed, before, "it was to rely on others")
-	w.tell(other, CallsMsg[ident.Server]{ID: name(0), Bad: 1})
+	w.tell(other, CallsMsg[ident.Server]{ID: name(0), Failed: 1})
 	w.run(step)
 	assert.Assert(t, w.vms[other].members[name(0)].probed.After(before))
 }
@@ -242,7 +242,7 @@
 	probes := func(d time.Duration, word *server.Health) (n int) {
 		for end := now.Add(d); now.Before(end); now = now.Add(100 * time.Millisecond) {
 			if word != nil {
-				m.Update(now, WordMsg[ident.Server]{ID: "s1", Health: *word})
+				m.Update(now, HealthMsg[ident.Server]{ID: "s1", Health: *word})
 			}
 			_, cmds := m.Update(now, TickMsg{})
 			for _, c := range cmds {
--- a/internal/node/roster/world_test.go
+++ b/internal/node/detect/world_test.go
@@ -1,4 +1,4 @@
-package roster
+package detect
 
 import (
 	"strconv"
@@ -92,13 +92,13 @@
 		for id, a := range w.actors {
 			well := !a.frozen && !a.cut
 			if well && w.beats && !a.noise {
-				w.tell(BeatMsg[ident.Server]{ID: id})
+				w.tell(HeartbeatMsg[ident.Server]{ID: id})
 			}
-			if x, _ := w.m.Member(id); x.Takes() && !x.Avoid {
+			if x, _ := w.m.Member(id); x.Accepting() && !x.Avoid {
 				if well {
-					w.tell(CallsMsg[ident.Server]{ID: id, Good: 1})
+					w.tell(CallsMsg[ident.Server]{ID: id, Succeeded: 1})
 				} else {
-					w.tell(CallsMsg[ident.Server]{ID: id, Bad: 1})
+					w.tell(CallsMsg[ident.Server]{ID: id, Failed: 1})
 				}
 			}
 		}
@@ -109,8 +109,8 @@
 					bad = append(bad, id)
 				}
 			}
-			w.tell(ViewMsg[ident.Server]{From: "vm2", Bad: bad})
-			w.tell(ViewMsg[ident.Server]{From: "vm3", Bad: bad})
+			w.tell(ViewMsg[ident.Server]{From: "vm2", Frozen: bad})
+			w.tell(ViewMsg[ident.Server]{From: "vm3", Frozen: bad})
 		}
 		w.tell(TickMsg{})
 	}
@@ -147,7 +147,7 @@
 	for _, x := range w.m.Members() {
 		at, ok := left[x.ID]
 		if ok && w.now.Sub(at) > 3*time.Second && !w.actors[x.ID].absent {
-			assert.Assert(w.t, !x.Takes(), "%s takes work %v after it left", x.ID, w.now.Sub(at))
+			assert.Assert(w.t, !x.Accepting(), "%s takes work %v after it left", x.ID, w.now.Sub(at))
 		}
 	}
 	for id := range w.actors {
--- a/internal/node/gossip/bench_test.go
+++ b/internal/node/gossip/bench_test.go
@@ -19,18 +19,18 @@
 			b.ReportAllocs()
 			for b.Loop() {
 				for range 10 {
-					now = now.Add(Tick)
+					now = now.Add(TickInterval)
 					m.Update(now, TickMsg{})
 				}
 				for i := range 3 {
-					p := &Pulse{
+					p := &Heartbeat{
 						Root: m.order[i], Seq: uint64(now.UnixMilli()), Sum: m.sum, Turn: i, List: m.list().sum,
-						Ask: true, Back: 1000, View: &View{Here: []byte{byHoles}},
+						Ask: true, Back: 1000, View: &View{Responders: []byte{byHoles}},
 					}
-					m.Update(now, PacketMsg{From: m.order[i], Packet: Packet{Pulse: p}})
+					m.Update(now, PacketMsg{From: m.order[i], Packet: Packet{Heartbeat: p}})
 				}
 				for i := range probes {
-					m.Update(now, PacketMsg{From: m.order[i], Packet: Packet{Probe: &Probe{Sum: m.sum, Rows: []Row{{Server: "s1", Age: time.Second}}}}})
+					m.Update(now, PacketMsg{From: m.order[i], Packet: Packet{Probe: &Probe{Sum: m.sum, Rows: []LoadRow{{Server: "s1", Age: time.Second}}}}})
 				}
 			}
 		})
--- a/internal/node/gossip/gossip.go
+++ b/internal/node/gossip/gossip.go
@@ -33,14 +33,14 @@
 // package force), so three pulses may be lost in a row; a watcher is replaced
 // after as long, before the bound of 7 s has passed.
 const (
-	Period = time.Second            // between pulses, and between probes
-	Tick   = 100 * time.Millisecond // how often TickMsg is to be sent
-	gap    = 200 * time.Millisecond // least time between two pulses of a root
-	giveUp = 10 * time.Second       // on a value that nobody has; it is announced again if it exists
-	again  = 400 * time.Millisecond // before a value is asked for elsewhere
-	silent = 3 * time.Second        // after which a watcher is passed over
-	newFor = 3 * time.Second        // how long a head rides on pulses
-	seen   = 1500 * time.Millisecond
+	Period       = time.Second            // between pulses, and between probes
+	TickInterval = 100 * time.Millisecond // how often TickMsg is to be sent
+	gap          = 200 * time.Millisecond // least time between two pulses of a root
+	giveUp       = 10 * time.Second       // on a value that nobody has; it is announced again if it exists
+	again        = 400 * time.Millisecond // before a value is asked for elsewhere
+	silent       = 3 * time.Second        // after which a watcher is passed over
+	newFor       = 3 * time.Second        // how long a head rides on pulses
+	seen         = 1500 * time.Millisecond
 	// Pulses are counted once the store was silent for asking, and a count is
 	// good for counted: the next one is known to all two periods later. Together
 	// with seen this leaves a VM 1.5 s before it would stop for want of news.
@@ -84,9 +84,9 @@
 }
 
 // ReportMsg brings load rows that this VM read itself.
-type ReportMsg struct{ Rows []Row }
+type ReportMsg struct{ Rows []LoadRow }
 
-// TickMsg lets time pass; send it every [Tick].
+// TickMsg lets time pass; send it every [TickInterval].
 type TickMsg struct{}
 
 // SendCmd sends a packet to a peer. A lost one does no harm.
@@ -111,9 +111,9 @@
 // WatchCmd tells whether this VM is to watch the store.
 type WatchCmd struct{ On bool }
 
-// SightCmd tells what this VM hears; see force.SightMsg. At is the moment for
+// ContactCmd tells what this VM hears; see force.SightMsg. At is the moment for
 // which it is true: up to then, a new revision would have been heard of.
-type SightCmd struct {
+type ContactCmd struct {
 	Store bool
 	Live  int
 	Heard int
@@ -121,7 +121,7 @@
 }
 
 // LoadCmd hands out load rows that peers read.
-type LoadCmd struct{ Rows []Row }
+type LoadCmd struct{ Rows []LoadRow }
 
 // Model is the decision module; it implements [loop.Model]. Make one with New.
 // It changes in place, so its state belongs to the goroutine that updates it.
@@ -140,7 +140,7 @@
 	fetches map[string]*fetch
 	waiting map[string]map[ident.VM]*Want
 	fresh   map[string]time.Time // when a name last changed here
-	owed    map[string]TellMsg   // who is to hear of a value that has not come
+	owed    map[string]NotifyMsg // who is to hear of a value that has not come
 	sum     digest.Sum
 
 	storeAt time.Time // when the store was last heard, by us or by a root
@@ -153,7 +153,7 @@
 	listed   listed
 	asksList time.Time
 
-	say SayMsg
+	say ViewMsg
 
 	pulsed time.Time
 	asked  time.Time // when a pulse of ours last wanted answers
@@ -204,13 +204,13 @@
 	case ValueMsg:
 		h := Head{Name: msg.Name, Rev: msg.Rev, Sum: digest.Of(msg.Raw)}
 		return m, append(m.held(now, "", h, msg.Raw), m.tellWatchers(h)...)
-	case TellMsg:
+	case NotifyMsg:
 		return m, m.onTell(msg)
 	case ReportMsg:
 		m.report(now, msg.Rows)
-	case SayMsg:
+	case ViewMsg:
 		m.onSay(now, msg)
-	case ListedMsg:
+	case ListReadMsg:
 		m.onListed(msg)
 	case PacketMsg:
 		return m, m.packet(now, msg.From, msg.Packet)
@@ -222,8 +222,8 @@
 
 func (m *Model) packet(now time.Time, from ident.VM, p Packet) []loop.Cmd {
 	switch {
-	case p.Pulse != nil:
-		return m.onPulse(now, from, p.Pulse)
+	case p.Heartbeat != nil:
+		return m.onPulse(now, from, p.Heartbeat)
 	case p.Ack != nil:
 		return m.onAck(now, from, p.Ack)
 	case p.News != nil:
@@ -234,8 +234,8 @@
 		return m.onHeads(now, from, p.Heads)
 	case p.Want != nil:
 		return m.onWant(from, p.Want)
-	case p.Give != nil:
-		return m.onGive(now, from, p.Give)
+	case p.Value != nil:
+		return m.onGive(now, from, p.Value)
 	}
 	return nil
 }
@@ -359,7 +359,7 @@
 
 // sight tells what this VM hears.
 func (m *Model) sight(now time.Time) loop.Cmd {
-	s := SightCmd{Store: !m.storeAt.IsZero() && now.Sub(m.storeAt) < seen, Live: len(m.peers), Heard: 1}
+	s := ContactCmd{Store: !m.storeAt.IsZero() && now.Sub(m.storeAt) < seen, Live: len(m.peers), Heard: 1}
 	if !m.heardAt.IsZero() && now.Sub(m.heardAt) < counted {
 		s.Heard = max(m.heard, 1)
 	}
--- a/internal/node/gossip/gossip_test.go
+++ b/internal/node/gossip/gossip_test.go
@@ -95,7 +95,7 @@
 // run lets time pass in ticks and delivers everything.
 func (x *net) run(d time.Duration) {
 	for end := x.now.Add(d); x.now.Before(end); {
-		x.now = x.now.Add(Tick)
+		x.now = x.now.Add(TickInterval)
 		for i := range len(x.nodes) + 4 {
 			if vm := ident.VM("vm" + strconv.Itoa(i)); x.nodes[vm] != nil {
 				x.tell(vm, TickMsg{})
@@ -128,7 +128,7 @@
 			}
 			most := 0
 			for range 60 {
-				x.run(Tick)
+				x.run(TickInterval)
 				most = max(most, x.watchers())
 			}
 			assert.Equal(t, x.watchers(), Watchers, "%d VMs, %d lost", n, lose)
@@ -191,13 +191,13 @@
 			next, writer = writer, vm
 		}
 	}
-	x.now = x.now.Add(Tick / 2)
+	x.now = x.now.Add(TickInterval / 2)
 	x.tell(writer, ValueMsg{Name: "table/lookup", Rev: 7, Raw: body(1)})
-	x.tell(writer, TellMsg{Name: "table/lookup", To: []ident.VM{next}})
+	x.tell(writer, NotifyMsg{Name: "table/lookup", To: []ident.VM{next}})
 	x.flush()
 	h, _ := x.nodes[next].Head("table/lookup")
 	assert.Equal(t, h.Rev, ident.Revision(7))
-	x.run(gap + 2*Tick)
+	x.run(gap + 2*TickInterval)
 	for vm, m := range x.nodes {
 		h, _ := m.Head("table/lookup")
 		assert.Equal(t, h.Rev, ident.Revision(7), "%s", vm)
@@ -212,7 +212,7 @@
 	x.run(time.Second)
 	x.tell("vm0", ValueMsg{Name: "table/lookup", Rev: 6, Raw: body(1)})
 	x.flush()
-	x.tell("vm0", TellMsg{Name: "table/lookup", Rev: 7, To: []ident.VM{"vm3"}})
+	x.tell("vm0", NotifyMsg{Name: "table/lookup", Rev: 7, To: []ident.VM{"vm3"}})
 	assert.Equal(t, len(x.wire), 0)
 	x.tell("vm0", ValueMsg{Name: "table/lookup", Rev: 7, Raw: body(2)})
 	x.flush()
@@ -252,10 +252,10 @@
 	x.tell("vm1", PacketMsg{From: "vm2", Packet: Packet{Heads: &Heads{List: []Head{h}, Part: true}}})
 	assert.Equal(t, x.wire[0].Packet.Want.Have, ident.Revision(1))
 	x.wire = nil
-	x.tell("vm1", PacketMsg{From: "vm2", Packet: Packet{Give: &Give{Head: h, Base: 1, Diffs: [][]byte{{1}}}}})
+	x.tell("vm1", PacketMsg{From: "vm2", Packet: Packet{Value: &Value{Head: h, Base: 1, Diffs: [][]byte{{1}}}}})
 	assert.Equal(t, x.wire[0].Packet.Want.Have, ident.Revision(0))
 	x.wire = nil
-	x.tell("vm1", PacketMsg{From: "vm2", Packet: Packet{Give: &Give{Head: h, Raw: body(9)}}})
+	x.tell("vm1", PacketMsg{From: "vm2", Packet: Packet{Value: &Value{Head: h, Raw: body(9)}}})
 	assert.Equal(t, m.values["rules"].Rev, ident.Revision(1))
 	x.now = x.now.Add(again)
 	x.tell("vm1", TickMsg{})
@@ -294,16 +294,16 @@
 	m.Update(t0, PeersMsg{Live: peersOf(2)})
 	seq := uint64(t0.UnixMilli())
 	pulse := func(at time.Duration) Packet {
-		return Packet{Pulse: &Pulse{Root: "vm0", Seq: seq + uint64(at/time.Millisecond), Sum: m.sum}}
+		return Packet{Heartbeat: &Heartbeat{Root: "vm0", Seq: seq + uint64(at/time.Millisecond), Sum: m.sum}}
 	}
 	m.Update(t0.Add(2*time.Millisecond), PacketMsg{From: "vm0", Packet: pulse(0)})
 	assert.Equal(t, m.storeAt, t0.Add(2*time.Millisecond))
 	m.Update(t0.Add(9*time.Second), PacketMsg{From: "vm0", Packet: pulse(2 * time.Second)})
 	assert.Assert(t, m.storeAt.Before(t0.Add(2100*time.Millisecond)), "%v", m.storeAt.Sub(t0))
-	s := m.sight(t0.Add(9 * time.Second)).(SightCmd)
+	s := m.sight(t0.Add(9 * time.Second)).(ContactCmd)
 	assert.Assert(t, !s.Store)
 	m.Update(t0.Add(10*time.Second), PacketMsg{From: "vm0", Packet: pulse(9998 * time.Millisecond)})
-	assert.Assert(t, m.sight(t0.Add(10*time.Second)).(SightCmd).Store)
+	assert.Assert(t, m.sight(t0.Add(10*time.Second)).(ContactCmd).Store)
 }
 
 // A watcher is paused between the store's answer and the moment it handles it.
@@ -312,10 +312,10 @@
 	m := New(t0, peersOf(1)[0])
 	now := t0.Add(10 * time.Second)
 	m.Update(now, StoreMsg{Asked: t0})
-	assert.Assert(t, !m.sight(now).(SightCmd).Store)
+	assert.Assert(t, !m.sight(now).(ContactCmd).Store)
 	assert.Equal(t, m.storeAge(now), 10*time.Second)
 	m.Update(now, StoreMsg{Asked: now.Add(-time.Second)})
-	s := m.sight(now).(SightCmd)
+	s := m.sight(now).(ContactCmd)
 	assert.Assert(t, s.Store)
 	assert.Assert(t, s.At.Equal(now.Add(-time.Second)))
 }
@@ -336,7 +336,7 @@
 	for vm := range x.nodes {
 		looked := false
 		for _, c := range x.cmds[vm] {
-			if s, ok := c.(SightCmd); ok {
+			if s, ok := c.(ContactCmd); ok {
 				looked = true
 				assert.Assert(t, !s.Store && 2*s.Heard <= s.Live, "%+v", s)
 			}
@@ -367,12 +367,12 @@
 
 func TestLoadRowsTravelWithTheirAge(t *testing.T) {
 	x := newNet(4)
-	x.tell("vm2", ReportMsg{Rows: []Row{{Server: "s1", Slots: 4, Busy: 3}}})
+	x.tell("vm2", ReportMsg{Rows: []LoadRow{{Server: "s1", Slots: 4, Busy: 3}}})
 	x.run(2500 * time.Millisecond)
 	r := x.nodes["vm1"].rows["s1"]
 	assert.Equal(t, r.Busy, 3)
 	assert.Assert(t, r.at.Equal(t0), "%v", r.at.Sub(t0))
-	x.tell("vm1", PacketMsg{From: "vm3", Packet: Packet{Probe: &Probe{Rows: []Row{{Server: "s1", Busy: 9, Age: time.Minute}}}}})
+	x.tell("vm1", PacketMsg{From: "vm3", Packet: Packet{Probe: &Probe{Rows: []LoadRow{{Server: "s1", Busy: 9, Age: time.Minute}}}}})
 	assert.Equal(t, x.nodes["vm1"].rows["s1"].Busy, 3)
 }
 
@@ -396,7 +396,7 @@
 				old := rapid.IntRange(1, rev).Draw(t, "old")
 				x.tell(vm, ValueMsg{Name: "rules", Rev: ident.Revision(old), Raw: body(old)})
 			case what <= 3:
-				x.now = x.now.Add(Tick)
+				x.now = x.now.Add(TickInterval)
 				x.tell(vm, TickMsg{})
 			case what == 4 && len(x.wire) > 0:
 				i := rapid.IntRange(0, len(x.wire)-1).Draw(t, "lost")
--- a/internal/node/gossip/listed.go
+++ b/internal/node/gossip/listed.go
@@ -20,9 +20,9 @@
 // longAgo bounds the age that a pulse may name, in milliseconds.
 const longAgo = int64(time.Hour / time.Millisecond)
 
-// ListedMsg tells what this VM read itself. Sum names the list as the platform
+// ListReadMsg tells what this VM read itself. Sum names the list as the platform
 // showed it, never 0; Asked is when it was asked for.
-type ListedMsg struct {
+type ListReadMsg struct {
 	Sum   uint32
 	Asked time.Time
 }
@@ -39,7 +39,7 @@
 
 // onListed takes what was read. News of it waits for the next pulse: the list
 // itself lags by more than that second.
-func (m *Model) onListed(msg ListedMsg) { m.listed = listed{sum: msg.Sum, at: msg.Asked} }
+func (m *Model) onListed(msg ListReadMsg) { m.listed = listed{sum: msg.Sum, at: msg.Asked} }
 
 // readList asks for the list, at most once a period.
 func (m *Model) readList(now time.Time) []loop.Cmd {
--- a/internal/node/gossip/listed_test.go
+++ b/internal/node/gossip/listed_test.go
@@ -27,7 +27,7 @@
 
 func (p *platform) run(d time.Duration) {
 	for end := p.now.Add(d); p.now.Before(end); {
-		p.net.run(Tick)
+		p.net.run(TickInterval)
 		for vm := range p.nodes {
 			cmds := p.cmds[vm]
 			p.cmds[vm] = nil
@@ -38,7 +38,7 @@
 				p.reads[vm]++
 				if !p.down {
 					p.holds[vm] = p.sum(vm)
-					p.tell(vm, ListedMsg{Sum: p.holds[vm], Asked: p.now})
+					p.tell(vm, ListReadMsg{Sum: p.holds[vm], Asked: p.now})
 				}
 			}
 		}
@@ -66,9 +66,9 @@
 func TestAChangedListIsReadByAll(t *testing.T) {
 	for offset := range 10 {
 		p := newPlatform(40)
-		p.run(time.Duration(offset) * Tick)
+		p.run(time.Duration(offset) * TickInterval)
 		p.sum = func(ident.VM) uint32 { return 2 }
-		p.run(2*Period + 2*Tick)
+		p.run(2*Period + 2*TickInterval)
 		for vm := range p.nodes {
 			assert.Equal(t, p.holds[vm], uint32(2), "%s", vm)
 		}
--- a/internal/node/gossip/packet.go
+++ b/internal/node/gossip/packet.go
@@ -12,13 +12,13 @@
 
 // Packet is what one entry VM sends to another: exactly one of the parts.
 type Packet struct {
-	Pulse *Pulse `cbor:"1,keyasint,omitempty"`
-	Ack   *Ack   `cbor:"2,keyasint,omitempty"`
-	Probe *Probe `cbor:"3,keyasint,omitempty"`
-	Heads *Heads `cbor:"4,keyasint,omitempty"`
-	Want  *Want  `cbor:"5,keyasint,omitempty"`
-	Give  *Give  `cbor:"6,keyasint,omitempty"`
-	News  *News  `cbor:"7,keyasint,omitempty"`
+	Heartbeat *Heartbeat `cbor:"1,keyasint,omitempty"`
+	Ack       *Ack       `cbor:"2,keyasint,omitempty"`
+	Probe     *Probe     `cbor:"3,keyasint,omitempty"`
+	Heads     *Heads     `cbor:"4,keyasint,omitempty"`
+	Want      *Want      `cbor:"5,keyasint,omitempty"`
+	Value     *Value     `cbor:"6,keyasint,omitempty"`
+	News      *News      `cbor:"7,keyasint,omitempty"`
 }
 
 // Head names one revision of one value.
@@ -28,9 +28,9 @@
 	Sum  digest.Sum     `cbor:"sum"`
 }
 
-// Pulse goes from a watcher of the store down its tree to every VM, once a
+// Heartbeat goes from a watcher of the store down its tree to every VM, once a
 // period and at once after a change.
-type Pulse struct {
+type Heartbeat struct {
 	Root  ident.VM      `cbor:"1,keyasint"`
 	Seq   uint64        `cbor:"2,keyasint"` // milliseconds on the root's clock
 	Sum   digest.Sum    `cbor:"3,keyasint"` // over all heads that the root holds
@@ -63,7 +63,7 @@
 // whose Sum differs answers with its Heads.
 type Probe struct {
 	Sum  digest.Sum `cbor:"1,keyasint"`
-	Rows []Row      `cbor:"2,keyasint,omitempty"`
+	Rows []LoadRow  `cbor:"2,keyasint,omitempty"`
 }
 
 // Heads lists the revisions that the sender holds: all, or a part of them that
@@ -80,18 +80,18 @@
 	Sum  digest.Sum     `cbor:"sum"` // of what it holds
 }
 
-// Give brings a value: as differences that follow on Base, or whole.
-type Give struct {
+// Value brings a value: as differences that follow on Base, or whole.
+type Value struct {
 	Head  Head           `cbor:"head"`
 	Base  ident.Revision `cbor:"base,omitempty"`
 	Diffs [][]byte       `cbor:"diffs,omitempty"`
 	Raw   []byte         `cbor:"raw,omitempty"`
 }
 
-// Row is one backend server's load as the VM that holds its seat read it. Its
+// LoadRow is one backend server's load as the VM that holds its seat read it. Its
 // age travels in whole milliseconds, rounded up: a row never looks newer than it
 // is.
-type Row struct {
+type LoadRow struct {
 	Server ident.Server
 	Slots  int
 	Busy   int
@@ -111,13 +111,13 @@
 }
 
 // MarshalCBOR implements the codec's interface.
-func (r Row) MarshalCBOR() ([]byte, error) {
+func (r LoadRow) MarshalCBOR() ([]byte, error) {
 	age := (r.Age + time.Millisecond - 1) / time.Millisecond
 	return wire.Encode(rowForm{Server: r.Server, Slots: r.Slots, Busy: r.Busy, Queue: r.Queue, Age: int64(age)})
 }
 
 // UnmarshalCBOR implements the codec's interface.
-func (r *Row) UnmarshalCBOR(b []byte) error {
+func (r *LoadRow) UnmarshalCBOR(b []byte) error {
 	var f rowForm
 	if err := wire.Decode(b, &f); err != nil {
 		return err
@@ -125,7 +125,7 @@
 	if f.Age < 0 || f.Age > int64(forever/time.Millisecond) {
 		return kinds.New(kinds.Malformed, "age of a load row")
 	}
-	*r = Row{Server: f.Server, Slots: f.Slots, Busy: f.Busy, Queue: f.Queue, Age: time.Duration(f.Age) * time.Millisecond}
+	*r = LoadRow{Server: f.Server, Slots: f.Slots, Busy: f.Busy, Queue: f.Queue, Age: time.Duration(f.Age) * time.Millisecond}
 	return nil
 }
 
@@ -159,7 +159,7 @@
 
 func (p Packet) parts() int {
 	n := 0
-	for _, has := range []bool{p.Pulse != nil, p.Ack != nil, p.Probe != nil, p.Heads != nil, p.Want != nil, p.Give != nil, p.News != nil} {
+	for _, has := range []bool{p.Heartbeat != nil, p.Ack != nil, p.Probe != nil, p.Heads != nil, p.Want != nil, p.Value != nil, p.News != nil} {
 		if has {
 			n++
 		}
@@ -169,8 +169,8 @@
 
 func (p Packet) sane() bool {
 	switch {
-	case p.Pulse != nil:
-		return p.Pulse.Age >= 0 && p.Pulse.Turn >= 0 && p.Pulse.Turn < Watchers && p.Pulse.Old >= 0 && p.Pulse.Heard >= 0 && (p.Pulse.View == nil || saneView(p.Pulse.View))
+	case p.Heartbeat != nil:
+		return p.Heartbeat.Age >= 0 && p.Heartbeat.Turn >= 0 && p.Heartbeat.Turn < Watchers && p.Heartbeat.Old >= 0 && p.Heartbeat.Heard >= 0 && (p.Heartbeat.View == nil || saneView(p.Heartbeat.View))
 	case p.Ack != nil:
 		return p.Ack.N >= 0 && (p.Ack.View == nil || saneView(p.Ack.View))
 	case p.News != nil:
@@ -182,7 +182,7 @@
 	case p.Want != nil:
 		return saneName(p.Want.Name)
 	default:
-		g := p.Give
+		g := p.Value
 		return saneName(g.Head.Name) && len(g.Raw) <= maxValue && len(g.Diffs) <= maxDiffs
 	}
 }
@@ -193,8 +193,8 @@
 // among many must not keep a VM from hearing of all others, the rules among them.
 func (p Packet) skim() {
 	switch {
-	case p.Pulse != nil:
-		p.Pulse.Heads = saneHeads(p.Pulse.Heads)
+	case p.Heartbeat != nil:
+		p.Heartbeat.Heads = saneHeads(p.Heartbeat.Heads)
 	case p.Heads != nil:
 		p.Heads.List = saneHeads(p.Heads.List)
 	}
@@ -205,7 +205,7 @@
 	return list[:min(len(list), maxHeads)]
 }
 
-func saneRows(rows []Row) bool {
+func saneRows(rows []LoadRow) bool {
 	for _, r := range rows {
 		if !saneName(string(r.Server)) || r.Age < 0 {
 			return false
--- a/internal/node/gossip/packet_test.go
+++ b/internal/node/gossip/packet_test.go
@@ -27,7 +27,7 @@
 func TestABadHeadDoesNotHideTheOthers(t *testing.T) {
 	bad := Head{Name: strings.Repeat("s", maxName+1), Rev: 1}
 	for _, list := range [][]Head{{bad, headOf(2), {}}, many(maxHeads + 44)} {
-		for _, p := range []Packet{{Heads: &Heads{List: list}}, {Pulse: &Pulse{Root: "vm0", Seq: 1, Heads: list}}} {
+		for _, p := range []Packet{{Heads: &Heads{List: list}}, {Heartbeat: &Heartbeat{Root: "vm0", Seq: 1, Heads: list}}} {
 			raw, err := p.Encode()
 			assert.NilError(t, err)
 			got, err := DecodePacket(raw)
@@ -40,8 +40,8 @@
 }
 
 func headsOf(p Packet) []Head {
-	if p.Pulse != nil {
-		return p.Pulse.Heads
+	if p.Heartbeat != nil {
+		return p.Heartbeat.Heads
 	}
 	return p.Heads.List
 }
@@ -83,15 +83,15 @@
 func FuzzPacket(f *testing.F) {
 	h := headOf(2)
 	for _, p := range []Packet{
-		{Pulse: &Pulse{Root: "vm0", Seq: 1 << 41, Sum: h.Sum, Age: time.Second, Heard: 3, Heads: []Head{h}}},
-		{Pulse: &Pulse{Root: "vm0", Seq: 1 << 41, Back: 1000, View: &View{List: 7, Here: []byte{2, 1}, Odd: []Member{9}}}},
-		{Ack: &Ack{Root: "vm0", Seq: 1, N: 4, View: &View{Here: []byte{1, 0}, Bad: []Claim{{Of: 9, By: []ident.VM{"vm1"}}}}}},
+		{Heartbeat: &Heartbeat{Root: "vm0", Seq: 1 << 41, Sum: h.Sum, Age: time.Second, Heard: 3, Heads: []Head{h}}},
+		{Heartbeat: &Heartbeat{Root: "vm0", Seq: 1 << 41, Back: 1000, View: &View{List: 7, Responders: []byte{2, 1}, Odd: []Member{9}}}},
+		{Ack: &Ack{Root: "vm0", Seq: 1, N: 4, View: &View{Responders: []byte{1, 0}, Bad: []Claim{{Of: 9, By: []ident.VM{"vm1"}}}}}},
 		{News: &News{Root: "vm0", View: View{Odd: []Member{9}}}},
-		{Probe: &Probe{Sum: h.Sum, Rows: []Row{{Server: "s", Slots: 4, Busy: 2, Age: 1}}}},
+		{Probe: &Probe{Sum: h.Sum, Rows: []LoadRow{{Server: "s", Slots: 4, Busy: 2, Age: 1}}}},
 		{Heads: &Heads{List: []Head{h}}},
 		{Want: &Want{Name: "rules", Have: 1, Sum: headOf(1).Sum}},
-		{Give: &Give{Head: h, Base: 1, Diffs: [][]byte{{3, 0}}}},
-		{Give: &Give{Head: h, Raw: body(2)}},
+		{Value: &Value{Head: h, Base: 1, Diffs: [][]byte{{3, 0}}}},
+		{Value: &Value{Head: h, Raw: body(2)}},
 	} {
 		raw, err := p.Encode()
 		assert.NilError(f, err)
--- a/internal/node/gossip/probe.go
+++ b/internal/node/gossip/probe.go
@@ -12,7 +12,7 @@
 
 // rowAt is a load row with the time on this VM's clock at which it was read.
 type rowAt struct {
-	Row
+	LoadRow
 	at time.Time
 }
 
@@ -22,11 +22,11 @@
 )
 
 // report takes in rows that this VM read itself.
-func (m *Model) report(now time.Time, rows []Row) {
+func (m *Model) report(now time.Time, rows []LoadRow) {
 	m.own = m.own[:0]
 	for _, r := range rows {
 		m.own = append(m.own, r.Server)
-		m.rows[r.Server] = rowAt{Row: r, at: now.Add(-r.Age)}
+		m.rows[r.Server] = rowAt{LoadRow: r, at: now.Add(-r.Age)}
 	}
 }
 
@@ -50,7 +50,7 @@
 }
 
 // bestRows returns this VM's own rows in turn, then the freshest of others.
-func (m *Model) bestRows(now time.Time) []Row {
+func (m *Model) bestRows(now time.Time) []LoadRow {
 	all := make([]rowAt, 0, len(m.rows))
 	for s, r := range m.rows {
 		if now.Sub(r.at) > oldRow {
@@ -65,22 +65,22 @@
 	if len(all) > sendRows {
 		all = all[:sendRows]
 	}
-	out := make([]Row, len(all))
+	out := make([]LoadRow, len(all))
 	for i, r := range all {
-		out[i] = r.Row
+		out[i] = r.LoadRow
 		out[i].Age = now.Sub(r.at).Truncate(time.Millisecond)
 	}
 	return out
 }
 
 func (m *Model) onProbe(now time.Time, from ident.VM, p *Probe) []loop.Cmd {
-	var news []Row
+	var news []LoadRow
 	for _, r := range p.Rows {
 		at := now.Add(-r.Age)
 		if r.Age > oldRow || !at.After(m.rows[r.Server].at) || slices.Contains(m.own, r.Server) {
 			continue
 		}
-		m.rows[r.Server] = rowAt{Row: r, at: at}
+		m.rows[r.Server] = rowAt{LoadRow: r, at: at}
 		news = append(news, r)
 	}
 	var cmds []loop.Cmd
--- a/internal/node/gossip/pulse.go
+++ b/internal/node/gossip/pulse.go
@@ -90,7 +90,7 @@
 func (m *Model) pulse(now time.Time) []loop.Cmd {
 	m.pulsed = now
 	r := m.rootOf(m.self)
-	p := &Pulse{Root: m.self, Seq: m.seq(now), Sum: m.sum, Age: m.storeAge(now), Heard: 1, Heads: m.freshHeads(now)}
+	p := &Heartbeat{Root: m.self, Seq: m.seq(now), Sum: m.sum, Age: m.storeAge(now), Heard: 1, Heads: m.freshHeads(now)}
 	if now.Sub(m.heardAt) < counted {
 		p.Heard = m.heard
 	}
@@ -138,10 +138,10 @@
 	return list[:min(len(list), maxHeads)]
 }
 
-func (m *Model) forward(t tree, p *Pulse) []loop.Cmd {
+func (m *Model) forward(t tree, p *Heartbeat) []loop.Cmd {
 	cmds := make([]loop.Cmd, 0, len(t.children))
 	for _, vm := range t.children {
-		cmds = append(cmds, SendCmd{To: vm, Packet: Packet{Pulse: p}})
+		cmds = append(cmds, SendCmd{To: vm, Packet: Packet{Heartbeat: p}})
 	}
 	return cmds
 }
@@ -155,7 +155,7 @@
 	return r
 }
 
-func (m *Model) onPulse(now time.Time, from ident.VM, p *Pulse) []loop.Cmd {
+func (m *Model) onPulse(now time.Time, from ident.VM, p *Heartbeat) []loop.Cmd {
 	if !m.knows(p.Root) || p.Root == m.self {
 		return nil
 	}
@@ -213,7 +213,7 @@
 
 // startCount begins to add up who got a pulse, and what they say. A VM without children answers at
 // once, the others when all children have answered or their time is over.
-func (m *Model) startCount(now time.Time, l *peerList, r *root, p *Pulse) []loop.Cmd {
+func (m *Model) startCount(now time.Time, l *peerList, r *root, p *Heartbeat) []loop.Cmd {
 	t := m.treeOf(l, p.Root, p.Turn)
 	r.count = &count{
 		seq: p.Seq, n: 1, left: l.below(t), due: now.Add(time.Duration(t.height) * level),
--- a/internal/node/gossip/told.go
+++ b/internal/node/gossip/told.go
@@ -9,21 +9,21 @@
 // of pulses, some 0.3 s later.
 const mostTold = 16
 
-// TellMsg lets some VMs hear at once of the value under a name, as soon as the
+// NotifyMsg lets some VMs hear at once of the value under a name, as soon as the
 // revision is held: another VM may have written it for this one.
-type TellMsg struct {
+type NotifyMsg struct {
 	Name string
 	Rev  ident.Revision
 	To   []ident.VM
 }
 
 // onTell announces the value, or notes that it is owed.
-func (m *Model) onTell(msg TellMsg) []loop.Cmd {
+func (m *Model) onTell(msg NotifyMsg) []loop.Cmd {
 	if v := m.values[msg.Name]; v != nil && v.Rev >= msg.Rev {
 		return m.tell(msg.Name, msg.To)
 	}
 	if m.owed == nil {
-		m.owed = map[string]TellMsg{}
+		m.owed = map[string]NotifyMsg{}
 	}
 	msg.To = msg.To[:min(mostTold, len(msg.To))]
 	m.owed[msg.Name] = msg
--- a/internal/node/gossip/value.go
+++ b/internal/node/gossip/value.go
@@ -45,8 +45,8 @@
 
 // give answers a Want by differences if the asker's revision is still known
 // here, and by the whole value otherwise.
-func (v *value) give(w *Want) *Give {
-	g := &Give{Head: v.Head}
+func (v *value) give(w *Want) *Value {
+	g := &Value{Head: v.Head}
 	i := slices.IndexFunc(v.steps, func(s step) bool { return s.base.Rev == w.Have && s.base.Sum == w.Sum })
 	if i < 0 {
 		g.Raw = v.raw
@@ -62,7 +62,7 @@
 // open builds and verifies the value that a Give brings. It returns nil when
 // the differences do not fit what is held, or the digest is not the announced
 // one: a peer's fault must not become ours.
-func (v *value) open(g *Give) []byte {
+func (v *value) open(g *Value) []byte {
 	raw := g.Raw
 	if g.Base != 0 {
 		if g.Base != v.Rev {
@@ -128,7 +128,7 @@
 	cmds := []loop.Cmd{ValueCmd{From: from, Head: h, Raw: raw}}
 	waiting := m.waiting[h.Name]
 	for _, vm := range slices.Sorted(maps.Keys(waiting)) {
-		cmds = append(cmds, SendCmd{To: vm, Packet: Packet{Give: v.give(waiting[vm])}})
+		cmds = append(cmds, SendCmd{To: vm, Packet: Packet{Value: v.give(waiting[vm])}})
 	}
 	delete(m.waiting, h.Name)
 	return append(cmds, m.payOwed(h)...)
@@ -170,10 +170,10 @@
 	if v == nil || v.Rev <= w.Have {
 		return nil
 	}
-	return []loop.Cmd{SendCmd{To: from, Packet: Packet{Give: v.give(w)}}}
+	return []loop.Cmd{SendCmd{To: from, Packet: Packet{Value: v.give(w)}}}
 }
 
-func (m *Model) onGive(now time.Time, from ident.VM, g *Give) []loop.Cmd {
+func (m *Model) onGive(now time.Time, from ident.VM, g *Value) []loop.Cmd {
 	v := m.values[g.Head.Name]
 	if v == nil {
 		v = &value{}
--- a/internal/node/gossip/view.go
+++ b/internal/node/gossip/view.go
@@ -45,10 +45,10 @@
 
 // View is what the VMs below one VM of a tree say, or all of them.
 type View struct {
-	List uint32   `cbor:"1,keyasint,omitempty"` // of VMs that Here counts by; 0: the pulse's
-	Here []byte   `cbor:"2,keyasint,omitempty"` // who answered; see set
-	Odd  []Member `cbor:"3,keyasint,omitempty"` // who is to be looked at more closely
-	Bad  []Claim  `cbor:"4,keyasint,omitempty"` // who looks frozen
+	List       uint32   `cbor:"1,keyasint,omitempty"` // of VMs that Here counts by; 0: the pulse's
+	Responders []byte   `cbor:"2,keyasint,omitempty"` // who answered; see set
+	Odd        []Member `cbor:"3,keyasint,omitempty"` // who is to be looked at more closely
+	Bad        []Claim  `cbor:"4,keyasint,omitempty"` // who looks frozen
 }
 
 // News is a view that does not wait for the next pulse. It goes up the tree.
@@ -57,24 +57,24 @@
 	View View     `cbor:"2,keyasint"`
 }
 
-// SayMsg tells what this VM holds of others, in place of what it said before.
-type SayMsg struct {
-	Odd []Member
-	Bad []Member
+// ViewMsg tells what this VM holds of others, in place of what it said before.
+type ViewMsg struct {
+	Suspect []Member
+	Frozen  []Member
 }
 
 // ViewsCmd hands out the views of the VMs that are heard now. Send each on as
 // that VM's own.
 type ViewsCmd struct {
-	Views   []Said
-	Odd     []Member   // as any VM finds
+	Views   []PeerView
+	Suspect []Member   // as any VM finds
 	Missing []ident.VM // whom enough watchers no longer hear
 }
 
-// Said is one VM's view.
-type Said struct {
-	From ident.VM
-	Bad  []Member
+// PeerView is one VM's view.
+type PeerView struct {
+	From   ident.VM
+	Frozen []Member
 }
 
 const (
@@ -153,10 +153,10 @@
 	if i := l.place(m.self); i >= 0 {
 		s.here.add(i)
 	}
-	for _, id := range m.say.Odd {
+	for _, id := range m.say.Suspect {
 		s.addOdd(id)
 	}
-	for _, id := range m.say.Bad {
+	for _, id := range m.say.Frozen {
 		s.addBad(id, m.self)
 	}
 	return s
@@ -167,7 +167,7 @@
 func (s *said) pack(by uint32) View {
 	v := View{Odd: slices.Sorted(maps.Keys(s.odd))}
 	if s.list != nil {
-		v.Here = s.here.pack(len(s.list.names))
+		v.Responders = s.here.pack(len(s.list.names))
 		if s.list.sum != by {
 			v.List = s.list.sum
 		}
@@ -189,8 +189,8 @@
 			s.addBad(c.Of, by)
 		}
 	}
-	if l := m.listBy(cmp.Or(v.List, by)); l != nil && v.Here != nil {
-		if here, ok := unpack(v.Here, len(l.names)); ok {
+	if l := m.listBy(cmp.Or(v.List, by)); l != nil && v.Responders != nil {
+		if here, ok := unpack(v.Responders, len(l.names)); ok {
 			s.list, s.here = l, here
 		}
 	}
@@ -198,10 +198,10 @@
 }
 
 // onSay takes what this VM holds, and has it told if it is new.
-func (m *Model) onSay(now time.Time, msg SayMsg) {
-	slices.Sort(msg.Odd)
-	slices.Sort(msg.Bad)
-	if slices.Equal(msg.Odd, m.say.Odd) && slices.Equal(msg.Bad, m.say.Bad) {
+func (m *Model) onSay(now time.Time, msg ViewMsg) {
+	slices.Sort(msg.Suspect)
+	slices.Sort(msg.Frozen)
+	if slices.Equal(msg.Suspect, m.say.Suspect) && slices.Equal(msg.Frozen, m.say.Frozen) {
 		return
 	}
 	m.say = msg
@@ -281,7 +281,7 @@
 // onView takes what a watcher collected.
 func (m *Model) onView(now time.Time, r *root, s said) loop.Cmd {
 	r.word, r.wordAt = s, now
-	cmd := ViewsCmd{Odd: slices.Sorted(maps.Keys(s.odd))}
+	cmd := ViewsCmd{Suspect: slices.Sorted(maps.Keys(s.odd))}
 	words := m.words(now)
 	bad := accusations(words)
 	known := 0
@@ -300,7 +300,7 @@
 		switch {
 		case vm == m.self:
 		case heard >= vouchers:
-			cmd.Views = append(cmd.Views, Said{From: vm, Bad: bad[vm]})
+			cmd.Views = append(cmd.Views, PeerView{From: vm, Frozen: bad[vm]})
 		case known-heard >= vouchers:
 			cmd.Missing = append(cmd.Missing, vm)
 		}
@@ -343,5 +343,5 @@
 			return false
 		}
 	}
-	return len(v.Here) <= maxPlace && len(v.Odd) <= maxOdd && len(v.Bad) <= maxOdd
+	return len(v.Responders) <= maxPlace && len(v.Odd) <= maxOdd && len(v.Bad) <= maxOdd
 }
--- a/internal/node/gossip/view_test.go
+++ b/internal/node/gossip/view_test.go
@@ -56,23 +56,23 @@
 func TestWhatIsOddIsKnownToAllWithinASecond(t *testing.T) {
 	for offset := range 10 {
 		x := newNet(40)
-		x.run(3*time.Second + time.Duration(offset)*Tick)
+		x.run(3*time.Second + time.Duration(offset)*TickInterval)
 		odd, bad := MemberOf("srv", "a"), MemberOf("srv", "b")
-		x.tell("vm7", SayMsg{Odd: []Member{odd}, Bad: []Member{bad}})
+		x.tell("vm7", ViewMsg{Suspect: []Member{odd}, Frozen: []Member{bad}})
 		x.run(time.Second)
 		for vm := range x.nodes {
 			v := x.lastViews(vm)
 			if vm != "vm7" {
-				assert.DeepEqual(t, v.Odd, []Member{odd})
+				assert.DeepEqual(t, v.Suspect, []Member{odd})
 			}
 			for _, s := range v.Views {
-				assert.Equal(t, slices.Contains(s.Bad, bad), s.From == "vm7")
+				assert.Equal(t, slices.Contains(s.Frozen, bad), s.From == "vm7")
 			}
 		}
-		x.tell("vm7", SayMsg{})
+		x.tell("vm7", ViewMsg{})
 		x.run(5 * time.Second)
 		for vm := range x.nodes {
-			assert.Equal(t, len(x.lastViews(vm).Odd), 0, "it is told for ever")
+			assert.Equal(t, len(x.lastViews(vm).Suspect), 0, "it is told for ever")
 		}
 	}
 }
@@ -89,7 +89,7 @@
 		lie, lost := peers[liar].VM, peers[(liar+7)%40].VM
 		delete(x.nodes, lost)
 		for end := x.now.Add(4 * time.Second); x.now.Before(end); {
-			x.now = x.now.Add(Tick)
+			x.now = x.now.Add(TickInterval)
 			for _, p := range peers {
 				if x.nodes[p.VM] != nil {
 					x.tell(p.VM, TickMsg{})
@@ -99,12 +99,12 @@
 				s := &x.wire[0]
 				if p := s.Packet; s.from == lie && p.Ack != nil && p.Ack.View != nil {
 					a := *p.Ack
-					a.View = &View{List: a.View.List, Here: everybody}
+					a.View = &View{List: a.View.List, Responders: everybody}
 					s.Packet.Ack = &a
-				} else if s.from == lie && p.Pulse != nil && p.Pulse.View != nil {
-					c := *p.Pulse
-					c.View = &View{List: c.View.List, Here: everybody}
-					s.Packet.Pulse = &c
+				} else if s.from == lie && p.Heartbeat != nil && p.Heartbeat.View != nil {
+					c := *p.Heartbeat
+					c.View = &View{List: c.View.List, Responders: everybody}
+					s.Packet.Heartbeat = &c
 				}
 				x.deliver(0, false)
 			}
@@ -126,7 +126,7 @@
 		x.tell(peersOf(20)[i].VM, PeersMsg{Live: longer})
 	}
 	for range 8 {
-		x.run(Tick)
+		x.run(TickInterval)
 		for vm := range x.nodes {
 			assert.Equal(t, len(x.lastViews(vm).Views), 19, "%s", vm)
 		}
@@ -144,7 +144,7 @@
 		root = watchOrder(peersOf(3))[1]
 	}
 	v := m.roots[root].word.pack(0)
-	late := Packet{Pulse: &Pulse{Root: root, Seq: m.roots[root].seq + 1, Sum: m.sum, Back: 1, View: &v}}
+	late := Packet{Heartbeat: &Heartbeat{Root: root, Seq: m.roots[root].seq + 1, Sum: m.sum, Back: 1, View: &v}}
 	_, cmds := m.Update(x.now.Add(2*time.Second), PacketMsg{From: root, Packet: late})
 	for _, c := range cmds {
 		_, ok := c.(ViewsCmd)
--- a/internal/node/census/census.go
+++ b/internal/node/member/census.go
@@ -1,11 +1,11 @@
-// Package census keeps which backend servers there are, where each writes an entry
+// Package member keeps which backend servers there are, where each writes an entry
 // of its own into the platform's store.
 //
 // An entry that lapses means that its server has ended, except when the store was
 // away: then entries lapse because nobody could renew them. Taken at its word, the
 // list of the first second after an outage would have every server gone. So what is
 // missing then stays listed until its server had the time to come back.
-package census
+package member
 
 import (
 	"cmp"
@@ -21,12 +21,12 @@
 	// Back is how long a server that lives and reaches the store needs to be listed
 	// again after the store's return. The platform says about two seconds.
 	Back = 2200 * time.Millisecond
-	// Brief is the longest silence of the store that lapses nobody's entry: a server
+	// OutageGrace is the longest silence of the store that lapses nobody's entry: a server
 	// writes its own each 0.87 s, and it lapses after three such times of silence, 2.6 s.
 	// A call that the store drops is no outage: waiting for Back after each of those
 	// would send requests to a server that left just then for longer than the platform
 	// allows, 2 s.
-	Brief = 1500 * time.Millisecond
+	OutageGrace = 1500 * time.Millisecond
 )
 
 // Entry is one server's entry. Rev orders what is said of it.
@@ -34,13 +34,13 @@
 	Name  ident.Server
 	Rev   uint64
 	Value T
-	// Going says that the server itself said that it leaves: its absence needs no
+	// Leaving says that the server itself said that it leaves: its absence needs no
 	// second look.
-	Going bool
+	Leaving bool
 }
 
-// Census is what is known of servers. The zero value knows none.
-type Census[T any] struct {
+// Set is what is known of servers. The zero value knows none.
+type Set[T any] struct {
 	all  map[ident.Server]*row[T]
 	seen uint64                  // the latest place in the store's sequence that anything told of
 	left map[ident.Server]uint64 // when servers that are gone were removed
@@ -54,18 +54,18 @@
 	missing time.Time // the entry counts as gone from then on; zero while it is there
 }
 
-// Down notes that the store does not answer.
-func (c *Census[T]) Down() { c.away = true }
+// StoreDown notes that the store does not answer.
+func (c *Set[T]) StoreDown() { c.away = true }
 
-// Up notes that the store answers.
-func (c *Census[T]) Up(now time.Time) {
-	if c.away && now.Sub(c.at) >= Brief {
+// StoreUp notes that the store answers.
+func (c *Set[T]) StoreUp(now time.Time) {
+	if c.away && now.Sub(c.at) >= OutageGrace {
 		c.back = now
 	}
 	c.away, c.at = false, now
 }
 
-// Witness takes in that another VM has been in touch with the store since a time,
+// StoreSeenByPeer takes in that another VM has been in touch with the store since a time,
 // without a break. It reports whether servers are gone by that.
 //
 // A VM that the store alone turned away for some seconds cannot tell this from an
@@ -73,7 +73,7 @@
 // until Back after its own return, 0.2 s longer than the platform allows. Servers that
 // live have been listed again since Back after the first moment in which the store
 // answered anybody.
-func (c *Census[T]) Witness(now, since time.Time) bool {
+func (c *Set[T]) StoreSeenByPeer(now, since time.Time) bool {
 	if !since.Before(c.back) {
 		return false
 	}
@@ -89,16 +89,16 @@
 
 // returning reports whether the store is back for so short a time that servers may
 // be missing which live.
-func (c *Census[T]) returning(now time.Time) bool {
+func (c *Set[T]) returning(now time.Time) bool {
 	return !c.back.IsZero() && now.Sub(c.back) < Back
 }
 
-// Doubtful reports whether servers may be listed that are gone, or missing that live,
+// Uncertain reports whether servers may be listed that are gone, or missing that live,
 // because the store is away or was a moment ago.
-func (c *Census[T]) Doubtful(now time.Time) bool { return c.away || c.returning(now) }
+func (c *Set[T]) Uncertain(now time.Time) bool { return c.away || c.returning(now) }
 
 // Has returns a server that counts as there.
-func (c *Census[T]) Has(name ident.Server) (Entry[T], bool) {
+func (c *Set[T]) Has(name ident.Server) (Entry[T], bool) {
 	r := c.all[name]
 	if r == nil {
 		return Entry[T]{}, false
@@ -106,10 +106,10 @@
 	return r.Entry, true
 }
 
-// List takes in the whole list as of a revision. It reports whether anything
+// ReplaceAll takes in the whole list as of a revision. It reports whether anything
 // changed.
-func (c *Census[T]) List(now time.Time, rev uint64, list []Entry[T]) bool {
-	c.Up(now)
+func (c *Set[T]) ReplaceAll(now time.Time, rev uint64, list []Entry[T]) bool {
+	c.StoreUp(now)
 	if rev < c.seen {
 		return false // a list that lags would bring back who has left since
 	}
@@ -128,10 +128,10 @@
 	return changed
 }
 
-// Told takes in what another VM believes as of a revision. It may have dropped an
+// MergePeer takes in what another VM believes as of a revision. It may have dropped an
 // entry that the store still lists, or lists again: its absence then says nothing of
 // later entries of that name.
-func (c *Census[T]) Told(now time.Time, rev uint64, list []Entry[T]) bool {
+func (c *Set[T]) MergePeer(now time.Time, rev uint64, list []Entry[T]) bool {
 	if rev < c.seen {
 		return false
 	}
@@ -149,9 +149,9 @@
 	return changed
 }
 
-// ToldPart takes in what changed in another VM's belief until a revision: entries that
+// MergePeerDelta takes in what changed in another VM's belief until a revision: entries that
 // are new or were rewritten, and names that are gone.
-func (c *Census[T]) ToldPart(now time.Time, rev uint64, list []Entry[T], gone []ident.Server) bool {
+func (c *Set[T]) MergePeerDelta(now time.Time, rev uint64, list []Entry[T], gone []ident.Server) bool {
 	if rev < c.seen {
 		return false
 	}
@@ -168,12 +168,12 @@
 }
 
 // miss takes in that another VM, as of a revision, does not list an entry.
-func (c *Census[T]) miss(now time.Time, r *row[T], rev uint64) bool {
+func (c *Set[T]) miss(now time.Time, r *row[T], rev uint64) bool {
 	return r.Rev <= rev && r.missing.IsZero() && c.lose(now, r.Name, r.Rev)
 }
 
 // Put takes in one entry that is new or was rewritten.
-func (c *Census[T]) Put(e Entry[T]) bool {
+func (c *Set[T]) Put(e Entry[T]) bool {
 	if c.all == nil {
 		c.all = map[ident.Server]*row[T]{}
 	}
@@ -187,8 +187,8 @@
 }
 
 // Remove takes in that an entry was removed as of a revision.
-func (c *Census[T]) Remove(now time.Time, name ident.Server, rev uint64) bool {
-	c.Up(now)
+func (c *Set[T]) Remove(now time.Time, name ident.Server, rev uint64) bool {
+	c.StoreUp(now)
 	r := c.all[name]
 	if r == nil || rev < r.Rev || !r.missing.IsZero() {
 		return false
@@ -201,9 +201,9 @@
 // only come back by a list that lags behind thousands of removals.
 const mostLeft = 4096
 
-func (c *Census[T]) lose(now time.Time, name ident.Server, rev uint64) bool {
+func (c *Set[T]) lose(now time.Time, name ident.Server, rev uint64) bool {
 	r := c.all[name]
-	if c.returning(now) && !r.Going {
+	if c.returning(now) && !r.Leaving {
 		r.missing = c.back.Add(Back)
 		return false
 	}
@@ -220,7 +220,7 @@
 
 // forget drops the older half of what is remembered of servers that are gone. Without
 // the later half a list that lags by a second brings back who has just left.
-func (c *Census[T]) forget() {
+func (c *Set[T]) forget() {
 	revs := slices.Sorted(maps.Values(c.left))
 	middle := revs[len(revs)/2]
 	maps.DeleteFunc(c.left, func(_ ident.Server, rev uint64) bool { return rev < middle })
@@ -230,7 +230,7 @@
 }
 
 // Expire drops what was missing for too long, and reports whether it did.
-func (c *Census[T]) Expire(now time.Time) bool {
+func (c *Set[T]) Expire(now time.Time) bool {
 	dropped := false
 	for name, r := range c.all {
 		if !r.missing.IsZero() && !now.Before(r.missing) {
@@ -242,7 +242,7 @@
 }
 
 // All lists the servers that count as there, by name.
-func (c *Census[T]) All() []Entry[T] {
+func (c *Set[T]) All() []Entry[T] {
 	list := make([]Entry[T], 0, len(c.all))
 	for _, r := range c.all {
 		list = append(list, r.Entry)
--- a/internal/node/census/census_test.go
+++ b/internal/node/member/census_test.go
@@ -1,4 +1,4 @@
-package census
+package member
 
 import (
 	"strconv"
@@ -13,10 +13,10 @@
 var start = time.Unix(1000, 0)
 
 func entry(name ident.Server, rev uint64, going bool) Entry[string] {
-	return Entry[string]{Name: name, Rev: rev, Going: going}
+	return Entry[string]{Name: name, Rev: rev, Leaving: going}
 }
 
-func names(c *Census[string]) []ident.Server {
+func names(c *Set[string]) []ident.Server {
 	var all []ident.Server
 	for _, e := range c.All() {
 		all = append(all, e.Name)
@@ -29,11 +29,11 @@
 // nothing had happened. Taken in, it would get requests for as long as the list
 // lags: the platform counts each of them as sent to a server that has gone.
 func TestAnOldListBringsNobodyBack(t *testing.T) {
-	var c Census[string]
-	c.List(start, 10, []Entry[string]{entry("a", 3, false), entry("b", 4, false)})
+	var c Set[string]
+	c.ReplaceAll(start, 10, []Entry[string]{entry("a", 3, false), entry("b", 4, false)})
 	assert.Assert(t, c.Put(entry("a", 12, true)))
 	assert.Assert(t, c.Remove(start, "a", 15))
-	assert.Assert(t, !c.List(start, 11, []Entry[string]{entry("a", 3, false), entry("b", 4, false)}))
+	assert.Assert(t, !c.ReplaceAll(start, 11, []Entry[string]{entry("a", 3, false), entry("b", 4, false)}))
 	assert.DeepEqual(t, names(&c), []ident.Server{"b"})
 	assert.Assert(t, !c.Put(entry("a", 12, true)), "a watch that begins at the old list tells old news")
 	assert.DeepEqual(t, names(&c), []ident.Server{"b"})
@@ -44,7 +44,7 @@
 // forgot them all, and a watch that begins at an old list brings back a server that left
 // a moment ago: it gets requests until the watch has caught up.
 func TestManyRemovalsBringNobodyBack(t *testing.T) {
-	var c Census[string]
+	var c Set[string]
 	rev := uint64(10)
 	name := func(i int) ident.Server { return ident.Server("s-" + strconv.Itoa(i)) }
 	for i := range 3 * mostLeft {
@@ -60,13 +60,13 @@
 
 // A whole list without them removes thousands of servers as of one revision.
 func TestAsManyRemovalsInOneListAsAreRemembered(t *testing.T) {
-	var c Census[string]
+	var c Set[string]
 	var list []Entry[string]
 	for i := range mostLeft + 1 {
 		list = append(list, entry(ident.Server("s-"+strconv.Itoa(i)), 3, false))
 	}
-	c.List(start, 10, list)
-	assert.Assert(t, c.List(start, 11, nil))
+	c.ReplaceAll(start, 10, list)
+	assert.Assert(t, c.ReplaceAll(start, 11, nil))
 	assert.Equal(t, len(c.All()), 0)
 	assert.Assert(t, len(c.left) <= mostLeft)
 }
@@ -75,11 +75,11 @@
 // and the servers need two seconds to be listed again; all requests of those
 // seconds would be refused although every server is well.
 func TestServersOutlastAnOutageOfTheStore(t *testing.T) {
-	var c Census[string]
-	c.List(start, 10, []Entry[string]{entry("a", 3, false), entry("b", 4, false), entry("c", 5, true)})
-	c.Down()
+	var c Set[string]
+	c.ReplaceAll(start, 10, []Entry[string]{entry("a", 3, false), entry("b", 4, false), entry("c", 5, true)})
+	c.StoreDown()
 	back := start.Add(8 * time.Second)
-	assert.Assert(t, c.List(back, 20, nil), "one that said it leaves is not waited for")
+	assert.Assert(t, c.ReplaceAll(back, 20, nil), "one that said it leaves is not waited for")
 	assert.DeepEqual(t, names(&c), []ident.Server{"a", "b"})
 	c.Put(entry("a", 21, false))
 	assert.Assert(t, !c.Expire(back.Add(Back-time.Millisecond)))
@@ -89,9 +89,9 @@
 
 // The watch goes on over the outage and tells one removal after the other.
 func TestRemovalsRightAfterAnOutageWaitToo(t *testing.T) {
-	var c Census[string]
-	c.List(start, 10, []Entry[string]{entry("a", 3, false), entry("b", 4, false)})
-	c.Down()
+	var c Set[string]
+	c.ReplaceAll(start, 10, []Entry[string]{entry("a", 3, false), entry("b", 4, false)})
+	c.StoreDown()
 	back := start.Add(8 * time.Second)
 	assert.Assert(t, !c.Remove(back, "a", 12))
 	assert.DeepEqual(t, names(&c), []ident.Server{"a", "b"})
@@ -101,19 +101,19 @@
 // A server leaves without notice a second after the store is back. Waiting the whole
 // time for it once more would send it requests for longer than the platform allows.
 func TestARemovalAfterAnOutageWaitsNoLongerThanTheReturn(t *testing.T) {
-	var c Census[string]
-	c.List(start, 10, []Entry[string]{entry("a", 3, false)})
-	c.Down()
+	var c Set[string]
+	c.ReplaceAll(start, 10, []Entry[string]{entry("a", 3, false)})
+	c.StoreDown()
 	back := start.Add(8 * time.Second)
-	c.Up(back)
+	c.StoreUp(back)
 	assert.Assert(t, !c.Remove(back.Add(time.Second), "a", 12))
 	assert.Assert(t, c.Expire(back.Add(Back)))
 	assert.Equal(t, len(c.All()), 0)
 }
 
 func TestARemovalInCalmTimesCountsAtOnce(t *testing.T) {
-	var c Census[string]
-	c.List(start, 10, []Entry[string]{entry("a", 3, false)})
+	var c Set[string]
+	c.ReplaceAll(start, 10, []Entry[string]{entry("a", 3, false)})
 	assert.Assert(t, c.Remove(start, "a", 11))
 	assert.Assert(t, !c.Remove(start, "a", 11))
 	assert.Equal(t, len(c.All()), 0)
@@ -123,24 +123,24 @@
 // listed again since. Another VM takes the list in and then reads the store's. It
 // would never see the server again, and send it nothing for the rest of its life.
 func TestAnotherVMsBeliefHidesNobody(t *testing.T) {
-	var c Census[string]
-	c.List(start, 10, []Entry[string]{entry("a", 3, false), entry("b", 4, false)})
-	assert.Assert(t, c.Told(start, 20, []Entry[string]{entry("b", 4, false)}))
+	var c Set[string]
+	c.ReplaceAll(start, 10, []Entry[string]{entry("a", 3, false), entry("b", 4, false)})
+	assert.Assert(t, c.MergePeer(start, 20, []Entry[string]{entry("b", 4, false)}))
 	assert.DeepEqual(t, names(&c), []ident.Server{"b"})
-	assert.Assert(t, c.List(start, 21, []Entry[string]{entry("a", 15, false), entry("b", 4, false)}))
+	assert.Assert(t, c.ReplaceAll(start, 21, []Entry[string]{entry("a", 15, false), entry("b", 4, false)}))
 	assert.DeepEqual(t, names(&c), []ident.Server{"a", "b"})
-	assert.Assert(t, !c.Told(start, 12, nil), "an older belief")
+	assert.Assert(t, !c.MergePeer(start, 12, nil), "an older belief")
 }
 
 // The leader tells only what changed. An entry that it dropped goes here too, unless a
 // later one of that name is known already.
 func TestAPartOfAnotherVMsBelief(t *testing.T) {
-	var c Census[string]
-	c.Told(start, 10, []Entry[string]{entry("a", 3, false), entry("b", 4, false)})
-	assert.Assert(t, c.ToldPart(start, 12, []Entry[string]{entry("c", 11, false)}, []ident.Server{"a", "x"}))
+	var c Set[string]
+	c.MergePeer(start, 10, []Entry[string]{entry("a", 3, false), entry("b", 4, false)})
+	assert.Assert(t, c.MergePeerDelta(start, 12, []Entry[string]{entry("c", 11, false)}, []ident.Server{"a", "x"}))
 	assert.DeepEqual(t, names(&c), []ident.Server{"b", "c"})
 	assert.Assert(t, c.Put(entry("b", 14, false)))
-	assert.Assert(t, !c.ToldPart(start, 13, nil, []ident.Server{"b"}), "older than what is known")
+	assert.Assert(t, !c.MergePeerDelta(start, 13, nil, []ident.Server{"b"}), "older than what is known")
 	assert.DeepEqual(t, names(&c), []ident.Server{"b", "c"})
 }
 
@@ -150,30 +150,30 @@
 // own return: the platform counts those from 2 s after it accepted the leaving. Another
 // VM has been in touch with the store all the while, and says so.
 func TestAVMThatAloneWasTurnedAwayBelievesAWitness(t *testing.T) {
-	var c Census[string]
-	c.List(start, 10, []Entry[string]{entry("a", 3, false), entry("b", 4, false)})
-	c.Down()
+	var c Set[string]
+	c.ReplaceAll(start, 10, []Entry[string]{entry("a", 3, false), entry("b", 4, false)})
+	c.StoreDown()
 	back := start.Add(7 * time.Second)
-	c.Up(back)
-	assert.Assert(t, !c.Told(back.Add(200*time.Millisecond), 12, []Entry[string]{entry("b", 4, false)}), "no proof yet")
+	c.StoreUp(back)
+	assert.Assert(t, !c.MergePeer(back.Add(200*time.Millisecond), 12, []Entry[string]{entry("b", 4, false)}), "no proof yet")
 	assert.DeepEqual(t, names(&c), []ident.Server{"a", "b"})
-	assert.Assert(t, c.Witness(back.Add(200*time.Millisecond), back.Add(-5*time.Second)))
+	assert.Assert(t, c.StoreSeenByPeer(back.Add(200*time.Millisecond), back.Add(-5*time.Second)))
 	assert.DeepEqual(t, names(&c), []ident.Server{"b"})
-	assert.Assert(t, c.Told(back.Add(time.Second), 14, nil), "what leaves from now on is gone at once")
+	assert.Assert(t, c.MergePeer(back.Add(time.Second), 14, nil), "what leaves from now on is gone at once")
 	assert.Equal(t, len(c.All()), 0)
 }
 
 // The store was away for all. Whoever it answered first says since when, and servers
 // have their time from then on, not from the moment at which this VM came to it.
 func TestAWitnessOfTheReturnShortensTheWaitAndDoesNotEndIt(t *testing.T) {
-	var c Census[string]
-	c.List(start, 10, []Entry[string]{entry("a", 3, false)})
-	c.Down()
+	var c Set[string]
+	c.ReplaceAll(start, 10, []Entry[string]{entry("a", 3, false)})
+	c.StoreDown()
 	back := start.Add(8 * time.Second)
-	assert.Assert(t, !c.List(back, 12, nil))
-	assert.Assert(t, !c.Witness(back.Add(100*time.Millisecond), back.Add(-time.Second)))
+	assert.Assert(t, !c.ReplaceAll(back, 12, nil))
+	assert.Assert(t, !c.StoreSeenByPeer(back.Add(100*time.Millisecond), back.Add(-time.Second)))
 	assert.DeepEqual(t, names(&c), []ident.Server{"a"})
-	assert.Assert(t, !c.Witness(back.Add(200*time.Millisecond), back.Add(time.Millisecond)), "who came later knows less")
+	assert.Assert(t, !c.StoreSeenByPeer(back.Add(200*time.Millisecond), back.Add(time.Millisecond)), "who came later knows less")
 	assert.Assert(t, !c.Expire(back.Add(Back-time.Second-time.Millisecond)))
 	assert.Assert(t, c.Expire(back.Add(Back-time.Second)))
 }
@@ -182,10 +182,10 @@
 // without notice. Nobody's entry can have lapsed in so short a time, so the server is
 // gone at once; it would get requests for 2.2 s.
 func TestADroppedCallIsNoOutage(t *testing.T) {
-	var c Census[string]
-	c.List(start, 10, []Entry[string]{entry("a", 3, false)})
-	c.Down()
-	c.Up(start.Add(Brief - time.Millisecond))
-	assert.Assert(t, c.Remove(start.Add(Brief), "a", 12))
+	var c Set[string]
+	c.ReplaceAll(start, 10, []Entry[string]{entry("a", 3, false)})
+	c.StoreDown()
+	c.StoreUp(start.Add(OutageGrace - time.Millisecond))
+	assert.Assert(t, c.Remove(start.Add(OutageGrace), "a", 12))
 	assert.Equal(t, len(c.All()), 0)
 }
--- a/internal/node/spread/fleet_test.go
+++ b/internal/node/netsim/fleet_test.go
@@ -1,4 +1,4 @@
-package spread
+package netsim
 
 import (
 	"math/rand/v2"
@@ -10,8 +10,8 @@
 
 	"hawthornfield.org/hawthornfield/internal/core/ident"
 	"hawthornfield.org/hawthornfield/internal/core/loop"
+	"hawthornfield.org/hawthornfield/internal/node/detect"
 	"hawthornfield.org/hawthornfield/internal/node/gossip"
-	"hawthornfield.org/hawthornfield/internal/node/roster"
 	"hawthornfield.org/hawthornfield/internal/plat/server"
 	"hawthornfield.org/hawthornfield/internal/plat/vmlist"
 )
@@ -21,7 +21,7 @@
 // them. The platform's list shows every server as live throughout.
 type fleet struct {
 	*run
-	rosters map[*node]*roster.Model[ident.Server]
+	rosters map[*node]*detect.Model[ident.Server]
 	servers []ident.Server
 	names   map[gossip.Member]ident.Server
 	drains  map[ident.Server]bool
@@ -34,7 +34,7 @@
 func newFleet(t *testing.T, vms, servers int, loss float64, seed uint64) *fleet {
 	f := &fleet{
 		run:     newRun(Config{VMs: vms, Loss: loss, Seed: seed, Length: time.Hour, Changes: 1}),
-		rosters: map[*node]*roster.Model[ident.Server]{},
+		rosters: map[*node]*detect.Model[ident.Server]{},
 		names:   map[gossip.Member]ident.Server{},
 		drains:  map[ident.Server]bool{},
 	}
@@ -56,27 +56,27 @@
 	return f
 }
 
-func (f *fleet) join(n *node) *roster.Model[ident.Server] {
-	m := roster.New[ident.Server](roster.Config{})
-	var rows []roster.Listed[ident.Server]
+func (f *fleet) join(n *node) *detect.Model[ident.Server] {
+	m := detect.New[ident.Server](detect.Config{})
+	var rows []detect.Listed[ident.Server]
 	for _, id := range f.servers {
-		rows = append(rows, roster.Listed[ident.Server]{ID: id, Group: "lookup", State: vmlist.Live})
+		rows = append(rows, detect.Listed[ident.Server]{ID: id, Group: "lookup", State: vmlist.Live})
 	}
-	shard := roster.ShardMsg{Self: n.peer.VM}
+	shard := detect.ProbersMsg{Self: n.peer.VM}
 	for _, p := range f.live() {
-		shard.VMs = append(shard.VMs, roster.Prober{VM: p.VM, Centre: p.Centre})
+		shard.VMs = append(shard.VMs, detect.Prober{VM: p.VM, Centre: p.Centre})
 	}
-	m.Update(f.now, roster.ListMsg[ident.Server]{Rows: rows})
+	m.Update(f.now, detect.ListMsg[ident.Server]{Rows: rows})
 	m.Update(f.now, shard)
 	return m
 }
 
 func (f *fleet) takes(n *node, id ident.Server) bool {
 	x, _ := f.rosters[n].Member(id)
-	return x.Takes()
+	return x.Accepting()
 }
 
-func (f *fleet) tick(n *node) { f.watch(n, roster.TickMsg{}) }
+func (f *fleet) tick(n *node) { f.watch(n, detect.TickMsg{}) }
 
 // watch tells a VM's roster something and carries out what it asks for. A probe
 // is answered 2 ms later.
@@ -87,10 +87,10 @@
 	_, cmds := f.rosters[n].Update(f.now, msg)
 	for _, c := range cmds {
 		switch c := c.(type) {
-		case roster.ProbeCmd[ident.Server]:
+		case detect.ProbeCmd[ident.Server]:
 			f.probe(n, c.ID)
-		case roster.ViewCmd[ident.Server]:
-			say := gossip.SayMsg{Odd: members(c.Odd), Bad: members(c.Bad)}
+		case detect.ViewCmd[ident.Server]:
+			say := gossip.ViewMsg{Suspect: members(c.Suspect), Frozen: members(c.Frozen)}
 			f.after(0, func() { f.run.tell(n, say) })
 		}
 	}
@@ -104,7 +104,7 @@
 		f.asked[id][n.peer.VM]++
 	}
 	f.after(2*time.Millisecond, func() {
-		f.watch(n, roster.ProbeMsg[ident.Server]{ID: id, Health: server.Health{Ready: true, Drain: f.drains[id]}})
+		f.watch(n, detect.ProbeMsg[ident.Server]{ID: id, Health: server.Health{Ready: true, Drain: f.drains[id]}})
 	})
 }
 
@@ -121,9 +121,9 @@
 	if !ok {
 		return
 	}
-	msg := roster.ViewsMsg[ident.Server]{Odd: f.named(v.Odd)}
+	msg := detect.ViewsMsg[ident.Server]{Suspect: f.named(v.Suspect)}
 	for _, x := range v.Views {
-		msg.Views = append(msg.Views, roster.ViewMsg[ident.Server]{From: x.From, Bad: f.named(x.Bad)})
+		msg.Views = append(msg.Views, detect.ViewMsg[ident.Server]{From: x.From, Frozen: f.named(x.Frozen)})
 	}
 	f.watch(n, msg)
 }
@@ -147,13 +147,13 @@
 	}
 	if p.Ack != nil {
 		a := *p.Ack
-		a.View = &gossip.View{List: a.View.List, Here: everybody}
+		a.View = &gossip.View{List: a.View.List, Responders: everybody}
 		p.Ack = &a
 	}
-	if p.Pulse != nil && p.Pulse.View != nil {
-		pulse := *p.Pulse
-		pulse.View = &gossip.View{List: pulse.View.List, Here: everybody}
-		p.Pulse = &pulse
+	if p.Heartbeat != nil && p.Heartbeat.View != nil {
+		pulse := *p.Heartbeat
+		pulse.View = &gossip.View{List: pulse.View.List, Responders: everybody}
+		p.Heartbeat = &pulse
 	}
 	if p.News != nil {
 		p.News = &gossip.News{Root: p.News.Root, View: gossip.View{List: p.News.View.List}}
@@ -203,7 +203,7 @@
 	f.asked = map[ident.Server]map[ident.VM]int{}
 	start := f.now
 	for f.anyTakes(id) {
-		f.play(f.now.Sub(f.start) + gossip.Tick)
+		f.play(f.now.Sub(f.start) + gossip.TickInterval)
 		assert.Assert(t, f.now.Sub(start) <= 3*time.Second, "a leaving server still takes work")
 	}
 	took := f.now.Sub(start)
--- a/internal/node/spread/spread.go
+++ b/internal/node/netsim/spread.go
@@ -1,4 +1,4 @@
-// Package spread measures the exchange between entry VMs (package gossip) at
+// Package netsim measures the exchange between entry VMs (package gossip) at
 // sizes that no test machine has: it runs the real decision modules of up to
 // some hundred VMs over a clock of its own, carries their encoded packets with
 // delay and loss, and counts messages, bytes and the time until a change is
@@ -7,7 +7,7 @@
 // It is a focused measurement of one module, with the network reduced to delay
 // and loss; no requests, no backend servers, no store beyond "the watchers read
 // revision n at this moment".
-package spread
+package netsim
 
 import (
 	"cmp"
@@ -78,8 +78,8 @@
 	return c
 }
 
-// Rows runs each size once without loss and once with 2 % loss and restarts.
-func Rows(sizes []int) []Row {
+// RunAll runs each size once without loss and once with 2 % loss and restarts.
+func RunAll(sizes []int) []Row {
 	var rows []Row
 	for _, n := range sizes {
 		rows = append(rows, Run(Config{VMs: n}))
--- a/internal/node/spread/spread_test.go
+++ b/internal/node/netsim/spread_test.go
@@ -1,4 +1,4 @@
-package spread
+package netsim
 
 import (
 	"testing"
@@ -6,7 +6,7 @@
 
 	"gotest.tools/v3/assert"
 
-	"hawthornfield.org/hawthornfield/internal/rules/force"
+	"hawthornfield.org/hawthornfield/internal/rules/revs"
 )
 
 const maxRate = 5_000 // bytes a second that a VM may spend on control traffic
@@ -15,7 +15,7 @@
 	t.Helper()
 	t.Logf("%+v", r)
 	assert.Equal(t, r.Missing, 0)
-	assert.Assert(t, r.Worst < force.Bound-force.DefaultLimits.Behind, "a change took %v", r.Worst)
+	assert.Assert(t, r.Worst < revs.MaxApplyDelay-revs.DefaultLimits.Behind, "a change took %v", r.Worst)
 	assert.Assert(t, r.Mean <= maxRate, "%v bytes a second", r.Mean)
 	assert.Assert(t, r.Max <= maxRate, "%v bytes a second at the busiest VM", r.Max)
 	assert.Assert(t, r.Watchers >= 3 && r.Watchers <= 5, "%d watchers", r.Watchers)
@@ -51,7 +51,7 @@
 		r := Run(Config{VMs: n, Loss: 0.05, Outage: true, Restarts: restarts, Length: 30 * time.Second, Changes: 1})
 		t.Logf("%+v", r)
 		assert.Equal(t, r.Blind, 0)
-		assert.Assert(t, r.Gap < force.DefaultLimits.Alone, "a VM saw nothing for %v", r.Gap)
+		assert.Assert(t, r.Gap < revs.DefaultLimits.Isolated, "a VM saw nothing for %v", r.Gap)
 		assert.Assert(t, r.Max <= maxRate, "%v bytes a second", r.Max)
 	}
 }
--- a/internal/node/spread/world.go
+++ b/internal/node/netsim/world.go
@@ -1,4 +1,4 @@
-package spread
+package netsim
 
 import (
 	"cmp"
@@ -23,7 +23,7 @@
 	moved int // bytes, sent and received
 	sent  int
 	born  time.Time
-	sight gossip.SightCmd
+	sight gossip.ContactCmd
 	seen  time.Time // the latest moment of which it knows that it would have heard news
 	gap   time.Duration
 
@@ -132,7 +132,7 @@
 	n := &node{index: i, peer: p, model: gossip.New(r.now, p), born: r.now, got: map[ident.Revision]time.Time{}, loads: map[ident.Server]time.Time{}}
 	r.all = append(r.all, n)
 	r.byVM[p.VM] = n
-	r.after(time.Duration(r.rnd.Int64N(int64(gossip.Tick))), func() { r.tick(n) })
+	r.after(time.Duration(r.rnd.Int64N(int64(gossip.TickInterval))), func() { r.tick(n) })
 	return n
 }
 
@@ -159,25 +159,25 @@
 		return
 	}
 	down := r.Outage && r.now.Sub(r.start) > r.Length/2
-	if n.watch && !down && r.now.Sub(n.born)/gossip.Tick%5 == 0 {
+	if n.watch && !down && r.now.Sub(n.born)/gossip.TickInterval%5 == 0 {
 		r.tell(n, gossip.StoreMsg{})
 		r.read(n)
 	}
-	if r.now.Sub(n.born)/gossip.Tick%10 == 0 {
+	if r.now.Sub(n.born)/gossip.TickInterval%10 == 0 {
 		r.tell(n, gossip.ReportMsg{Rows: r.rows(n)})
 	}
 	r.tell(n, gossip.TickMsg{})
 	if r.ticked != nil {
 		r.ticked(n)
 	}
-	r.after(gossip.Tick, func() { r.tick(n) })
+	r.after(gossip.TickInterval, func() { r.tick(n) })
 }
 
 // rows are the loads of the servers whose seats this VM holds.
-func (r *run) rows(n *node) []gossip.Row {
-	var rows []gossip.Row
+func (r *run) rows(n *node) []gossip.LoadRow {
+	var rows []gossip.LoadRow
 	for i := n.index % r.VMs; i < r.Servers; i += r.VMs {
-		rows = append(rows, gossip.Row{Server: ident.Server("server" + strconv.Itoa(i)), Slots: 4, Busy: r.rnd.IntN(5)})
+		rows = append(rows, gossip.LoadRow{Server: ident.Server("server" + strconv.Itoa(i)), Slots: 4, Busy: r.rnd.IntN(5)})
 	}
 	return rows
 }
@@ -231,14 +231,14 @@
 			n.watch = c.On
 		case gossip.ReadListCmd:
 			r.reads++
-			r.after(0, func() { r.tell(n, gossip.ListedMsg{Sum: r.list, Asked: r.now}) })
+			r.after(0, func() { r.tell(n, gossip.ListReadMsg{Sum: r.list, Asked: r.now}) })
 		case gossip.ValueCmd:
 			n.got[c.Head.Rev] = r.now
 		case gossip.LoadCmd:
 			for _, x := range c.Rows {
 				n.loads[x.Server] = r.now.Add(-x.Age)
 			}
-		case gossip.SightCmd:
+		case gossip.ContactCmd:
 			n.look(r.now, c)
 		}
 	}
@@ -254,7 +254,7 @@
 	}
 	n.sent++
 	size := len(raw) + Overhead
-	if g := c.Packet.Give; g != nil && g.Base == 0 {
+	if g := c.Packet.Value; g != nil && g.Base == 0 {
 		r.whole += size
 		size = 0
 	}
@@ -313,7 +313,7 @@
 }
 
 // look notes how long the VM went without enough sight, as rules/force counts it.
-func (n *node) look(now time.Time, c gossip.SightCmd) {
+func (n *node) look(now time.Time, c gossip.ContactCmd) {
 	n.sight = c
 	if n.sighted {
 		n.gap = max(n.gap, now.Sub(n.seen))
--- a/internal/owner/deal/agree.go
+++ b/internal/owner/assign/agree.go
@@ -1,11 +1,11 @@
-package deal
+package assign
 
 import (
 	"time"
 
 	"hawthornfield.org/hawthornfield/internal/core/kinds"
 	"hawthornfield.org/hawthornfield/internal/core/loop"
-	"hawthornfield.org/hawthornfield/internal/owner/stripe"
+	"hawthornfield.org/hawthornfield/internal/owner/ranges"
 )
 
 // store reads the table once, and writes it when it should change.
@@ -19,7 +19,7 @@
 	}
 	if m.behind() {
 		m.callAt = now.Add(again)
-		return []loop.Cmd{BehindCmd{Epoch: m.table.Epoch}}
+		return []loop.Cmd{StaleEpochCmd{Epoch: m.table.Epoch}}
 	}
 	d := m.plan(now)
 	if d == nil {
@@ -43,11 +43,11 @@
 
 // read takes in the stored table. What this leader knew of its rows is kept where
 // the row is the same.
-func (m *Model) read(now time.Time, msg ReadMsg) []loop.Cmd {
+func (m *Model) read(now time.Time, msg ReadResultMsg) []loop.Cmd {
 	m.calling = false
 	switch {
-	case msg.Kind == kinds.Absent:
-		msg.Table = stripe.NewTable(0)
+	case msg.Kind == kinds.NotFound:
+		msg.Table = ranges.NewTable(0)
 		m.fresh = true
 	case msg.Kind == kinds.Malformed:
 		m.callAt = now.Add(unread)
@@ -83,13 +83,13 @@
 		// could move keys and wait for its own grants alone.
 		m.dirty = now.Add(-tidy)
 	}
-	return []loop.Cmd{NoteCmd{What: "table read", Rows: len(m.table.Rows)}}
+	return []loop.Cmd{LogCmd{Event: "table read", Rows: len(m.table.Rows)}}
 }
 
 // lose waits for whoever had the keys of a row that names nobody: a leader before may
 // have renewed them until its end, and this one until now. Grants of this one may still
 // be on their way, so the owner that it knew is kept as the former one.
-func (m *Model) lose(now time.Time, i int, old stripe.Table, rows []state) {
+func (m *Model) lose(now time.Time, i int, old ranges.Table, rows []state) {
 	r, s := &m.table.Rows[i], &m.rows[i]
 	if m.flaw == flawLost {
 		m.freed(r, s, "")
@@ -102,23 +102,23 @@
 		return
 	}
 	was := old.Rows[j]
-	if was.Lost && was.Owner == r.Owner && was.Fence == r.Fence && was.Born == r.Born {
-		*s, r.From = rows[j], was.From // known before, and waited for since
+	if was.Lost && was.Owner == r.Owner && was.Fence == r.Fence && was.Incarnation == r.Incarnation {
+		*s, r.PrevOwner = rows[j], was.PrevOwner // known before, and waited for since
 		return
 	}
-	if r.From = was.Owner; r.From == "" {
-		r.From = was.From
+	if r.PrevOwner = was.Owner; r.PrevOwner == "" {
+		r.PrevOwner = was.PrevOwner
 	}
 }
 
 // inherit is what is known of a row that another leader wrote: its owner may have
 // been given it, and the former owner may have been renewed until the bar.
-func (m *Model) inherit(r stripe.Row) state {
+func (m *Model) inherit(r ranges.Row) state {
 	s := state{older: true}
 	switch {
 	case r.Owner == "":
 		s.phase = vacant
-	case r.From != "":
+	case r.PrevOwner != "":
 		s.phase, s.olderFree = freeing, true
 	default:
 		s.phase = granting // the same grant again is a renewal
@@ -132,7 +132,7 @@
 		return time.Time{}
 	}
 	if s.olderFree && m.flaw != flawBar {
-		return later(s.free, lapse(m.auth.Bar, LongHold))
+		return later(s.free, lapse(m.auth.OldTermEnd, LongHold))
 	}
 	return s.free
 }
@@ -142,7 +142,7 @@
 	return sent.Add(hold + hold*slow/1000 + margin)
 }
 
-func (m *Model) wrote(now time.Time, msg WroteMsg) []loop.Cmd {
+func (m *Model) wrote(now time.Time, msg WriteResultMsg) []loop.Cmd {
 	m.calling = false
 	d := m.writing
 	m.writing = nil
@@ -152,7 +152,7 @@
 	case msg.Kind == kinds.None:
 		m.version, m.wroteAs = msg.Version, d.table.Epoch
 		return m.adopt(d)
-	case msg.Kind == kinds.Conflict, msg.Kind == kinds.Ambiguous, msg.Kind == kinds.Absent:
+	case msg.Kind == kinds.Conflict, msg.Kind == kinds.Ambiguous, msg.Kind == kinds.NotFound:
 		// Another leader wrote, or this VM's own write was done and its answer lost.
 		// What was agreed before is renewed until it is known: whoever takes keys over
 		// asks their owner first, or waits for all that may have been granted.
@@ -175,9 +175,9 @@
 	for i, r := range d.table.Rows {
 		j := old.Find(r.First)
 		was := old.Rows[j]
-		if was.Owner == r.Owner && was.Fence == r.Fence && was.Born == r.Born {
+		if was.Owner == r.Owner && was.Fence == r.Fence && was.Incarnation == r.Incarnation {
 			d.rows[i] = rows[j]
-			d.table.Rows[i].From, d.table.Rows[i].Lost = was.From, was.Lost
+			d.table.Rows[i].PrevOwner, d.table.Rows[i].Lost = was.PrevOwner, was.Lost
 			continue
 		}
 		// The former owner may have been renewed while the draft was on its way.
--- a/internal/owner/deal/deal.go
+++ b/internal/owner/assign/deal.go
@@ -1,4 +1,4 @@
-// Package deal deals the keys of one service out to its backend servers, where
+// Package assign deals the keys of one service out to its backend servers, where
 // servers take ranges of keys under fences and for a time that counts from the
 // arrival of the order. It is the leader's part of ownership; see package lead
 // for who that is.
@@ -22,14 +22,14 @@
 //
 // Renewing what is agreed needs no agreement, so a leader that is replaced while it
 // still renews does no harm, and the next one goes on at once.
-package deal
+package assign
 
 import (
 	"time"
 
 	"hawthornfield.org/hawthornfield/internal/core/ident"
 	"hawthornfield.org/hawthornfield/internal/core/loop"
-	"hawthornfield.org/hawthornfield/internal/owner/stripe"
+	"hawthornfield.org/hawthornfield/internal/owner/ranges"
 	"hawthornfield.org/hawthornfield/internal/plat/object"
 )
 
@@ -71,9 +71,9 @@
 	// unread is the pause before a table that cannot be read is read again: somebody must
 	// put it right first.
 	unread = 3 * time.Second
-	// Misses is how many grants in a row a server may leave unanswered before it counts
+	// MaxMissedGrants is how many grants in a row a server may leave unanswered before it counts
 	// as one that does not answer. Servers that lose every second answer go on.
-	Misses = 5
+	MaxMissedGrants = 5
 	// probes is how many grants are tried at once on such a server.
 	probes = 3
 	// roughFor is how long a server that left some grants unanswered gets long ones:
@@ -114,7 +114,7 @@
 
 // peer is what this leader knows of a server.
 type peer struct {
-	Host
+	Server
 	listed   bool
 	silent   time.Time // since when it has not answered; zero when it does
 	busy     bool      // grants are on their way
@@ -133,7 +133,7 @@
 // Model is the decision. Make one with New for each time that this VM leads.
 type Model struct {
 	auth    Authority
-	table   stripe.Table
+	table   ranges.Table
 	version object.Version
 	loaded  bool   // the table is known
 	fresh   bool   // nobody has had any key: the table is cut once servers are known
@@ -156,7 +156,7 @@
 	flaw    flaw          // always flawNone outside tests
 	known   bool          // servers are known
 	idle    int           // servers more than stripes, as of the last plan
-	notes   []NoteCmd     // what the next update says beside its commands
+	notes   []LogCmd      // what the next update says beside its commands
 	// settleAt is when servers that start together are all listed: dealt out before,
 	// the whole key space would go to the first.
 	settleAt time.Time
@@ -164,17 +164,17 @@
 
 // draft is a table on its way to the store, and what its rows begin with.
 type draft struct {
-	table stripe.Table
+	table ranges.Table
 	rows  []state
-	notes []NoteCmd
+	notes []LogCmd
 }
 
 // Option changes how a Model works.
 type Option func(*Model)
 
-// WithMost bounds how long a grant may last. A platform refuses longer ones, all of
+// WithMaxGrant bounds how long a grant may last. A platform refuses longer ones, all of
 // them, and no key would be served. Zero bounds nothing.
-func WithMost(d time.Duration) Option { return func(m *Model) { m.most = d } }
+func WithMaxGrant(d time.Duration) Option { return func(m *Model) { m.most = d } }
 
 // New makes the deal of one service for a leader.
 func New(opts ...Option) *Model {
@@ -203,17 +203,17 @@
 	switch msg := msg.(type) {
 	case TickMsg:
 		m.authorize(now, msg.Authority)
-	case HostsMsg:
-		m.list(now, msg.Hosts)
+	case ServersMsg:
+		m.list(now, msg.Servers)
 	case LoadMsg:
 		m.loads.add(now, msg)
 		m.learn(now, msg)
 		return m, nil
-	case ReadMsg:
+	case ReadResultMsg:
 		out = m.read(now, msg)
-	case WroteMsg:
+	case WriteResultMsg:
 		out = m.wrote(now, msg)
-	case OrderedMsg:
+	case OrderResultMsg:
 		out = m.ordered(now, msg)
 	}
 	if !now.Before(m.auth.Until) {
@@ -240,7 +240,7 @@
 		m.dirty, m.told = now.Add(-tidy), false
 		m.callAt = now
 	}
-	if a.Long && !m.auth.Long {
+	if a.LongGrants && !m.auth.LongGrants {
 		for _, p := range m.peers {
 			p.renewAt = time.Time{}
 		}
@@ -249,7 +249,7 @@
 }
 
 // list takes in the servers that the platform lists.
-func (m *Model) list(now time.Time, hosts []Host) {
+func (m *Model) list(now time.Time, hosts []Server) {
 	if !m.known && len(hosts) > 0 {
 		m.known, m.settleAt = true, now.Add(settle)
 	}
@@ -262,10 +262,10 @@
 			p = &peer{listedAt: now}
 			m.peers[h.Name] = p
 		}
-		if p.Born != h.Born {
+		if p.Incarnation != h.Incarnation {
 			p.silent, p.pauseTo, p.gone = time.Time{}, time.Time{}, false
 		}
-		p.Host, p.listed = h, true
+		p.Server, p.listed = h, true
 	}
 	m.planAt = time.Time{}
 }
--- a/internal/owner/deal/flaw.go
+++ b/internal/owner/assign/flaw.go
@@ -1,4 +1,4 @@
-package deal
+package assign
 
 // flaw names a deliberately broken safety rule. Only tests set one, to show that the
 // properties notice.
--- a/internal/owner/deal/fresh_test.go
+++ b/internal/owner/assign/fresh_test.go
@@ -1,4 +1,4 @@
-package deal
+package assign
 
 import (
 	"net/netip"
@@ -20,17 +20,17 @@
 	for servers, rows := range map[int]int{10: 256, 200: 1024} {
 		now := time.Unix(1000, 0)
 		m := New()
-		tick := TickMsg{Authority: Authority{Epoch: 1, Until: now.Add(time.Hour), Bar: now}}
+		tick := TickMsg{Authority: Authority{Epoch: 1, Until: now.Add(time.Hour), OldTermEnd: now}}
 		tell := func(msg loop.Msg) []loop.Cmd { _, cmds := m.Update(now, msg); return cmds }
 		tell(tick)
-		tell(ReadMsg{Kind: kinds.Absent})
-		var hosts []Host
+		tell(ReadResultMsg{Kind: kinds.NotFound})
+		var hosts []Server
 		for n := range servers {
-			hosts = append(hosts, Host{
-				Name: ident.Server("s" + strconv.Itoa(n)), Addr: netip.MustParseAddrPort("10.0.0.1:80"), Born: 1, Slots: 2,
+			hosts = append(hosts, Server{
+				Name: ident.Server("s" + strconv.Itoa(n)), Addr: netip.MustParseAddrPort("10.0.0.1:80"), Incarnation: 1, Slots: 2,
 			})
 		}
-		tell(HostsMsg{Hosts: hosts})
+		tell(ServersMsg{Servers: hosts})
 		wrote := false
 		for end := now.Add(5 * time.Second); now.Before(end) && !wrote; now = now.Add(50 * time.Millisecond) {
 			for _, c := range tell(tick) {
@@ -55,17 +55,17 @@
 	const servers = 3000
 	now := time.Unix(1000, 0)
 	m := New()
-	tick := TickMsg{Authority: Authority{Epoch: 1, Until: now.Add(time.Hour), Bar: now}}
+	tick := TickMsg{Authority: Authority{Epoch: 1, Until: now.Add(time.Hour), OldTermEnd: now}}
 	tell := func(msg loop.Msg) []loop.Cmd { _, cmds := m.Update(now, msg); return cmds }
 	tell(tick)
-	tell(ReadMsg{Kind: kinds.Absent})
-	var hosts []Host
+	tell(ReadResultMsg{Kind: kinds.NotFound})
+	var hosts []Server
 	for n := range servers {
-		hosts = append(hosts, Host{
-			Name: ident.Server("s" + strconv.Itoa(n)), Addr: netip.MustParseAddrPort("10.0.0.1:80"), Born: 1, Slots: 2,
+		hosts = append(hosts, Server{
+			Name: ident.Server("s" + strconv.Itoa(n)), Addr: netip.MustParseAddrPort("10.0.0.1:80"), Incarnation: 1, Slots: 2,
 		})
 	}
-	tell(HostsMsg{Hosts: hosts})
+	tell(ServersMsg{Servers: hosts})
 	notes, held := 0, map[ident.Server]bool{}
 	for end := now.Add(5 * time.Second); now.Before(end); now = now.Add(50 * time.Millisecond) {
 		cmds := tell(tick)
@@ -75,11 +75,11 @@
 				for _, r := range c.Table.Rows {
 					held[r.Owner] = true
 				}
-				tell(WroteMsg{Version: 1})
-			case NoteCmd:
-				if c.What == "servers without keys" {
+				tell(WriteResultMsg{Version: 1})
+			case LogCmd:
+				if c.Event == "servers without keys" {
 					notes++
-					assert.Equal(t, c.Why, "1976 servers more than stripes")
+					assert.Equal(t, c.Reason, "1976 servers more than stripes")
 				}
 			}
 		}
--- a/internal/owner/deal/history_test.go
+++ b/internal/owner/assign/history_test.go
@@ -1,4 +1,4 @@
-package deal
+package assign
 
 import (
 	"strings"
--- a/internal/owner/deal/loads.go
+++ b/internal/owner/assign/loads.go
@@ -1,4 +1,4 @@
-package deal
+package assign
 
 import (
 	"cmp"
@@ -8,7 +8,7 @@
 
 	"hawthornfield.org/hawthornfield/internal/core/ident"
 	"hawthornfield.org/hawthornfield/internal/owner/place"
-	"hawthornfield.org/hawthornfield/internal/owner/stripe"
+	"hawthornfield.org/hawthornfield/internal/owner/ranges"
 )
 
 // halfLife of what is remembered of requests: a hot key shows within a second, and
@@ -17,8 +17,8 @@
 
 // loads counts requests by cell, older ones for less.
 type loads struct {
-	cells [stripe.Keys / stripe.Cell]float64
-	sums  [stripe.Keys/stripe.Cell + 1]float64 // of the cells before; made when asked for
+	cells [ranges.KeySpace / ranges.CellWidth]float64
+	sums  [ranges.KeySpace/ranges.CellWidth + 1]float64 // of the cells before; made when asked for
 	fresh bool
 	at    time.Time
 }
@@ -51,9 +51,9 @@
 const perSecond = math.Ln2 / float64(halfLife) * float64(time.Second)
 
 // of returns the requests a second for a span.
-func (l *loads) of(now time.Time, s stripe.Span) float64 {
+func (l *loads) of(now time.Time, s ranges.Span) float64 {
 	l.sum(now)
-	return (l.sums[int(s.Last)/stripe.Cell+1] - l.sums[int(s.First)/stripe.Cell]) * perSecond
+	return (l.sums[int(s.Last)/ranges.CellWidth+1] - l.sums[int(s.First)/ranges.CellWidth]) * perSecond
 }
 
 func (l *loads) total(now time.Time) float64 {
@@ -86,10 +86,10 @@
 	speedLife = 4 * time.Second
 )
 
-// Work estimates how long a server works on a request whose answer took so long, while
+// EstimateWork estimates how long a server works on a request whose answer took so long, while
 // others ran and waited there. Who came to a full server waited for a slot to be free and
 // for those before it, each slot's time divided by the slots.
-func Work(took time.Duration, running, waiting int) time.Duration {
+func EstimateWork(took time.Duration, running, waiting int) time.Duration {
 	if waiting == 0 {
 		return took
 	}
@@ -107,7 +107,7 @@
 	m.learnAt = now
 	for name, p := range m.peers {
 		sum := msg.Servers[name]
-		p.seconds = p.seconds*keep + sum.Took.Seconds()
+		p.seconds = p.seconds*keep + sum.Total.Seconds()
 		p.answers = p.answers*keep + float64(sum.N)
 	}
 }
--- a/internal/owner/deal/orders.go
+++ b/internal/owner/assign/orders.go
@@ -1,4 +1,4 @@
-package deal
+package assign
 
 import (
 	"maps"
@@ -8,7 +8,7 @@
 	"hawthornfield.org/hawthornfield/internal/core/ident"
 	"hawthornfield.org/hawthornfield/internal/core/kinds"
 	"hawthornfield.org/hawthornfield/internal/core/loop"
-	"hawthornfield.org/hawthornfield/internal/owner/stripe"
+	"hawthornfield.org/hawthornfield/internal/owner/ranges"
 )
 
 // orders gives what is due now: releases, grants, renewals.
@@ -17,19 +17,19 @@
 	grants := map[ident.Server][]Order{}
 	for i := range m.rows {
 		r, s := &m.table.Rows[i], &m.rows[i]
-		if s.phase == freeing && !now.Before(m.free(s)) && !m.flying(r.From) {
+		if s.phase == freeing && !now.Before(m.free(s)) && !m.flying(r.PrevOwner) {
 			m.freed(r, s, "")
 			m.soil(now)
 		}
 		switch s.phase {
 		case freeing:
-			if p := m.peers[r.From]; p != nil && !r.Lost && !p.freeing && !now.Before(p.freeAt) {
-				releases[r.From] = append(releases[r.From], Order{Span: r.Span, Fence: r.Fence, Release: true})
+			if p := m.peers[r.PrevOwner]; p != nil && !r.Lost && !p.freeing && !now.Before(p.freeAt) {
+				releases[r.PrevOwner] = append(releases[r.PrevOwner], Order{Span: r.Span, Fence: r.Fence, Release: true})
 			}
 		case granting, granted:
 			// A later life of the server gets a fence of its own first: under this one
 			// nobody would wait for what it was given.
-			if p := m.peers[r.Owner]; p != nil && p.due(now, s.phase) && p.Born == r.Born {
+			if p := m.peers[r.Owner]; p != nil && p.due(now, s.phase) && p.Incarnation == r.Incarnation {
 				grants[r.Owner] = append(grants[r.Owner], m.grant(now, p, r, s))
 			}
 		}
@@ -63,10 +63,10 @@
 	return s == granting || !now.Before(p.renewAt)
 }
 
-func (m *Model) grant(now time.Time, p *peer, r *stripe.Row, s *state) Order {
-	o := Order{Span: r.Span, Fence: r.Fence, Hold: m.bounded(Hold), Token: s.token}
-	if m.auth.Long || now.Before(p.rough) || m.strained(now) {
-		o.Hold = m.bounded(LongHold)
+func (m *Model) grant(now time.Time, p *peer, r *ranges.Row, s *state) Order {
+	o := Order{Span: r.Span, Fence: r.Fence, TTL: m.bounded(Hold), Token: s.token}
+	if m.auth.LongGrants || now.Before(p.rough) || m.strained(now) {
+		o.TTL = m.bounded(LongHold)
 	}
 	return o
 }
@@ -80,7 +80,7 @@
 }
 
 func (m *Model) order(p *peer, list []Order) OrderCmd {
-	return OrderCmd{Server: p.Name, Born: p.Born, Addr: p.Addr, Until: m.auth.Until, Orders: list}
+	return OrderCmd{Server: p.Name, Incarnation: p.Incarnation, Addr: p.Addr, Until: m.auth.Until, Orders: list}
 }
 
 // give sends the grants that are due to one server. To a server that does not
@@ -98,21 +98,21 @@
 }
 
 // freed notes that a row's former owner has it no longer.
-func (m *Model) freed(r *stripe.Row, s *state, token string) {
+func (m *Model) freed(r *ranges.Row, s *state, token string) {
 	s.phase, s.token, s.free, s.olderFree = granting, token, time.Time{}, false
 	if r.Owner == "" {
 		s.phase = vacant
 	}
-	r.From, r.Lost = "", false
+	r.PrevOwner, r.Lost = "", false
 }
 
 // ordered takes in what became of orders.
-func (m *Model) ordered(now time.Time, msg OrderedMsg) []loop.Cmd {
+func (m *Model) ordered(now time.Time, msg OrderResultMsg) []loop.Cmd {
 	p := m.peers[msg.Server]
 	if p == nil {
 		return nil
 	}
-	if len(msg.Done) == 0 || !msg.Done[0].Release {
+	if len(msg.Results) == 0 || !msg.Results[0].Release {
 		p.busy = false
 	} else {
 		p.freeing = false
@@ -120,13 +120,13 @@
 	var out []loop.Cmd
 	answered, missed := 0, 0
 	waited := time.Duration(0)
-	for _, d := range msg.Done {
+	for _, d := range msg.Results {
 		if d.Release {
 			m.released(now, p, d)
 			continue
 		}
 		waited += d.Waited
-		out = append(out, m.gave(p, msg.Born, d)...)
+		out = append(out, m.gave(p, msg.Incarnation, d)...)
 		if d.Kind == kinds.None || d.Kind == kinds.Fenced {
 			answered++
 		} else {
@@ -147,7 +147,7 @@
 	if before {
 		return nil
 	}
-	return []loop.Cmd{NoteCmd{What: "grants go out late", Server: p.Name, Rows: len(m.rows), Why: "they waited here for " + d.String()}}
+	return []loop.Cmd{LogCmd{Event: "grants go out late", Server: p.Name, Rows: len(m.rows), Reason: "they waited here for " + d.String()}}
 }
 
 // heard judges a server by how many of its grants were answered.
@@ -161,26 +161,26 @@
 	switch {
 	case answered > 0 && !p.silent.IsZero():
 		p.silent, p.renewAt = time.Time{}, time.Time{}
-		return []loop.Cmd{NoteCmd{What: "server answers again", Server: p.Name}}
+		return []loop.Cmd{LogCmd{Event: "server answers again", Server: p.Name}}
 	case answered == 0 && missed > 0 && p.silent.IsZero():
 		p.silent = now
-		return []loop.Cmd{NoteCmd{What: "server does not answer", Server: p.Name}}
+		return []loop.Cmd{LogCmd{Event: "server does not answer", Server: p.Name}}
 	}
 	return nil
 }
 
 // released takes in the answer to a release. A server whose address another one has
 // has ended, and its keys with it.
-func (m *Model) released(now time.Time, p *peer, d Done) {
+func (m *Model) released(now time.Time, p *peer, d OrderResult) {
 	r, s := m.row(d.Order)
 	if d.Kind != kinds.None && d.Kind != kinds.Misrouted {
 		p.freeAt = now.Add(again)
 		return
 	}
-	if r == nil || s.phase != freeing || r.From != p.Name || r.Lost {
+	if r == nil || s.phase != freeing || r.PrevOwner != p.Name || r.Lost {
 		return
 	}
-	m.freed(r, s, d.Given)
+	m.freed(r, s, d.Token)
 	m.soil(now)
 }
 
@@ -192,7 +192,7 @@
 }
 
 // row finds the row that an order was for, if it is still the same.
-func (m *Model) row(o Order) (*stripe.Row, *state) {
+func (m *Model) row(o Order) (*ranges.Row, *state) {
 	i := m.table.Find(o.First)
 	if i >= len(m.table.Rows) || m.table.Rows[i].Span != o.Span || m.table.Rows[i].Fence != o.Fence {
 		return nil, nil
@@ -201,8 +201,8 @@
 }
 
 // gave takes in the answer to a grant.
-func (m *Model) gave(p *peer, born int64, d Done) []loop.Cmd {
-	if d.Kind != kinds.Down && d.Kind != kinds.Misrouted {
+func (m *Model) gave(p *peer, born int64, d OrderResult) []loop.Cmd {
+	if d.Kind != kinds.Unavailable && d.Kind != kinds.Misrouted {
 		// Obeyed or not, it may be: whoever owns these keys next waits for it.
 		m.mayHave(p, d)
 	}
@@ -210,7 +210,7 @@
 	same := r != nil && r.Owner == p.Name && (s.phase == granting || s.phase == granted)
 	switch d.Kind {
 	case kinds.None:
-		if same && born == r.Born {
+		if same && born == r.Incarnation {
 			s.phase, s.token = granted, ""
 		}
 	case kinds.Fenced, kinds.Malformed:
@@ -219,12 +219,12 @@
 		}
 		s.phase = vacant // the next plan gives it a fence above
 		m.planAt = time.Time{}
-		return []loop.Cmd{NoteCmd{What: "grant refused", Server: p.Name, Rows: 1, Why: d.Kind.String()}}
+		return []loop.Cmd{LogCmd{Event: "grant refused", Server: p.Name, Rows: 1, Reason: d.Kind.String()}}
 	case kinds.Misrouted:
 		m.planAt = time.Time{}
 		if !p.gone {
 			p.gone = true
-			return []loop.Cmd{NoteCmd{What: "another server has the address", Server: p.Name}}
+			return []loop.Cmd{LogCmd{Event: "another server has the address", Server: p.Name}}
 		}
 	default:
 		if same {
@@ -236,14 +236,14 @@
 
 // mayHave notes a grant on every row that it covers and whose keys the server has,
 // or has not given back.
-func (m *Model) mayHave(p *peer, d Done) {
+func (m *Model) mayHave(p *peer, d OrderResult) {
 	for i := m.table.Find(d.First); i < len(m.table.Rows) && m.table.Rows[i].First <= d.Last; i++ {
 		r, s := &m.table.Rows[i], &m.rows[i]
 		switch {
 		case r.Owner == p.Name:
-			s.until = later(s.until, lapse(d.Sent, d.Hold))
-		case s.phase == freeing && (r.From == p.Name || r.Lost):
-			s.free = later(s.free, lapse(d.Sent, d.Hold))
+			s.until = later(s.until, lapse(d.Sent, d.TTL))
+		case s.phase == freeing && (r.PrevOwner == p.Name || r.Lost):
+			s.free = later(s.free, lapse(d.Sent, d.TTL))
 		}
 	}
 }
--- a/internal/owner/deal/plan.go
+++ b/internal/owner/assign/plan.go
@@ -1,4 +1,4 @@
-package deal
+package assign
 
 import (
 	"math"
@@ -8,7 +8,7 @@
 	"hawthornfield.org/hawthornfield/internal/core/ident"
 	"hawthornfield.org/hawthornfield/internal/core/loop"
 	"hawthornfield.org/hawthornfield/internal/owner/place"
-	"hawthornfield.org/hawthornfield/internal/owner/stripe"
+	"hawthornfield.org/hawthornfield/internal/owner/ranges"
 )
 
 // Settings of planning.
@@ -52,7 +52,7 @@
 	m.planAt = now.Add(planEvery)
 	d := &draft{table: m.table.Clone(), rows: append([]state(nil), m.rows...)}
 	if m.fresh && m.version == 0 {
-		d.table.Rows = stripe.NewTable(len(m.peers)).Rows
+		d.table.Rows = ranges.NewTable(len(m.peers)).Rows
 		d.rows = make([]state, len(d.table.Rows))
 	}
 	changed := m.cut(now, d)
@@ -81,7 +81,7 @@
 func (m *Model) crowd(now time.Time, d *draft) {
 	idle := max(m.takers(now)-len(d.table.Rows), 0)
 	if idle > 0 && m.idle == 0 {
-		m.notes = append(m.notes, NoteCmd{What: "servers without keys", Rows: len(d.table.Rows), Why: strconv.Itoa(idle) + " servers more than stripes"})
+		m.notes = append(m.notes, LogCmd{Event: "servers without keys", Rows: len(d.table.Rows), Reason: strconv.Itoa(idle) + " servers more than stripes"})
 	}
 	m.idle = idle
 }
@@ -115,7 +115,7 @@
 		}
 	}
 	if changed {
-		d.notes = append(d.notes, NoteCmd{What: "busy keys cut", Rows: len(d.table.Rows)})
+		d.notes = append(d.notes, LogCmd{Event: "busy keys cut", Rows: len(d.table.Rows)})
 	}
 	return changed
 }
@@ -130,10 +130,10 @@
 		if p == nil || !p.takes(now) || s.phase == freeing {
 			continue
 		}
-		if r.Born == p.Born && s.phase != vacant {
+		if r.Incarnation == p.Incarnation && s.phase != vacant {
 			continue
 		}
-		r.Born, r.Fence = p.Born, d.table.Fence()
+		r.Incarnation, r.Fence = p.Incarnation, d.table.NextFence()
 		s.phase, s.token = granting, ""
 		changed = true
 	}
@@ -145,10 +145,10 @@
 func (m *Model) move(now time.Time, d *draft) bool {
 	in := m.input(now, d)
 	moves := place.Plan(in)
-	notes := map[[2]string]*NoteCmd{} // by former owner and reason
+	notes := map[[2]string]*LogCmd{} // by former owner and reason
 	changed := false
 	for _, mv := range moves {
-		if mv.Why == place.Excess || mv.Why == place.Fill {
+		if mv.Reason == place.Excess || mv.Reason == place.Fill {
 			m.evenAt = now.Add(evenEvery)
 		}
 		i := int(mv.Slice)
@@ -157,11 +157,11 @@
 		if s.phase == freeing || to == nil {
 			continue // it is on its way already
 		}
-		m.hand(r, s, to, d.table.Fence())
+		m.hand(r, s, to, d.table.NextFence())
 		changed = true
-		key := [2]string{string(mv.From), string(mv.Why)}
+		key := [2]string{string(mv.From), string(mv.Reason)}
 		if notes[key] == nil {
-			notes[key] = &NoteCmd{What: "keys move", Former: mv.From, Why: string(mv.Why)}
+			notes[key] = &LogCmd{Event: "keys move", PrevOwner: mv.From, Reason: string(mv.Reason)}
 		}
 		notes[key].Rows++
 	}
@@ -172,17 +172,17 @@
 }
 
 // hand makes a server the owner of a row.
-func (m *Model) hand(r *stripe.Row, s *state, to *peer, fence uint64) {
+func (m *Model) hand(r *ranges.Row, s *state, to *peer, fence uint64) {
 	if r.Owner == "" {
 		*s = state{phase: granting, told: s.told}
 	} else {
 		*s = state{phase: freeing, free: s.until, olderFree: s.older, told: s.told}
-		r.From = r.Owner
+		r.PrevOwner = r.Owner
 	}
 	if m.flaw == flawFence {
 		fence = r.Fence
 	}
-	r.Owner, r.Born, r.Fence = to.Name, to.Born, fence
+	r.Owner, r.Incarnation, r.Fence = to.Name, to.Incarnation, fence
 }
 
 // input is what the planner needs to know.
@@ -196,7 +196,7 @@
 		in.Owners[i] = r.Owner
 	}
 	for _, p := range m.peers {
-		s := place.Server{ID: p.Name, Weight: m.weight(p), Takes: p.takes(now), Ramp: 1}
+		s := place.Server{ID: p.Name, Weight: m.weight(p), Accepting: p.takes(now), Ramp: 1}
 		if p.Cold > 0 && now.Sub(p.listedAt) < p.Cold {
 			s.Ramp = coldRamp
 		}
@@ -206,7 +206,7 @@
 	if total := m.loads.total(now); total >= enough {
 		in.Loads = make([]float64, len(d.table.Rows))
 		for i, r := range d.table.Rows {
-			in.Loads[i] = m.loads.of(now, r.Span) + total*idleShare*float64(r.Len())/stripe.Keys
+			in.Loads[i] = m.loads.of(now, r.Span) + total*idleShare*float64(r.Len())/ranges.KeySpace
 		}
 		if now.Before(m.evenAt) && !m.hot(in) {
 			in.Band.Budget = 0
@@ -229,7 +229,7 @@
 		total += in.Loads[i]
 	}
 	for _, s := range in.Servers {
-		if s.Takes {
+		if s.Accepting {
 			capacity += s.Weight * s.Ramp
 		}
 	}
@@ -258,7 +258,7 @@
 
 // served says what changed in who serves what.
 func (m *Model) served() []loop.Cmd {
-	var changes []stripe.Served
+	var changes []ranges.Assignment
 	for i := range m.rows {
 		r, s := &m.table.Rows[i], &m.rows[i]
 		to := m.serves(r, s)
@@ -270,7 +270,7 @@
 			changes[n-1].Last = r.Last
 			continue
 		}
-		changes = append(changes, stripe.Served{Span: r.Span, Server: to})
+		changes = append(changes, ranges.Assignment{Span: r.Span, Server: to})
 	}
 	if len(changes) == 0 {
 		return nil
@@ -278,12 +278,12 @@
 	m.seq++
 	full := !m.told
 	m.told = true
-	return []loop.Cmd{ServedCmd{Epoch: m.auth.Epoch, Seq: m.seq, Full: full, Changes: changes}}
+	return []loop.Cmd{PublishCmd{Epoch: m.auth.Epoch, Seq: m.seq, Full: full, Changes: changes}}
 }
 
 // serves is who serves a row now: nobody while it is taken back or not given yet. A
 // row that a leader before gave out is taken to be served while it is renewed.
-func (m *Model) serves(r *stripe.Row, s *state) ident.Server {
+func (m *Model) serves(r *ranges.Row, s *state) ident.Server {
 	switch {
 	case s.phase == granted:
 		return r.Owner
--- a/internal/owner/deal/speed_test.go
+++ b/internal/owner/assign/speed_test.go
@@ -1,4 +1,4 @@
-package deal
+package assign
 
 import (
 	"math"
@@ -14,7 +14,7 @@
 	"hawthornfield.org/hawthornfield/internal/core/ident"
 	"hawthornfield.org/hawthornfield/internal/core/kinds"
 	"hawthornfield.org/hawthornfield/internal/core/loop"
-	"hawthornfield.org/hawthornfield/internal/owner/stripe"
+	"hawthornfield.org/hawthornfield/internal/owner/ranges"
 )
 
 // slotted is a backend server in a simulation: some slots, a queue, and a speed.
@@ -58,13 +58,13 @@
 	rng := rand.New(rand.NewPCG(1, 2))
 	now := time.Unix(1000, 0)
 	m := New()
-	tick := TickMsg{Authority: Authority{Epoch: 1, Until: now.Add(time.Hour), Bar: now}}
+	tick := TickMsg{Authority: Authority{Epoch: 1, Until: now.Add(time.Hour), OldTermEnd: now}}
 	servers := map[ident.Server]*slotted{}
-	var hosts []Host
+	var hosts []Server
 	for n := range 14 {
 		name := ident.Server("s" + strconv.Itoa(n))
 		servers[name] = &slotted{speed: []float64{0.5, 1, 1, 1.5}[n%4], free: make([]time.Time, slots)}
-		hosts = append(hosts, Host{Name: name, Addr: netip.MustParseAddrPort("10.0.0.1:80"), Born: 1, Slots: slots})
+		hosts = append(hosts, Server{Name: name, Addr: netip.MustParseAddrPort("10.0.0.1:80"), Incarnation: 1, Slots: slots})
 	}
 	var run func(cmds []loop.Cmd)
 	tell := func(msg loop.Msg) { _, cmds := m.Update(now, msg); run(cmds) }
@@ -72,30 +72,30 @@
 		for _, c := range cmds {
 			switch c := c.(type) {
 			case WriteCmd:
-				tell(WroteMsg{Version: 1})
+				tell(WriteResultMsg{Version: 1})
 			case OrderCmd:
-				var done []Done
+				var done []OrderResult
 				for _, o := range c.Orders {
-					done = append(done, Done{Order: o, Sent: now})
+					done = append(done, OrderResult{Order: o, Sent: now})
 				}
-				tell(OrderedMsg{Server: c.Server, Born: c.Born, Done: done})
+				tell(OrderResultMsg{Server: c.Server, Incarnation: c.Incarnation, Results: done})
 			}
 		}
 	}
 	tell(tick)
-	tell(ReadMsg{Kind: kinds.Absent})
-	tell(HostsMsg{Hosts: hosts})
+	tell(ReadResultMsg{Kind: kinds.NotFound})
+	tell(ServersMsg{Servers: hosts})
 
 	type seen struct{ asked, late int }
 	const day = 40 * time.Second
 	halves := [2]seen{}
-	load := LoadMsg{Cells: map[uint16]uint32{}, Servers: map[ident.Server]Sum{}}
+	load := LoadMsg{Cells: map[uint16]uint32{}, Servers: map[ident.Server]LatencySum{}}
 	begin, next, told := now, now.Add(3*time.Second), now
 	for ; now.Before(begin.Add(day)); now = now.Add(10 * time.Millisecond) {
 		tell(tick)
 		for ; next.Before(now); next = next.Add(time.Duration(rng.ExpFloat64() / rate * float64(time.Second))) {
-			key := uint16(rng.UintN(stripe.Keys))
-			load.Cells[key/stripe.Cell]++
+			key := uint16(rng.UintN(ranges.KeySpace))
+			load.Cells[key/ranges.CellWidth]++
 			s := servers[m.table.Rows[m.table.Find(key)].Owner]
 			if s == nil {
 				continue
@@ -112,12 +112,12 @@
 			}
 			name := m.table.Rows[m.table.Find(key)].Owner
 			sum := load.Servers[name]
-			load.Servers[name] = Sum{N: sum.N + 1, Took: sum.Took + Work(end.Sub(next), max(running, 1), waiting)}
+			load.Servers[name] = LatencySum{N: sum.N + 1, Total: sum.Total + EstimateWork(end.Sub(next), max(running, 1), waiting)}
 		}
 		if now.Sub(told) >= 300*time.Millisecond {
 			told = now
 			tell(load)
-			load = LoadMsg{Cells: map[uint16]uint32{}, Servers: map[ident.Server]Sum{}}
+			load = LoadMsg{Cells: map[uint16]uint32{}, Servers: map[ident.Server]LatencySum{}}
 		}
 	}
 	share := float64(halves[1].late) / float64(halves[1].asked)
--- a/internal/owner/deal/strain_test.go
+++ b/internal/owner/assign/strain_test.go
@@ -1,4 +1,4 @@
-package deal
+package assign
 
 import (
 	"net/netip"
@@ -27,11 +27,11 @@
 func TestAWeakLeaderGivesLongerGrants(t *testing.T) {
 	now := time.Unix(1000, 0)
 	m := New()
-	auth := Authority{Epoch: 1, Until: now.Add(time.Hour), Bar: now}
+	auth := Authority{Epoch: 1, Until: now.Add(time.Hour), OldTermEnd: now}
 	tell := func(msg loop.Msg) []loop.Cmd { _, cmds := m.Update(now, msg); return cmds }
 	tell(TickMsg{Authority: auth})
-	tell(ReadMsg{Kind: kinds.Absent})
-	tell(HostsMsg{Hosts: []Host{{Name: "s1", Addr: netip.MustParseAddrPort("10.0.0.1:80"), Born: 1, Slots: 4}}})
+	tell(ReadResultMsg{Kind: kinds.NotFound})
+	tell(ServersMsg{Servers: []Server{{Name: "s1", Addr: netip.MustParseAddrPort("10.0.0.1:80"), Incarnation: 1, Slots: 4}}})
 
 	// round passes time until grants go out, and answers them after they waited.
 	round := func(waited time.Duration) (hold, since time.Duration) {
@@ -39,7 +39,7 @@
 			cmds := tell(TickMsg{Authority: auth})
 			for _, c := range cmds {
 				if _, ok := c.(WriteCmd); ok {
-					cmds = append(cmds, tell(WroteMsg{Version: 1})...)
+					cmds = append(cmds, tell(WriteResultMsg{Version: 1})...)
 				}
 			}
 			o, ok := grantsIn(cmds)
@@ -47,12 +47,12 @@
 				assert.Assert(t, now.Sub(began) < time.Minute, "no grants")
 				continue
 			}
-			var done []Done
+			var done []OrderResult
 			for _, one := range o.Orders {
-				done = append(done, Done{Order: one, Sent: now, Waited: waited / time.Duration(len(o.Orders))})
+				done = append(done, OrderResult{Order: one, Sent: now, Waited: waited / time.Duration(len(o.Orders))})
 			}
-			tell(OrderedMsg{Server: o.Server, Born: o.Born, Done: done})
-			return o.Orders[0].Hold, now.Sub(began)
+			tell(OrderResultMsg{Server: o.Server, Incarnation: o.Incarnation, Results: done})
+			return o.Orders[0].TTL, now.Sub(began)
 		}
 	}
 	round(0)
--- a/internal/owner/deal/world_test.go
+++ b/internal/owner/assign/world_test.go
@@ -1,4 +1,4 @@
-package deal
+package assign
 
 import (
 	"cmp"
@@ -13,8 +13,8 @@
 	"hawthornfield.org/hawthornfield/internal/core/ident"
 	"hawthornfield.org/hawthornfield/internal/core/kinds"
 	"hawthornfield.org/hawthornfield/internal/core/loop"
-	"hawthornfield.org/hawthornfield/internal/owner/lead"
-	"hawthornfield.org/hawthornfield/internal/owner/stripe"
+	"hawthornfield.org/hawthornfield/internal/owner/elect"
+	"hawthornfield.org/hawthornfield/internal/owner/ranges"
 	"hawthornfield.org/hawthornfield/internal/plat/object"
 )
 
@@ -54,7 +54,7 @@
 }
 
 const (
-	wide  = stripe.Keys / rowsHere
+	wide  = ranges.KeySpace / rowsHere
 	delay = time.Millisecond
 	// rowsHere keeps histories short; the module does not care.
 	rowsHere = 16
@@ -125,11 +125,11 @@
 func (w *world) lead() *leader {
 	w.epoch++
 	epoch := w.epoch
-	l := &leader{w: w, model: New(WithMost(w.most)), alive: true, cut: map[ident.Server]bool{}}
+	l := &leader{w: w, model: New(WithMaxGrant(w.most)), alive: true, cut: map[ident.Server]bool{}}
 	l.model.flaw = w.flaw
-	l.auth = Authority{Epoch: epoch, Until: w.now.Add(lead.Term), Bar: w.now}
+	l.auth = Authority{Epoch: epoch, Until: w.now.Add(elect.Term), OldTermEnd: w.now}
 	if epoch > 1 {
-		l.auth.Bar = w.now.Add(lead.Term + lead.Margin)
+		l.auth.OldTermEnd = w.now.Add(elect.Term + elect.Margin)
 	}
 	w.leaders = append(w.leaders, l)
 	w.note("all rows: VM %d leads", epoch)
@@ -142,9 +142,9 @@
 // leader before it, so its first epoch is lower than the table's and its bar is no word
 // about the one before, which goes on until the end of its term.
 func (w *world) leadUnaware() {
-	l := &leader{w: w, model: New(WithMost(w.most)), alive: true, cut: map[ident.Server]bool{}, behind: true}
+	l := &leader{w: w, model: New(WithMaxGrant(w.most)), alive: true, cut: map[ident.Server]bool{}, behind: true}
 	l.model.flaw = w.flaw
-	l.auth = Authority{Epoch: 1, Until: w.now.Add(lead.Term), Bar: w.now.Add(lead.Margin)}
+	l.auth = Authority{Epoch: 1, Until: w.now.Add(elect.Term), OldTermEnd: w.now.Add(elect.Margin)}
 	w.leaders = append(w.leaders, l)
 	w.note("all rows: a VM leads that knows of none before")
 	l.hosts()
@@ -160,7 +160,7 @@
 	}
 	w.epoch = max(w.epoch, epoch) + 1
 	w.note("all rows: VM %d leads as %d", l.auth.Epoch, w.epoch)
-	l.auth.Epoch, l.auth.Bar = w.epoch, w.now.Add(lead.Term+lead.Margin)
+	l.auth.Epoch, l.auth.OldTermEnd = w.epoch, w.now.Add(elect.Term+elect.Margin)
 }
 
 func (l *leader) newest() bool { return l.w.leaders[len(l.w.leaders)-1] == l }
@@ -171,9 +171,9 @@
 	}
 	w := l.w
 	if l.newest() && w.storeOK && !l.isFrozen() {
-		l.auth.Until = w.now.Add(lead.Term)
+		l.auth.Until = w.now.Add(elect.Term)
 	}
-	l.auth.Long = !w.storeOK
+	l.auth.LongGrants = !w.storeOK
 	l.tell(TickMsg{l.auth})
 	w.after(50*time.Millisecond, l.tick)
 }
@@ -181,13 +181,13 @@
 func (l *leader) isFrozen() bool { return l.w.now.Before(l.frozen) }
 
 func (l *leader) hosts() {
-	var all []Host
+	var all []Server
 	for _, s := range l.w.servers {
 		if s.listed {
-			all = append(all, Host{Name: s.name, Addr: netip.AddrPort{}, Born: s.born, Slots: 4, Leaving: s.leaves})
+			all = append(all, Server{Name: s.name, Addr: netip.AddrPort{}, Incarnation: s.born, Slots: 4, Leaving: s.leaves})
 		}
 	}
-	l.tell(HostsMsg{all})
+	l.tell(ServersMsg{all})
 }
 
 // tell hands a message over; one that meets a frozen VM waits for it.
@@ -212,29 +212,29 @@
 		w.after(2*delay, func() { l.tell(w.read()) })
 	case WriteCmd:
 		w.after(2*delay, func() { l.write(cmd) })
-	case BehindCmd:
+	case StaleEpochCmd:
 		w.after(2*delay, func() { l.raise(cmd.Epoch) })
 	case OrderCmd:
 		w.after(delay, func() { l.order(cmd, nil) })
 	}
 }
 
-func (w *world) read() ReadMsg {
+func (w *world) read() ReadResultMsg {
 	switch {
 	case !w.storeOK:
-		return ReadMsg{Kind: kinds.Down}
+		return ReadResultMsg{Kind: kinds.Unavailable}
 	case w.version == 0:
-		t := stripe.Table{}
+		t := ranges.Table{}
 		for i := range rowsHere {
-			t.Rows = append(t.Rows, stripe.Row{Span: stripe.Span{First: uint16(i * wide), Last: uint16(i*wide + wide - 1)}})
+			t.Rows = append(t.Rows, ranges.Row{Span: ranges.Span{First: uint16(i * wide), Last: uint16(i*wide + wide - 1)}})
 		}
-		return ReadMsg{Table: t, Version: 0}
+		return ReadResultMsg{Table: t, Version: 0}
 	}
-	t, err := stripe.Decode(w.table)
+	t, err := ranges.Decode(w.table)
 	if err != nil {
 		w.t.Fatal(err)
 	}
-	return ReadMsg{Table: t, Version: w.version}
+	return ReadResultMsg{Table: t, Version: w.version}
 }
 
 // write updates the table. Its answer may be lost, and it may be done seconds later.
@@ -250,24 +250,24 @@
 		}
 		w.table, w.version = b, w.version+1
 		for i, r := range cmd.Table.Rows {
-			w.note("row %d agreed by %d as of %d: %s fence %d from %q", i, l.auth.Epoch, w.version, r.Owner, r.Fence, r.From)
+			w.note("row %d agreed by %d as of %d: %s fence %d from %q", i, l.auth.Epoch, w.version, r.Owner, r.Fence, r.PrevOwner)
 		}
 		return kinds.None
 	}
 	fate := w.fate(19, "write")
 	switch {
 	case !w.storeOK:
-		l.tell(WroteMsg{Kind: kinds.Down})
+		l.tell(WriteResultMsg{Kind: kinds.Unavailable})
 	case fate == 0 || w.loseWrite:
 		w.loseWrite = false
 		put()
-		l.tell(WroteMsg{Kind: kinds.Ambiguous})
+		l.tell(WriteResultMsg{Kind: kinds.Ambiguous})
 	case fate == 1:
 		w.after(time.Duration(rapid.IntRange(1, 5).Draw(w.t, "late"))*time.Second, func() { put() })
-		l.tell(WroteMsg{Kind: kinds.Ambiguous})
+		l.tell(WriteResultMsg{Kind: kinds.Ambiguous})
 	default:
 		k := put()
-		l.tell(WroteMsg{Version: w.version, Kind: k})
+		l.tell(WriteResultMsg{Version: w.version, Kind: k})
 	}
 }
 
@@ -300,7 +300,7 @@
 }
 
 // order sends the orders of a command: releases at once, grants one by one.
-func (l *leader) order(cmd OrderCmd, done []Done) {
+func (l *leader) order(cmd OrderCmd, done []OrderResult) {
 	w := l.w
 	if !l.alive {
 		return
@@ -310,15 +310,15 @@
 		return
 	}
 	if len(done) == len(cmd.Orders) || !w.now.Before(cmd.Until) {
-		l.tell(OrderedMsg{Server: cmd.Server, Born: cmd.Born, Done: done})
+		l.tell(OrderResultMsg{Server: cmd.Server, Incarnation: cmd.Incarnation, Results: done})
 		return
 	}
 	o := cmd.Orders[len(done)]
 	sent := w.now
 	w.send(l, cmd.Server, o, func(k kinds.Kind, token string) {
-		done = append(done, Done{Order: o, Sent: sent, Kind: k, Given: token})
+		done = append(done, OrderResult{Order: o, Sent: sent, Kind: k, Token: token})
 		if !o.Release && k != kinds.None && k != kinds.Fenced {
-			l.tell(OrderedMsg{Server: cmd.Server, Born: cmd.Born, Done: done})
+			l.tell(OrderResultMsg{Server: cmd.Server, Incarnation: cmd.Incarnation, Results: done})
 			return
 		}
 		l.order(cmd, done)
@@ -343,7 +343,7 @@
 	fate := w.fate(39, "order")
 	switch {
 	case !s.up && !s.silent:
-		w.after(delay, func() { answer(kinds.Down, "") })
+		w.after(delay, func() { answer(kinds.Unavailable, "") })
 	case !s.up, s.silent, l.cut[name]:
 		lost()
 	case fate == 0:
@@ -373,10 +373,10 @@
 // obey does what an order says, as of its arrival, and returns when it answers.
 func (s *backend) obey(w *world, o Order, arrived time.Time) (kinds.Kind, time.Time) {
 	first, last := int(o.First)/wide, int(o.Last)/wide
-	if w.most > 0 && o.Hold > w.most {
+	if w.most > 0 && o.TTL > w.most {
 		return kinds.Malformed, w.now
 	}
-	w.note("row %d at %s: release %v fence %d hold %v, arrived %v ago, seen %d", first, s.name, o.Release, o.Fence, o.Hold, w.now.Sub(arrived), s.seen[first])
+	w.note("row %d at %s: release %v fence %d hold %v, arrived %v ago, seen %d", first, s.name, o.Release, o.Fence, o.TTL, w.now.Sub(arrived), s.seen[first])
 	ends := w.now
 	for i := first; i <= last; i++ {
 		if !o.Release && s.seen[i] > o.Fence {
@@ -393,7 +393,7 @@
 			continue
 		}
 		s.fence[i] = o.Fence
-		s.until[i] = arrived.Add(o.Hold + o.Hold*20/1000)
+		s.until[i] = arrived.Add(o.TTL + o.TTL*20/1000)
 		w.judge(s, i)
 	}
 	return kinds.None, ends
--- a/internal/owner/commit/commit.go
+++ b/internal/owner/commit/commit.go
@@ -31,7 +31,7 @@
 	"hawthornfield.org/hawthornfield/internal/core/ident"
 	"hawthornfield.org/hawthornfield/internal/core/kinds"
 	"hawthornfield.org/hawthornfield/internal/core/loop"
-	"hawthornfield.org/hawthornfield/internal/owner/seat"
+	"hawthornfield.org/hawthornfield/internal/owner/lessor"
 	"hawthornfield.org/hawthornfield/internal/owner/table"
 	"hawthornfield.org/hawthornfield/internal/plat/object"
 )
@@ -60,7 +60,7 @@
 
 // item is an edit and when it came.
 type item struct {
-	cmd seat.PutTableCmd
+	cmd lessor.PutTableCmd
 	at  time.Time
 
 	// Where it came from, if not from a seat here: hub.go.
@@ -100,7 +100,7 @@
 // New makes the writer of cfg.
 func New(cfg Config) Writer {
 	if cfg.Rebase == nil {
-		cfg.Rebase = table.Table.Edited
+		cfg.Rebase = table.Table.WithEdit
 	}
 	return Writer{cfg: cfg}
 }
@@ -131,13 +131,13 @@
 	switch m := msg.(type) {
 	case EditMsg:
 		t.onEdit(m)
-	case NewsMsg:
+	case TableMsg:
 		t.learn(m.Table, m.Version)
-	case ReadMsg:
+	case ReadResultMsg:
 		t.onRead(m)
-	case WroteMsg:
+	case WriteResultMsg:
 		t.onWrote(m)
-	case HubsMsg:
+	case CoordinatorsMsg:
 		t.hubs = m.VMs
 	case SuspectMsg:
 		t.leaveAlone(m.VM)
@@ -177,7 +177,7 @@
 	}
 }
 
-func (t *turn) onRead(m ReadMsg) {
+func (t *turn) onRead(m ReadResultMsg) {
 	if !t.busy || m.Cmd.Call != t.call {
 		return
 	}
@@ -186,14 +186,14 @@
 		t.learn(m.Table, m.Version)
 		return
 	}
-	t.giveBack(kinds.Down) // nothing was sent
+	t.giveBack(kinds.Unavailable) // nothing was sent
 	for _, d := range t.done {
 		t.answer(d.item, kinds.Ambiguous) // the seat reads the table for itself
 	}
 	t.done = nil
 }
 
-func (t *turn) onWrote(m WroteMsg) {
+func (t *turn) onWrote(m WriteResultMsg) {
 	if !t.busy || m.Cmd.Call != t.call || len(t.sent) == 0 {
 		return
 	}
@@ -201,7 +201,7 @@
 	sent := t.sent
 	t.sent = nil
 	switch {
-	case m.Late:
+	case m.Expired:
 		t.wait = slices.Concat(sent, t.wait)
 	case m.Kind == kinds.None:
 		t.clashes = 0
@@ -217,7 +217,7 @@
 		t.crowd = t.now.Add(crowdTime)
 		t.clash()
 	default:
-		if m.Kind != kinds.Down {
+		if m.Kind != kinds.Unavailable {
 			t.ver = 0
 		}
 		for _, e := range sent {
@@ -232,10 +232,10 @@
 		return
 	}
 	if len(t.sent) > 0 {
-		t.onWrote(WroteMsg{Cmd: WriteCmd{Call: t.call}, Kind: kinds.Ambiguous})
+		t.onWrote(WriteResultMsg{Cmd: WriteCmd{Call: t.call}, Kind: kinds.Ambiguous})
 		return
 	}
-	t.onRead(ReadMsg{Cmd: ReadCmd{Call: t.call}, Kind: kinds.Down})
+	t.onRead(ReadResultMsg{Cmd: ReadCmd{Call: t.call}, Kind: kinds.Unavailable})
 }
 
 // clash waits before the next try. The scatter comes from a hash of the name
@@ -292,7 +292,7 @@
 	next, until := t.tab, time.Time{}
 	for _, e := range t.wait {
 		if !e.cmd.Valid(t.now) {
-			t.answer(e, kinds.Down) // its authority has ended: rule 9
+			t.answer(e, kinds.Unavailable) // its authority has ended: rule 9
 			continue
 		}
 		tab, err := t.cfg.Rebase(next, e.cmd.Edit)
@@ -311,7 +311,7 @@
 		return
 	}
 	t.begin()
-	t.do(WriteCmd{Guard: seat.Guard{Until: until}, Call: t.call, Table: next, Old: t.ver, Edits: len(t.sent)})
+	t.do(WriteCmd{Guard: lessor.Guard{Until: until}, Call: t.call, Table: next, Old: t.ver, Edits: len(t.sent)})
 }
 
 func (t *turn) begin() {
@@ -327,7 +327,7 @@
 		return
 	}
 	e.cmd.Table = tab
-	t.do(AnswerCmd{Server: e.cmd.Edit.Server, Msg: seat.TablePutMsg{Cmd: e.cmd, Version: ver, Rev: rev}})
+	t.do(AnswerCmd{Server: e.cmd.Edit.Server, Msg: lessor.TablePutMsg{Cmd: e.cmd, Version: ver, Rev: rev}})
 }
 
 func (t *turn) answer(e item, k kinds.Kind) {
@@ -335,12 +335,12 @@
 		t.tellBack(e, false, 0)
 		return
 	}
-	t.do(AnswerCmd{Server: e.cmd.Edit.Server, Msg: seat.TablePutMsg{Cmd: e.cmd, Kind: k}})
+	t.do(AnswerCmd{Server: e.cmd.Edit.Server, Msg: lessor.TablePutMsg{Cmd: e.cmd, Kind: k}})
 }
 
 func (t *turn) tellBack(e item, done bool, rev ident.Revision) {
 	m := ForwardedMsg{Born: e.born, ID: e.id, Done: done, Rev: rev}
-	t.do(SendCmd{Guard: seat.Guard{Until: t.now.Add(t.cfg.Store)}, To: e.from, Msg: m})
+	t.do(SendCmd{Guard: lessor.Guard{Until: t.now.Add(t.cfg.Store)}, To: e.from, Msg: m})
 }
 
 func (t *turn) giveBack(k kinds.Kind) {
--- a/internal/owner/commit/commit_test.go
+++ b/internal/owner/commit/commit_test.go
@@ -10,7 +10,7 @@
 	"hawthornfield.org/hawthornfield/internal/core/ident"
 	"hawthornfield.org/hawthornfield/internal/core/kinds"
 	"hawthornfield.org/hawthornfield/internal/core/loop"
-	"hawthornfield.org/hawthornfield/internal/owner/seat"
+	"hawthornfield.org/hawthornfield/internal/owner/lessor"
 	"hawthornfield.org/hawthornfield/internal/owner/table"
 	"hawthornfield.org/hawthornfield/internal/plat/object"
 )
@@ -38,16 +38,16 @@
 	tab, err := table.New("lookup", 8, "a", "b", "c", "d")
 	assert.NilError(t, err)
 	for x := range ident.Slice(8) {
-		tab, err = tab.Assigned(table.Move{Slice: x, To: ident.Server(rune('a' + x/2))})
+		tab, err = tab.WithAssigned(table.Move{Slice: x, To: ident.Server(rune('a' + x/2))})
 		assert.NilError(t, err)
 	}
 	for _, s := range []ident.Server{"a", "b", "c", "d"} {
-		tab, err = tab.Barred(s, 1)
+		tab, err = tab.WithMinEpoch(s, 1)
 		assert.NilError(t, err)
 	}
 	d := &desk{t: t, now: time.Unix(1000, 0), told: map[ident.Server]kinds.Kind{}, tab: tab, ver: 7}
 	d.w = New(Config{Self: "vm-1", Service: "lookup", Store: storeTime})
-	d.send(NewsMsg{Table: tab, Version: d.ver})
+	d.send(TableMsg{Table: tab, Version: d.ver})
 	return d
 }
 
@@ -93,7 +93,7 @@
 		assert.Equal(d.t, c.Old, d.ver)
 		d.tab, d.ver = c.Table, d.ver+1
 	}
-	d.send(WroteMsg{Cmd: c, Version: d.ver, Kind: k})
+	d.send(WriteResultMsg{Cmd: c, Version: d.ver, Kind: k})
 }
 
 // another VM writes the table first.
@@ -111,7 +111,7 @@
 	assert.Assert(d.t, d.read != nil, "the table was not read again")
 	c := *d.read
 	d.read = nil
-	d.send(ReadMsg{Cmd: c, Table: d.tab, Version: d.ver})
+	d.send(ReadResultMsg{Cmd: c, Table: d.tab, Version: d.ver})
 }
 
 // edit asks for a move of a slice, as the seat of its server saw the table now.
@@ -122,9 +122,9 @@
 func (d *desk) editUntil(from ident.Server, x ident.Slice, to ident.Server, until time.Time) {
 	row, _ := d.tab.Row(from)
 	e := table.Edit{Server: from, Epoch: 1, Rev: row.Rev, Moves: []table.Move{{Slice: x, To: to}}}
-	next, err := d.tab.Edited(e)
+	next, err := d.tab.WithEdit(e)
 	assert.NilError(d.t, err)
-	d.send(EditMsg{Cmd: seat.PutTableCmd{Guard: seat.Guard{Until: until}, Table: next, Old: d.ver, Edit: e}})
+	d.send(EditMsg{Cmd: lessor.PutTableCmd{Guard: lessor.Guard{Until: until}, Table: next, Old: d.ver, Edit: e}})
 }
 
 func (d *desk) knows(want map[ident.Server]kinds.Kind) {
@@ -160,7 +160,7 @@
 	d.edit("d", 6, "c")
 	d.edit("a", 0, "d")
 	d.edit("b", 2, "d")
-	d.other(d.tab.Barred("a", 2))
+	d.other(d.tab.WithMinEpoch("a", 2))
 	d.answer(kinds.Conflict)
 	d.reread()
 	assert.Equal(t, d.write.Edits, 2)
@@ -177,8 +177,8 @@
 	d := newDesk(t)
 	d.edit("d", 6, "c") // keeps the writer busy
 	d.edit("a", 0, "b")
-	d.other(d.tab.Moved("a", 1, table.Move{Slice: 0, To: "b"}))
-	d.other(d.tab.Moved("b", 1, table.Move{Slice: 0, To: "a"}))
+	d.other(d.tab.WithMoves("a", 1, table.Move{Slice: 0, To: "b"}))
+	d.other(d.tab.WithMoves("b", 1, table.Move{Slice: 0, To: "a"}))
 	d.answer(kinds.Conflict)
 	d.reread()
 	d.answer(kinds.None)
@@ -190,7 +190,7 @@
 // have taken effect; one that heard "no" would give its server the key again.
 // Trying again here would hide from the seat that there is a doubt.
 func TestADoubtIsEverySeatsDoubt(t *testing.T) {
-	for _, k := range []kinds.Kind{kinds.Ambiguous, kinds.Down} {
+	for _, k := range []kinds.Kind{kinds.Ambiguous, kinds.Unavailable} {
 		t.Run(fmt.Sprint(k), func(t *testing.T) {
 			d := newDesk(t)
 			d.edit("a", 0, "d")
@@ -215,12 +215,12 @@
 	late := d.take()
 	d.after(2 * storeTime)
 	d.knows(map[ident.Server]kinds.Kind{"a": kinds.Ambiguous})
-	d.send(WroteMsg{Cmd: late, Version: 8})
+	d.send(WriteResultMsg{Cmd: late, Version: 8})
 	assert.Equal(t, d.count, 1, "a seat was answered twice")
 	d.edit("b", 2, "d")
 	assert.Assert(t, d.read != nil)
 	d.after(2 * storeTime)
-	assert.Equal(t, d.told["b"], kinds.Down, "nothing of it was sent")
+	assert.Equal(t, d.told["b"], kinds.Unavailable, "nothing of it was sent")
 }
 
 // The VM is paused between joining edits and sending them, for longer than one
@@ -236,8 +236,8 @@
 	assert.Equal(t, c.Edits, 2)
 	assert.Equal(t, c.Until, d.now.Add(50*time.Millisecond), "the guard must be the earliest of all")
 	d.now = d.now.Add(60 * time.Millisecond)
-	d.send(WroteMsg{Cmd: c, Kind: kinds.Down, Late: true})
-	assert.Equal(t, d.told["a"], kinds.Down)
+	d.send(WriteResultMsg{Cmd: c, Kind: kinds.Unavailable, Expired: true})
+	assert.Equal(t, d.told["a"], kinds.Unavailable)
 	assert.Equal(t, d.write.Edits, 1)
 	d.answer(kinds.None)
 	assert.Equal(t, d.told["b"], kinds.None)
@@ -274,8 +274,8 @@
 // older one would only come second.
 func TestATableFromAPeerIsReadBeforeTheNextWrite(t *testing.T) {
 	d := newDesk(t)
-	d.other(d.tab.Moved("c", 1, table.Move{Slice: 4, To: "d"}))
-	d.send(NewsMsg{Table: d.tab})
+	d.other(d.tab.WithMoves("c", 1, table.Move{Slice: 4, To: "d"}))
+	d.send(TableMsg{Table: d.tab})
 	d.edit("a", 0, "d")
 	assert.Assert(t, d.write == nil)
 	d.reread()
@@ -308,7 +308,7 @@
 func TestATimerThatFiresEarlyIsSetAnew(t *testing.T) {
 	d := newDesk(t)
 	d.edit("a", 0, "d")
-	d.other(d.tab.Barred("b", 2))
+	d.other(d.tab.WithMinEpoch("b", 2))
 	d.answer(kinds.Conflict)
 	due := d.wake
 	if !due.After(d.now) {
--- a/internal/owner/commit/hub.go
+++ b/internal/owner/commit/hub.go
@@ -6,7 +6,7 @@
 
 	"hawthornfield.org/hawthornfield/internal/core/ident"
 	"hawthornfield.org/hawthornfield/internal/core/kinds"
-	"hawthornfield.org/hawthornfield/internal/owner/seat"
+	"hawthornfield.org/hawthornfield/internal/owner/lessor"
 )
 
 // A fleet of 520 VMs has one or two seats of a service on each, so there is
@@ -85,7 +85,7 @@
 		case e.from != "" || len(e.cmd.Edit.Moves) > maxForward:
 			kept = append(kept, e)
 		case !e.cmd.Valid(t.now):
-			t.answer(e, kinds.Down)
+			t.answer(e, kinds.Unavailable)
 		default:
 			t.seq++
 			t.away = append(t.away, away{e, hub, t.seq, t.now.Add(hubWait)})
@@ -99,7 +99,7 @@
 // of our own, by this VM's clock.
 func (t *turn) onForward(m ForwardMsg) {
 	e := item{at: t.now, from: m.From, born: m.Born, id: m.ID}
-	e.cmd = seat.PutTableCmd{Guard: seat.Guard{Until: t.now.Add(2 * t.cfg.Store)}, Edit: m.Edit}
+	e.cmd = lessor.PutTableCmd{Guard: lessor.Guard{Until: t.now.Add(2 * t.cfg.Store)}, Edit: m.Edit}
 	if len(t.wait) >= maxWait {
 		t.answer(e, kinds.Conflict)
 		return
--- a/internal/owner/commit/hub_test.go
+++ b/internal/owner/commit/hub_test.go
@@ -8,17 +8,17 @@
 
 	"hawthornfield.org/hawthornfield/internal/core/ident"
 	"hawthornfield.org/hawthornfield/internal/core/kinds"
-	"hawthornfield.org/hawthornfield/internal/owner/seat"
+	"hawthornfield.org/hawthornfield/internal/owner/lessor"
 	"hawthornfield.org/hawthornfield/internal/owner/table"
 )
 
 // crowded makes a writer whose write came second, with vm-8 and vm-9 as hubs.
 func crowded(t *testing.T) *desk {
 	d := newDesk(t)
-	d.send(HubsMsg{VMs: []ident.VM{"vm-8", "vm-9"}})
+	d.send(CoordinatorsMsg{VMs: []ident.VM{"vm-8", "vm-9"}})
 	d.edit("a", 0, "d")
 	assert.Assert(t, d.write != nil && len(d.sent) == 0, "alone, a VM writes for itself")
-	d.other(d.tab.Barred("b", 1))
+	d.other(d.tab.WithMinEpoch("b", 1))
 	d.answer(kinds.Conflict)
 	return d
 }
@@ -42,16 +42,16 @@
 func TestAWriterThatComesSecondAsksTheHub(t *testing.T) {
 	d := crowded(t)
 	m := d.forwarded("vm-8")
-	d.other(d.tab.Edited(m.Edit))
+	d.other(d.tab.WithEdit(m.Edit))
 	d.reply(m, "vm-8", true, d.tab.Rev)
 	assert.Equal(t, d.count, 0, "the seat must see the table that has its edit")
 	d.reread()
 	d.knows(map[ident.Server]kinds.Kind{"a": kinds.None})
 	d.edit("b", 2, "d")
 	m = d.forwarded("vm-8")
-	d.other(d.tab.Edited(m.Edit))
+	d.other(d.tab.WithEdit(m.Edit))
 	d.reply(m, "vm-8", true, d.tab.Rev)
-	d.send(NewsMsg{Table: d.tab}) // a peer was faster than the read
+	d.send(TableMsg{Table: d.tab}) // a peer was faster than the read
 	d.knows(map[ident.Server]kinds.Kind{"a": kinds.None, "b": kinds.None})
 	d.now = d.now.Add(2 * crowdTime)
 	d.edit("c", 4, "d")
@@ -95,10 +95,10 @@
 // Nobody should wait for an answer that will not come.
 func TestASuspectedHubIsNotAsked(t *testing.T) {
 	d := newDesk(t)
-	d.send(HubsMsg{VMs: []ident.VM{"vm-8", "vm-9"}})
+	d.send(CoordinatorsMsg{VMs: []ident.VM{"vm-8", "vm-9"}})
 	d.send(SuspectMsg{VM: "vm-8"})
 	d.edit("a", 0, "d")
-	d.other(d.tab.Barred("b", 1))
+	d.other(d.tab.WithMinEpoch("b", 1))
 	d.answer(kinds.Conflict)
 	d.forwarded("vm-9")
 	d.now = d.now.Add(hubSkip)
@@ -113,14 +113,14 @@
 	d := crowded(t)
 	m := d.forwarded("vm-8")
 	d.reply(m, "vm-8", true, d.tab.Rev+1)
-	d.send(ReadMsg{Cmd: *d.read, Kind: kinds.Down})
+	d.send(ReadResultMsg{Cmd: *d.read, Kind: kinds.Unavailable})
 	d.knows(map[ident.Server]kinds.Kind{"a": kinds.Ambiguous})
 }
 
 // theHub makes a writer that is the hub, with a write of its own under way.
 func theHub(t *testing.T) *desk {
 	d := newDesk(t)
-	d.send(HubsMsg{VMs: []ident.VM{"vm-1"}})
+	d.send(CoordinatorsMsg{VMs: []ident.VM{"vm-1"}})
 	d.edit("d", 6, "c")
 	return d
 }
@@ -148,7 +148,7 @@
 	d.ask("vm-2", 1, "a", 0)
 	d.ask("vm-3", 7, "b", 2)
 	d.ask("vm-4", 1, "c", 4)
-	d.other(d.tab.Barred("c", 2)) // another VM took c's seat over
+	d.other(d.tab.WithMinEpoch("c", 2)) // another VM took c's seat over
 	d.answer(kinds.Conflict)
 	assert.Assert(t, d.read != nil, "the hub tries again at once")
 	d.reread()
@@ -180,9 +180,9 @@
 	d.forwarded("vm-8")
 	row, _ := d.tab.Row("b")
 	big := table.Edit{Server: "b", Epoch: 1, Rev: row.Rev, Moves: make([]table.Move, maxForward+1)}
-	d.send(EditMsg{Cmd: seat.PutTableCmd{Guard: seat.Guard{Until: d.now.Add(time.Hour)}, Edit: big}})
+	d.send(EditMsg{Cmd: lessor.PutTableCmd{Guard: lessor.Guard{Until: d.now.Add(time.Hour)}, Edit: big}})
 	d.editUntil("c", 4, "d", d.now)
 	assert.Equal(t, len(d.sent), 0)
-	assert.Equal(t, d.told["c"], kinds.Down)
+	assert.Equal(t, d.told["c"], kinds.Unavailable)
 	assert.Equal(t, len(d.w.wait)+len(d.w.sent), 1, "the large edit must wait for a write here")
 }
--- a/internal/owner/commit/msg.go
+++ b/internal/owner/commit/msg.go
@@ -6,7 +6,7 @@
 	"hawthornfield.org/hawthornfield/internal/core/ident"
 	"hawthornfield.org/hawthornfield/internal/core/kinds"
 	"hawthornfield.org/hawthornfield/internal/core/loop"
-	"hawthornfield.org/hawthornfield/internal/owner/seat"
+	"hawthornfield.org/hawthornfield/internal/owner/lessor"
 	"hawthornfield.org/hawthornfield/internal/owner/table"
 	"hawthornfield.org/hawthornfield/internal/plat/object"
 )
@@ -14,37 +14,37 @@
 // Messages to a writer.
 type (
 	// EditMsg is a seat's write of the table. It is answered by one AnswerCmd.
-	EditMsg struct{ Cmd seat.PutTableCmd }
+	EditMsg struct{ Cmd lessor.PutTableCmd }
 
-	// NewsMsg brings a table that was seen. Version is zero where the sender does
+	// TableMsg brings a table that was seen. Version is zero where the sender does
 	// not know the object's version.
-	NewsMsg struct {
+	TableMsg struct {
 		Table   table.Table
 		Version object.Version
 	}
 
-	// ReadMsg answers ReadCmd. Kind is None or Down.
-	ReadMsg struct {
+	// ReadResultMsg answers ReadCmd. Kind is None or Down.
+	ReadResultMsg struct {
 		Cmd     ReadCmd
 		Table   table.Table
 		Version object.Version
 		Kind    kinds.Kind
 	}
 
-	// WroteMsg answers WriteCmd. Kind is None, Conflict, Ambiguous or Down, as in
+	// WriteResultMsg answers WriteCmd. Kind is None, Conflict, Ambiguous or Down, as in
 	// seat.TablePutMsg.
-	WroteMsg struct {
+	WriteResultMsg struct {
 		Cmd     WriteCmd
 		Version object.Version
 		Kind    kinds.Kind
-		// Late says, beside kind Down, that nothing was sent because an
+		// Expired says, beside kind Down, that nothing was sent because an
 		// authority had ended by then.
-		Late bool
+		Expired bool
 	}
 
-	// HubsMsg names the VMs that join the edits of all, the first choice first.
+	// CoordinatorsMsg names the VMs that join the edits of all, the first choice first.
 	// Every VM should name the same.
-	HubsMsg struct{ VMs []ident.VM }
+	CoordinatorsMsg struct{ VMs []ident.VM }
 
 	// SuspectMsg says that a VM seems lost. It can be wrong: it only makes the
 	// writer ask another hub for a while.
@@ -89,7 +89,7 @@
 	// is the earliest of those of the edits in it. After a success the runner
 	// also passes the table on to the request path and to peers.
 	WriteCmd struct {
-		seat.Guard
+		lessor.Guard
 		Call  uint64
 		Table table.Table
 		Old   object.Version
@@ -99,7 +99,7 @@
 	// SendCmd sends a ForwardMsg or ForwardedMsg to the writer of the same service
 	// on another VM, if its guard allows. It is not answered.
 	SendCmd struct {
-		seat.Guard
+		lessor.Guard
 		To  ident.VM
 		Msg loop.Msg
 	}
@@ -107,6 +107,6 @@
 	// AnswerCmd gives the seat of a server the outcome of its write.
 	AnswerCmd struct {
 		Server ident.Server
-		Msg    seat.TablePutMsg
+		Msg    lessor.TablePutMsg
 	}
 )
--- a/internal/owner/lead/lead_test.go
+++ b/internal/owner/elect/lead_test.go
@@ -1,4 +1,4 @@
-package lead
+package elect
 
 import (
 	"net/netip"
@@ -72,10 +72,10 @@
 	case ReadCmd:
 		msg := ReadMsg{Asked: asked, Lease: w.lease, Version: w.version}
 		if w.version == 0 {
-			msg.Kind = kinds.Absent
+			msg.Kind = kinds.NotFound
 		}
 		if unreached || w.lose {
-			msg = ReadMsg{Asked: asked, Kind: kinds.Down}
+			msg = ReadMsg{Asked: asked, Kind: kinds.Unavailable}
 		}
 		v.later = append(v.later, func() { v.tell(msg) })
 	case WriteCmd:
@@ -127,15 +127,15 @@
 		return
 	}
 	l := leader.model
-	v.tell(SeeMsg{l.Lease()})
+	v.tell(LeaseMsg{l.Lease()})
 	switch {
-	case l.Stage() == Lead && l.Lease().Epoch == v.model.Lease().Epoch:
-		v.tell(HeardMsg{Epoch: l.Lease().Epoch, Troubled: l.Troubled(w.now)})
+	case l.Role() == Leader && l.Lease().Epoch == v.model.Lease().Epoch:
+		v.tell(HeartbeatMsg{Epoch: l.Lease().Epoch, RenewOverdue: l.RenewOverdue(w.now)})
 		v.tell(RankMsg{rank})
-		leader.tell(SeeMsg{v.model.Lease()})
+		leader.tell(LeaseMsg{v.model.Lease()})
 	case l.Lease().Epoch == v.model.Lease().Epoch:
-		v.tell(EndedMsg{l.Lease().Epoch})
-		v.tell(LostMsg{l.Lease().Epoch})
+		v.tell(TermEndedMsg{l.Lease().Epoch})
+		v.tell(SteppedDownMsg{l.Lease().Epoch})
 	}
 }
 
@@ -162,11 +162,11 @@
 		if !w.now.Before(v.model.Until()) {
 			continue
 		}
-		epoch, life := v.model.Lease().Epoch, v.model.Lease().Life
+		epoch, life := v.model.Lease().Epoch, v.model.Lease().Incarnation
 		above := epoch > w.table || epoch == w.table && life == w.writer
 		if !above && v.acts != epoch {
 			if !v.frozen {
-				v.tell(RaiseMsg{w.table})
+				v.tell(EpochMsg{w.table})
 			}
 			continue
 		}
@@ -229,8 +229,8 @@
 	for _, a := range all {
 		for _, b := range all {
 			if a.model.Lease().Epoch < b.model.Lease().Epoch {
-				assert.Assert(w.t, !a.model.Until().After(b.model.Bar()),
-					"%s leads until %v, %s takes it for ended at %v", a.name, a.model.Until(), b.name, b.model.Bar())
+				assert.Assert(w.t, !a.model.Until().After(b.model.OldTermEnd()),
+					"%s leads until %v, %s takes it for ended at %v", a.name, a.model.Until(), b.name, b.model.OldTermEnd())
 			}
 			assert.Assert(w.t, a == b || a.model.Lease().Epoch != b.model.Lease().Epoch, "two leaders of one epoch")
 		}
@@ -244,11 +244,11 @@
 		w := newWorld(t, 4)
 		w.run(3 * time.Second)
 		lost := w.find(w.lease.Holder)
-		assert.Equal(t, lost.model.Stage(), Lead)
+		assert.Equal(t, lost.model.Role(), Leader)
 		lost.frozen = true
 		w.run(2 * time.Second)
 		assert.Assert(t, w.lease.Holder != lost.name)
-		assert.Equal(t, w.find(w.lease.Holder).model.Stage(), Lead)
+		assert.Equal(t, w.find(w.lease.Holder).model.Role(), Leader)
 	})
 }
 
@@ -262,7 +262,7 @@
 		old.cut = true
 		w.run(5 * time.Second)
 		assert.Assert(t, w.lease.Holder != old.name)
-		assert.Equal(t, old.model.Stage(), Follow)
+		assert.Equal(t, old.model.Role(), Follower)
 	})
 }
 
@@ -281,7 +281,7 @@
 		for _, v := range w.vms[:beside] {
 			v.cut = true
 		}
-		w.run(Beat + 3*time.Second)
+		w.run(RenewInterval + 3*time.Second)
 		assert.Assert(t, w.lease.Holder != old.name, "%d cut off beside it", beside)
 	})
 }
@@ -322,10 +322,10 @@
 			}
 			m := w.leaders()[0].model
 			assert.Assert(t, m.Lease().Epoch > 1 && m.Lease().Epoch >= w.table)
-			assert.Assert(t, m.Bar().After(w.now.Add(Term)))
-			before := m.Bar()
-			w.leaders()[0].tell(EndedMsg{m.Lease().Epoch - 1})
-			assert.Equal(t, w.leaders()[0].model.Bar(), before, "a word about one leader is none about all")
+			assert.Assert(t, m.OldTermEnd().After(w.now.Add(Term)))
+			before := m.OldTermEnd()
+			w.leaders()[0].tell(TermEndedMsg{m.Lease().Epoch - 1})
+			assert.Equal(t, w.leaders()[0].model.OldTermEnd(), before, "a word about one leader is none about all")
 		})
 	}
 }
@@ -341,7 +341,7 @@
 			w.loseLease(removed)
 			for range 40 {
 				w.run(50 * time.Millisecond)
-				assert.Equal(t, w.find(holder).model.Stage(), Lead)
+				assert.Equal(t, w.find(holder).model.Role(), Leader)
 			}
 			assert.Equal(t, w.lease.Holder, holder)
 			assert.Assert(t, w.lease.Epoch > epoch)
@@ -359,7 +359,7 @@
 		w.run(900 * time.Millisecond)
 		assert.Assert(t, w.lease.Holder != old.name)
 		next := w.find(w.lease.Holder)
-		assert.Assert(t, !next.model.Bar().After(w.now.Add(Margin)), "it said that it has ended")
+		assert.Assert(t, !next.model.OldTermEnd().After(w.now.Add(Margin)), "it said that it has ended")
 	})
 }
 
@@ -371,24 +371,24 @@
 	leads := func() Model {
 		m := New(start, "vm-1", "vm-1-a", netip.AddrPort{})
 		next, _ := m.Update(start, TickMsg{})
-		next, _ = next.(Model).Update(start, ReadMsg{Asked: start, Kind: kinds.Absent})
-		next, _ = next.(Model).Update(start, WroteMsg{Asked: start, Lease: Lease{Epoch: 1, Holder: "vm-1", Life: "vm-1-a"}, Version: 3})
+		next, _ = next.(Model).Update(start, ReadMsg{Asked: start, Kind: kinds.NotFound})
+		next, _ = next.(Model).Update(start, WroteMsg{Asked: start, Lease: Lease{Epoch: 1, Holder: "vm-1", Incarnation: "vm-1-a"}, Version: 3})
 		return next.(Model)
 	}
 	m := leads()
-	assert.Equal(t, m.Stage(), Lead)
-	early, _ := m.Update(start.Add(Reign/2), YieldMsg{})
-	assert.Equal(t, early.(Model).Stage(), Lead, "it began a moment ago")
-	away, _ := m.Update(start.Add(Reign), YieldMsg{})
-	assert.Equal(t, away.(Model).Stage(), Lead, "the store did not confirm the lead lately")
+	assert.Equal(t, m.Role(), Leader)
+	early, _ := m.Update(start.Add(MinTenure/2), StepDownMsg{})
+	assert.Equal(t, early.(Model).Role(), Leader, "it began a moment ago")
+	away, _ := m.Update(start.Add(MinTenure), StepDownMsg{})
+	assert.Equal(t, away.(Model).Role(), Leader, "the store did not confirm the lead lately")
 
-	m.sure = start.Add(Reign)
-	next, cmds := m.Update(start.Add(Reign), YieldMsg{})
+	m.sure = start.Add(MinTenure)
+	next, cmds := m.Update(start.Add(MinTenure), StepDownMsg{})
 	m = next.(Model)
-	assert.Equal(t, m.Stage(), Follow)
+	assert.Equal(t, m.Role(), Follower)
 	assert.Equal(t, len(cmds), 1)
-	assert.Assert(t, !m.overdue(start.Add(Reign+Shy/2)), "it does not take the lead back at once")
-	assert.Assert(t, m.overdue(start.Add(Reign+Shy)), "it does when nobody else takes it")
+	assert.Assert(t, !m.overdue(start.Add(MinTenure+TakeoverBackoff/2)), "it does not take the lead back at once")
+	assert.Assert(t, m.overdue(start.Add(MinTenure+TakeoverBackoff)), "it does when nobody else takes it")
 }
 
 // All VMs are killed and start again. Each must learn at once whether somebody leads
@@ -399,16 +399,16 @@
 	m := New(start, "vm-1", "vm-1-a", netip.AddrPort{}, WithDelay(time.Second))
 	next, cmds := m.Update(start, TickMsg{})
 	assert.DeepEqual(t, cmds, []loop.Cmd{ReadCmd{}})
-	next, cmds = next.Update(start, ReadMsg{Asked: start, Kind: kinds.Absent})
+	next, cmds = next.Update(start, ReadMsg{Asked: start, Kind: kinds.NotFound})
 	assert.Equal(t, len(cmds), 0, "nobody leads, and it is not its turn")
 	next, cmds = next.Update(start.Add(time.Second/2), TickMsg{})
 	assert.Equal(t, len(cmds), 0)
 	at := start.Add(time.Second)
 	next, cmds = next.Update(at, TickMsg{})
 	assert.DeepEqual(t, cmds, []loop.Cmd{ReadCmd{}})
-	next, cmds = next.Update(at, ReadMsg{Asked: at, Kind: kinds.Absent})
+	next, cmds = next.Update(at, ReadMsg{Asked: at, Kind: kinds.NotFound})
 	assert.Equal(t, len(cmds), 1)
-	assert.Equal(t, next.(Model).Stage(), Claim)
+	assert.Equal(t, next.(Model).Role(), Claim)
 }
 
 // A VM that had just started took the lead at the return of the store, before those who knew what to tell.
@@ -416,26 +416,26 @@
 	start := time.Unix(1000, 0)
 	began := func(settled bool) Model {
 		m := New(start, "vm-1", "vm-1-a", netip.AddrPort{})
-		next, _ := m.Update(start, SeeMsg{Lease: Lease{Epoch: 2, Holder: "vm-2", Life: "b"}})
+		next, _ := m.Update(start, LeaseMsg{Lease: Lease{Epoch: 2, Holder: "vm-2", Incarnation: "b"}})
 		if settled {
-			next, _ = next.Update(start, SettledMsg{})
+			next, _ = next.Update(start, ClusterFormedMsg{})
 		}
-		next, _ = next.Update(start, LostMsg{Epoch: 2})
+		next, _ = next.Update(start, SteppedDownMsg{Epoch: 2})
 		return next.(Model)
 	}
 	assert.Assert(t, began(false).overdue(start), "nobody else is there")
 
 	m := began(true)
-	assert.Assert(t, !m.overdue(start.Add(Beside-1)))
-	assert.Assert(t, m.overdue(start.Add(Beside)), "nobody who followed was heard again")
+	assert.Assert(t, !m.overdue(start.Add(FirstClaimDelay-1)))
+	assert.Assert(t, m.overdue(start.Add(FirstClaimDelay)), "nobody who followed was heard again")
 
 	var next loop.Model = m
 	for d := time.Duration(0); d < 2*Settling; d += 100 * time.Millisecond {
 		assert.Equal(t, next.(Model).overdue(start.Add(d)), d >= Settling, "%v", d)
-		next, _ = next.Update(start.Add(d), SettledMsg{})
+		next, _ = next.Update(start.Add(d), ClusterFormedMsg{})
 	}
 
 	next, _ = m.Update(start, RankMsg{N: 0})
-	next, _ = next.Update(start.Add(Beside), SettledMsg{})
-	assert.Assert(t, next.(Model).overdue(start.Add(Beside)), "a leader has answered it")
+	next, _ = next.Update(start.Add(FirstClaimDelay), ClusterFormedMsg{})
+	assert.Assert(t, next.(Model).overdue(start.Add(FirstClaimDelay)), "a leader has answered it")
 }
--- a/internal/owner/lead/store.go
+++ b/internal/owner/elect/store.go
@@ -1,4 +1,4 @@
-package lead
+package elect
 
 import (
 	"time"
@@ -21,33 +21,33 @@
 // read takes in the stored lease.
 func (m Model) read(now time.Time, msg ReadMsg) (loop.Model, []loop.Cmd) {
 	m.calling = false
-	if msg.Kind != kinds.None && msg.Kind != kinds.Absent {
+	if msg.Kind != kinds.None && msg.Kind != kinds.NotFound {
 		m.fails, m.misses = min(m.fails+1, mostFails), m.misses+1
 		m.callAt = now.Add(again)
-		if m.stage != Lead {
+		if m.stage != Leader {
 			m.callAt = now.Add(again << m.fails / 2)
 		}
 		return m, nil
 	}
 	m.fails = 0
 	m.top = max(m.top, msg.Lease.Epoch)
-	if m.stage == Lead && msg.Lease.Life == "" {
+	if m.stage == Leader && msg.Lease.Incarnation == "" {
 		return m.restore(now, msg.Version), nil
 	}
-	moved := msg.Lease.Life != m.lease.Life || msg.Lease.Epoch != m.lease.Epoch
+	moved := msg.Lease.Incarnation != m.lease.Incarnation || msg.Lease.Epoch != m.lease.Epoch
 	known := m.version != 0
 	m.lease, m.version, m.doubt = msg.Lease, msg.Version, false
 	switch {
-	case m.lease.Life == m.self.Life && m.lease.Life != "":
+	case m.lease.Incarnation == m.self.Incarnation && m.lease.Incarnation != "":
 		return m.confirm(now, msg.Asked)
-	case m.stage == Lead:
+	case m.stage == Leader:
 		return m.deposed(now)
 	case m.leaving:
 		return m, nil
-	case moved && msg.Lease.Life != "":
+	case moved && msg.Lease.Incarnation != "":
 		// Somebody else leads since: it gets its time to be heard.
-		m.stage, m.heard, m.lost = Follow, now, false
-		return m, []loop.Cmd{ChangeCmd{Stage: Follow, Lease: m.lease, Why: "another VM leads"}}
+		m.stage, m.heard, m.lost = Follower, now, false
+		return m, []loop.Cmd{RoleChangeCmd{Role: Follower, Lease: m.lease, Reason: "another VM leads"}}
 	case !known && msg.Version != 0:
 		m.heard = now
 		return m, nil
@@ -87,7 +87,7 @@
 // read, or was written by a VM that did not know of the leaders before it, nobody can
 // say who: the lease that is returned then names an epoch and no life.
 func (m Model) before() Lease {
-	if m.lease.Life == "" || m.lease.Epoch < m.top {
+	if m.lease.Incarnation == "" || m.lease.Epoch < m.top {
 		return Lease{Epoch: m.top}
 	}
 	return m.lease
@@ -116,7 +116,7 @@
 // The conditional update tells whether that one leads still.
 func (m Model) behind(now time.Time, epoch uint64) Model {
 	m.top = max(m.top, epoch)
-	if m.stage == Lead && m.lease.Epoch <= epoch && !m.raise {
+	if m.stage == Leader && m.lease.Epoch <= epoch && !m.raise {
 		m.raise, m.callAt = true, now
 	}
 	return m
@@ -124,11 +124,11 @@
 
 // confirm notes that the store named this VM after the call that was sent then.
 func (m Model) confirm(now, asked time.Time) (loop.Model, []loop.Cmd) {
-	began := m.stage != Lead
-	m.stage, m.sure, m.doubt, m.misses = Lead, asked, false, 0
+	began := m.stage != Leader
+	m.stage, m.sure, m.doubt, m.misses = Leader, asked, false, 0
 	m.top = max(m.top, m.lease.Epoch)
 	m.raise = m.lease.Epoch < m.top || m.raise && m.led == m.lease.Epoch
-	m.callAt = now.Add(Beat)
+	m.callAt = now.Add(RenewInterval)
 	if m.raise {
 		m.callAt = now
 	}
@@ -140,21 +140,21 @@
 	case !began && same:
 		return m, nil
 	case same:
-		return m, []loop.Cmd{ChangeCmd{Stage: Lead, Lease: m.lease, Why: "the store confirmed the lead again"}}
+		return m, []loop.Cmd{RoleChangeCmd{Role: Leader, Lease: m.lease, Reason: "the store confirmed the lead again"}}
 	}
 	m.led, m.bar = m.lease.Epoch, m.barOf(now)
 	why := "the epoch was not above those of all leaders before"
 	if began {
 		m.began, why = now, "the store confirmed the claim"
 	}
-	return m, []loop.Cmd{ChangeCmd{Stage: Lead, Lease: m.lease, Why: why}}
+	return m, []loop.Cmd{RoleChangeCmd{Role: Leader, Lease: m.lease, Reason: why}}
 }
 
 // barOf returns until when leaders before this one may give orders. One that nobody
 // can name may have been confirmed right before this VM, and nobody can say that it has
 // ended: only its term does.
 func (m Model) barOf(now time.Time) time.Time {
-	unnamed := m.former.Life == "" && m.former.Epoch > 0
+	unnamed := m.former.Incarnation == "" && m.former.Epoch > 0
 	if !unnamed && m.former.Epoch <= m.ended {
 		return now.Add(Margin)
 	}
@@ -172,11 +172,11 @@
 		m.calling = true
 		return m, []loop.Cmd{ReadCmd{}}
 	default:
-		m.doubt = m.stage == Lead
+		m.doubt = m.stage == Leader
 		m.misses++
 		m.callAt = now.Add(again)
 		if m.stage == Claim {
-			m.stage = Follow
+			m.stage = Follower
 		}
 		return m, nil
 	}
--- a/internal/owner/lease/lease.go
+++ b/internal/owner/lease/lease.go
@@ -34,18 +34,18 @@
 	TTL time.Duration
 	// Renew is the period of renewals.
 	Renew time.Duration
-	// Beat is how often a holder tells its deputy that it is there.
-	Beat time.Duration
-	// Silent is how long a holder or a server may be silent before others act.
-	Silent time.Duration
+	// Heartbeat is how often a holder tells its deputy that it is there.
+	Heartbeat time.Duration
+	// SilenceTimeout is how long a holder or a server may be silent before others act.
+	SilenceTimeout time.Duration
 	// Margin covers timers and the moment between reading a clock and acting.
 	Margin time.Duration
 	// Term is how long an authority lasts from the request that won it.
 	Term time.Duration
-	// Store is how long a call to the store may take before it counts as lost.
-	Store time.Duration
-	// Call is the same for a call to a backend server or a peer.
-	Call time.Duration
+	// StoreTimeout is how long a call to the store may take before it counts as lost.
+	StoreTimeout time.Duration
+	// CallTimeout is the same for a call to a backend server or a peer.
+	CallTimeout time.Duration
 	// Drift is how far apart two clocks may run, in parts of a thousand.
 	Drift int
 }
@@ -64,23 +64,23 @@
 // A term of 30 min, renewed at a third, outlasts a store outage of 20 min.
 func Default() Times {
 	return Times{
-		TTL:    700 * time.Millisecond,
-		Renew:  175 * time.Millisecond,
-		Beat:   100 * time.Millisecond,
-		Silent: 250 * time.Millisecond,
-		Margin: 20 * time.Millisecond,
-		Term:   30 * time.Minute,
-		Store:  100 * time.Millisecond,
-		Call:   50 * time.Millisecond,
-		Drift:  10,
+		TTL:            700 * time.Millisecond,
+		Renew:          175 * time.Millisecond,
+		Heartbeat:      100 * time.Millisecond,
+		SilenceTimeout: 250 * time.Millisecond,
+		Margin:         20 * time.Millisecond,
+		Term:           30 * time.Minute,
+		StoreTimeout:   100 * time.Millisecond,
+		CallTimeout:    50 * time.Millisecond,
+		Drift:          10,
 	}
 }
 
 // Check refuses periods that contradict each other, with kind BadRequest.
 func (t Times) Check() error {
-	ok := t.Margin > 0 && t.Drift >= 0 && t.Drift < 500 && t.Beat > 0 && t.Call > 0 && t.Store > 0 &&
-		t.Renew >= t.Call && 3*t.Renew <= t.TTL && t.Silent >= 2*t.Beat &&
-		t.Silent+t.Renew < t.TTL && t.Term >= 10*t.TTL
+	ok := t.Margin > 0 && t.Drift >= 0 && t.Drift < 500 && t.Heartbeat > 0 && t.CallTimeout > 0 && t.StoreTimeout > 0 &&
+		t.Renew >= t.CallTimeout && 3*t.Renew <= t.TTL && t.SilenceTimeout >= 2*t.Heartbeat &&
+		t.SilenceTimeout+t.Renew < t.TTL && t.Term >= 10*t.TTL
 	if !ok {
 		return kinds.New(kinds.BadRequest, "lease times contradict each other")
 	}
@@ -93,20 +93,20 @@
 // Short returns how much of d on another clock we may use for certain.
 func (t Times) Short(d time.Duration) time.Duration { return d - d*time.Duration(t.Drift)/1000 }
 
-// Span returns the longest time that a lease can still run on the server after
+// MaxRemaining returns the longest time that a lease can still run on the server after
 // the mark that it counts from arrived here.
-func (t Times) Span() time.Duration { return t.Long(t.TTL) + t.Margin }
+func (t Times) MaxRemaining() time.Duration { return t.Long(t.TTL) + t.Margin }
 
-// Until returns when an authority ends that was asked for at a time. The holder
+// AuthorityEnd returns when an authority ends that was asked for at a time. The holder
 // counts from before it asked and takes off drift and margin; whoever waits for
-// its end counts from after it saw the record and adds both: see [Times.Ended].
-func (t Times) Until(asked time.Time, term time.Duration) time.Time {
+// its end counts from after it saw the record and adds both: see [Times.PriorAuthorityEnd].
+func (t Times) AuthorityEnd(asked time.Time, term time.Duration) time.Time {
 	return asked.Add(t.Short(term) - t.Margin)
 }
 
-// Ended returns from when on no authority can last that was in force, or less,
+// PriorAuthorityEnd returns from when on no authority can last that was in force, or less,
 // when we read the record at a time.
-func (t Times) Ended(read time.Time, term time.Duration) time.Time {
+func (t Times) PriorAuthorityEnd(read time.Time, term time.Duration) time.Time {
 	return read.Add(t.Long(term) + t.Margin)
 }
 
@@ -115,10 +115,10 @@
 // counts like any other: a process that is short of processor time gets none
 // earlier. It leaves time for another call before the lease of a server that was
 // renewed last before the holder was lost runs out.
-func (t Times) CallWait() time.Duration { return max(t.TTL/2-t.Call, t.Call) }
+func (t Times) CallWait() time.Duration { return max(t.TTL/2-t.CallTimeout, t.CallTimeout) }
 
 // StoreWait is the same for a call to the store.
-func (t Times) StoreWait() time.Duration { return max(t.TTL-t.Store, t.Store) }
+func (t Times) StoreWait() time.Duration { return max(t.TTL-t.StoreTimeout, t.StoreTimeout) }
 
 // Mark is a server's clock reading and when it arrived here.
 type Mark struct {
@@ -129,14 +129,14 @@
 // Usable reports whether an order that counts from m has time left when it
 // arrives. An older mark only makes the server refuse.
 func (m Mark) Usable(now time.Time, t Times) bool {
-	return !m.Read.IsZero() && now.Sub(m.Read) < t.TTL-t.Call
+	return !m.Read.IsZero() && now.Sub(m.Read) < t.TTL-t.CallTimeout
 }
 
-// Out returns from when on no lease can run that counts from m or an older
+// Expiry returns from when on no lease can run that counts from m or an older
 // mark.
-func (m Mark) Out(t Times) time.Time {
+func (m Mark) Expiry(t Times) time.Time {
 	if m.Read.IsZero() {
 		return time.Time{}
 	}
-	return m.Read.Add(t.Span())
+	return m.Read.Add(t.MaxRemaining())
 }
--- a/internal/owner/lease/lease_test.go
+++ b/internal/owner/lease/lease_test.go
@@ -14,7 +14,7 @@
 func TestDefaultTimesLeaveRoomWithinASecond(t *testing.T) {
 	d := Default()
 	assert.NilError(t, d.Check())
-	assert.Equal(t, d.Span(), 727*time.Millisecond)
+	assert.Equal(t, d.MaxRemaining(), 727*time.Millisecond)
 	d.Renew = d.TTL
 	assert.Equal(t, kinds.Of(d.Check()), kinds.BadRequest)
 }
@@ -32,12 +32,12 @@
 		travel := time.Duration(rapid.IntRange(0, 1000).Draw(rt, "travel")) * time.Millisecond
 		// The server reads its clock at real time 0; the answer takes travel.
 		leaseEnds := time.Duration(float64(d.TTL) / theirs)
-		waitEnds := travel + time.Duration(float64(d.Span())/ours)
+		waitEnds := travel + time.Duration(float64(d.MaxRemaining())/ours)
 		assert.Assert(rt, leaseEnds < waitEnds)
 		// The same for an authority: asked at 0, written and read later.
 		start := time.Unix(0, 0)
-		used := time.Duration(float64(d.Until(start, d.Term).Sub(start)) / ours)
-		waited := travel + time.Duration(float64(d.Ended(start, d.Term).Sub(start))/theirs)
+		used := time.Duration(float64(d.AuthorityEnd(start, d.Term).Sub(start)) / ours)
+		waited := travel + time.Duration(float64(d.PriorAuthorityEnd(start, d.Term).Sub(start))/theirs)
 		assert.Assert(rt, used < waited)
 	})
 }
--- a/internal/owner/seat/agree_test.go
+++ b/internal/owner/lessor/agree_test.go
@@ -1,4 +1,4 @@
-package seat
+package lessor
 
 import (
 	"testing"
@@ -13,19 +13,19 @@
 
 // asDeputy returns VM b as the deputy of epoch 3, held by a, whose holder has
 // echoed its clock when anchored is set.
-func asDeputy(now time.Time, anchored bool) Seat {
-	s := loop.Model(New(Config{Self: "b", Service: "lookup", Server: "s", Stand: true}))
-	s, _ = s.Update(now, PlanMsg{})
-	m := BeatMsg{From: "a", Epoch: 3, Mark: server.Mark{Boot: 1, At: time.Second}, Rev: 2, Clear: true}
+func asDeputy(now time.Time, anchored bool) Lessor {
+	s := loop.Model(New(Config{Self: "b", Service: "lookup", Server: "s", Standby: true}))
+	s, _ = s.Update(now, RoleMsg{})
+	m := HeartbeatMsg{From: "a", Epoch: 3, Mark: server.Mark{Boot: 1, At: time.Second}, Rev: 2, NoStandby: true}
 	if anchored {
-		m.Left, m.Echo, m.Born = time.Minute, time.Millisecond, now.UnixNano()
+		m.Left, m.Echo, m.Incarnation = time.Minute, time.Millisecond, now.UnixNano()
 	}
 	s, _ = s.Update(now, m)
-	return s.(Seat)
+	return s.(Lessor)
 }
 
 // ask sends a request to yield and returns the promise.
-func askToYield(t *testing.T, s Seat, now time.Time, m YieldMsg) (Seat, YieldedMsg) {
+func askToYield(t *testing.T, s Lessor, now time.Time, m PrepareMsg) (Lessor, PromiseMsg) {
 	next, cmds := s.Update(now, m)
 	if m.Silent {
 		// The server does not answer the deputy either.
@@ -35,13 +35,13 @@
 	}
 	for _, c := range cmds {
 		if c, ok := c.(SendCmd); ok {
-			if y, ok := c.Msg.(YieldedMsg); ok {
-				return next.(Seat), y
+			if y, ok := c.Msg.(PromiseMsg); ok {
+				return next.(Lessor), y
 			}
 		}
 	}
 	t.Fatal("no promise")
-	return Seat{}, YieldedMsg{}
+	return Lessor{}, PromiseMsg{}
 }
 
 // A holder that is cut off and a successor both turn to one deputy. If it said
@@ -49,8 +49,8 @@
 // the owner's lease.
 func TestADeputyGivesOneOfTwoWords(t *testing.T) {
 	now := time.Unix(1000, 0)
-	fromHolder := YieldMsg{From: "a", Below: 4, Silent: true}
-	fromNext := YieldMsg{From: "c", Below: 4}
+	fromHolder := PrepareMsg{From: "a", Below: 4, Silent: true}
+	fromNext := PrepareMsg{From: "c", Below: 4}
 
 	s, y := askToYield(t, asDeputy(now, true), now, fromHolder)
 	assert.Assert(t, y.Agreed && y.Clean == 0)
@@ -73,15 +73,15 @@
 func TestTheAgreementOfARestartedDeputyDoesNotCount(t *testing.T) {
 	now := time.Unix(1000, 0)
 	holder := func(asks ...int64) *turn {
-		w := &turn{Seat: New(Config{Self: "a", Service: "lookup", Server: "s", Stand: true}), now: now}
+		w := &turn{Lessor: New(Config{Self: "a", Service: "lookup", Server: "s", Standby: true}), now: now}
 		w.auth, w.epoch, w.until, w.stands = holding, 3, now.Add(time.Hour), true
 		w.rec = Record{Epoch: 3, Holder: "a", Deputy: "b", Stand: true}
 		for _, born := range asks {
-			w.onAsk(AskMsg{From: "b", Epoch: 3, At: time.Second, Born: born})
+			w.onAsk(ClockMsg{From: "b", Epoch: 3, At: time.Second, Incarnation: born})
 		}
 		return w
 	}
-	yes := YieldedMsg{From: "b", Below: 4, Agreed: true, Born: 7}
+	yes := PromiseMsg{From: "b", Below: 4, Agreed: true, Born: 7}
 
 	w := holder(7)
 	w.onYielded(yes)
--- a/internal/owner/seat/ask_test.go
+++ b/internal/owner/lessor/ask_test.go
@@ -1,4 +1,4 @@
-package seat
+package lessor
 
 import (
 	"testing"
@@ -13,8 +13,8 @@
 // pair is a holder and its deputy with nothing but messages between them.
 type pair struct {
 	now    time.Time
-	holder Seat
-	deputy Seat
+	holder Lessor
+	deputy Lessor
 	asks   int
 	lose   func() bool // asks that get lost
 }
@@ -44,12 +44,12 @@
 // run lets beats and questions pass for a time.
 func (p *pair) run(t *testing.T, d time.Duration) {
 	t.Helper()
-	for end := p.now.Add(d); p.now.Before(end); p.now = p.now.Add(p.holder.cfg.Times.Beat) {
+	for end := p.now.Add(d); p.now.Before(end); p.now = p.now.Add(p.holder.cfg.Times.Heartbeat) {
 		for _, beat := range p.step(&p.holder, func(t *turn) { t.beat() }) {
-			for _, ask := range p.step(&p.deputy, func(t *turn) { t.onBeat(beat.(BeatMsg)) }) {
+			for _, ask := range p.step(&p.deputy, func(t *turn) { t.onBeat(beat.(HeartbeatMsg)) }) {
 				p.asks++
 				if !p.lose() {
-					p.step(&p.holder, func(t *turn) { t.onAsk(ask.(AskMsg)) })
+					p.step(&p.holder, func(t *turn) { t.onAsk(ask.(ClockMsg)) })
 				}
 			}
 		}
@@ -58,10 +58,10 @@
 }
 
 // step does one thing on one VM and returns what it sends to the other.
-func (p *pair) step(s *Seat, do func(*turn)) []loop.Msg {
-	t := &turn{Seat: *s, now: p.now}
+func (p *pair) step(s *Lessor, do func(*turn)) []loop.Msg {
+	t := &turn{Lessor: *s, now: p.now}
 	do(t)
-	*s = t.Seat
+	*s = t.Lessor
 	var out []loop.Msg
 	for _, cmd := range t.cmds {
 		if send, ok := cmd.(SendCmd); ok {
@@ -73,10 +73,10 @@
 
 func signed(m loop.Msg) loop.Msg {
 	switch m := m.(type) {
-	case BeatMsg:
+	case HeartbeatMsg:
 		m.From = "h"
 		return m
-	case AskMsg:
+	case ClockMsg:
 		m.From = "d"
 		return m
 	}
@@ -89,7 +89,7 @@
 // slack is what drift and margin take off a told term.
 func (p *pair) slack() time.Duration {
 	times := p.holder.cfg.Times
-	return times.Term/100 + times.Margin + 2*times.Beat
+	return times.Term/100 + times.Margin + 2*times.Heartbeat
 }
 
 // A deputy that asks with every beat doubles the messages of a fleet that is at
@@ -100,7 +100,7 @@
 	p.run(t, 10*time.Minute)
 	assert.Equal(t, p.asks, 20)
 	p.holder.until = p.now.Add(p.holder.cfg.Times.Term) // the term is renewed
-	p.run(t, p.holder.cfg.Times.Beat)
+	p.run(t, p.holder.cfg.Times.Heartbeat)
 	assert.Assert(t, p.behind() <= p.holder.cfg.Times.Term/askPart+p.slack(), "%v", p.behind())
 }
 
@@ -142,9 +142,9 @@
 // three lost ones would no longer mean 300 ms.
 func TestBeatsFallDueTogetherAndNeverLater(t *testing.T) {
 	s := New(Config{Self: "h", Service: "lookup", Server: "a"})
-	period := s.cfg.Times.Beat
+	period := s.cfg.Times.Heartbeat
 	for i := range 1000 {
-		at := &turn{Seat: s, now: time.Unix(1000, int64(i)*777_777)}
+		at := &turn{Lessor: s, now: time.Unix(1000, int64(i)*777_777)}
 		next := at.nextBeat()
 		assert.Assert(t, next.After(at.now) && next.Sub(at.now) <= period)
 		assert.Equal(t, next.UnixNano()%int64(period), int64(0))
--- a/internal/owner/seat/bar.go
+++ b/internal/owner/lessor/bar.go
@@ -1,4 +1,4 @@
-package seat
+package lessor
 
 import (
 	"cmp"
@@ -21,17 +21,17 @@
 		t.readTable()
 	case !known:
 		t.storeAt = t.now.Add(storePause) // the server has not joined yet
-	case t.cfg.flaw == flawBar || row.Bar == t.epoch:
+	case t.cfg.flaw == flawBar || row.MinEpoch == t.epoch:
 		t.fire(authorityChart, &t.auth, "barred")
 		t.want, t.former = false, 0
-		t.do(HeldCmd{Epoch: t.epoch})
+		t.do(AcquiredCmd{Epoch: t.epoch})
 		if t.stand == away {
-			t.do(StandCmd{Epoch: t.epoch, To: t.by})
+			t.do(StandbyCmd{Epoch: t.epoch, To: t.by})
 		}
-	case row.Bar > t.epoch:
+	case row.MinEpoch > t.epoch:
 		t.step("fenced", "the table names a later epoch")
 	default:
-		next, err := t.tab.Barred(t.cfg.Server, t.epoch)
+		next, err := t.tab.WithMinEpoch(t.cfg.Server, t.epoch)
 		if err != nil {
 			t.readTable()
 			return
@@ -42,7 +42,7 @@
 
 func (t *turn) readTable() {
 	t.tabBusy = false
-	t.storeAt = t.now.Add(2 * t.cfg.Times.Store)
+	t.storeAt = t.now.Add(2 * t.cfg.Times.StoreTimeout)
 	t.do(ReadTableCmd{})
 }
 
@@ -51,14 +51,14 @@
 // the store's calls grow with the square of the fleet.
 func (t *turn) putTable(next table.Table, e table.Edit) {
 	t.tabBusy = true
-	t.storeAt = t.now.Add(2 * t.cfg.Times.Store)
+	t.storeAt = t.now.Add(2 * t.cfg.Times.StoreTimeout)
 	t.do(PutTableCmd{Guard: t.guard(), Table: next, Old: t.tabVer, Edit: e})
 }
 
 func (t *turn) onTable(m TableMsg) {
 	if m.Kind != kinds.None {
 		t.missed = t.now
-		t.down = t.down || m.Kind == kinds.Down
+		t.down = t.down || m.Kind == kinds.Unavailable
 		t.storeAt = t.now.Add(storePause)
 		return
 	}
@@ -97,7 +97,7 @@
 }
 
 func (t *turn) afterTable() {
-	if row, _ := t.tab.Row(t.cfg.Server); t.epoch != 0 && row.Bar > t.epoch && t.cfg.flaw != flawBar {
+	if row, _ := t.tab.Row(t.cfg.Server); t.epoch != 0 && row.MinEpoch > t.epoch && t.cfg.flaw != flawBar {
 		if t.auth == holding || t.auth == barring {
 			t.step("fenced", "the table names a later epoch")
 			return
@@ -130,7 +130,7 @@
 			return
 		}
 		t.onTable(TableMsg{Table: m.Cmd.Table, Version: m.Version})
-	case kinds.Down:
+	case kinds.Unavailable:
 		t.down = true
 		t.storeAt = t.now.Add(storePause)
 		t.certainlyNot(m)
@@ -177,7 +177,7 @@
 // server by us, and no stand-by of an earlier holder can have its keys. The bar of the
 // epoch that we held until the present one does as well: nobody but us may write under it.
 func (t *turn) isBarred() bool {
-	bar := t.row().Bar
+	bar := t.row().MinEpoch
 	ours := bar == t.epoch || t.former != 0 && bar == t.former || t.cfg.flaw == flawBar
 	return t.epoch >= t.floor && !t.lent && ours
 }
--- a/internal/owner/seat/chart_test.go
+++ b/internal/owner/lessor/chart_test.go
@@ -1,4 +1,4 @@
-package seat
+package lessor
 
 import (
 	"os"
--- a/internal/owner/seat/cmd.go
+++ b/internal/owner/lessor/cmd.go
@@ -1,4 +1,4 @@
-package seat
+package lessor
 
 import (
 	"time"
@@ -97,22 +97,22 @@
 		Rev   ident.Revision
 	}
 
-	// HeldCmd reports that this VM took the seat.
-	HeldCmd struct{ Epoch ident.Epoch }
+	// AcquiredCmd reports that this VM took the seat.
+	AcquiredCmd struct{ Epoch ident.Epoch }
 
-	// StoodCmd reports that this VM no longer holds the seat, and why.
-	StoodCmd struct {
-		Epoch ident.Epoch
-		Why   string
+	// SteppedDownCmd reports that this VM no longer holds the seat, and why.
+	SteppedDownCmd struct {
+		Epoch  ident.Epoch
+		Reason string
 	}
 
-	// AloneCmd reports that this VM renews as deputy, because the holder is
+	// DeputyActiveCmd reports that this VM renews as deputy, because the holder is
 	// silent.
-	AloneCmd struct{ Epoch ident.Epoch }
+	DeputyActiveCmd struct{ Epoch ident.Epoch }
 
-	// StandCmd reports that another server stands by for the seat's own from now
+	// StandbyCmd reports that another server stands by for the seat's own from now
 	// on, and that none does any more when To is "".
-	StandCmd struct {
+	StandbyCmd struct {
 		Epoch ident.Epoch
 		To    ident.Server
 	}
--- a/internal/owner/seat/deputy.go
+++ b/internal/owner/lessor/deputy.go
@@ -1,4 +1,4 @@
-package seat
+package lessor
 
 import (
 	"time"
@@ -37,9 +37,9 @@
 		return
 	}
 	t.beatAt = t.nextBeat()
-	m := BeatMsg{From: t.cfg.Self, Epoch: t.epoch, Mark: t.srv.mark.Mark, Rev: t.srv.want, Clear: t.rec.format() == Format}
+	m := HeartbeatMsg{From: t.cfg.Self, Epoch: t.epoch, Mark: t.srv.mark.Mark, Rev: t.srv.want, NoStandby: t.rec.format() == RecordVersion}
 	if t.echo > 0 {
-		m.Left, m.Echo, m.Born = t.until.Sub(t.now), t.echo, t.echoBorn
+		m.Left, m.Echo, m.Incarnation = t.until.Sub(t.now), t.echo, t.echoBorn
 		t.told = t.until
 	}
 	t.do(SendCmd{To: t.rec.Deputy, Msg: m})
@@ -49,26 +49,26 @@
 // the beats of all its seats fall due together and share packets. It is never
 // more than a period away: the deputy's count of silence stays what it was.
 func (t *turn) nextBeat() time.Time {
-	period := t.cfg.Times.Beat
+	period := t.cfg.Times.Heartbeat
 	return t.now.Add(period - time.Duration(t.now.UnixNano())%period)
 }
 
 // onAsk notes the deputy's clock, for the next beat to echo.
-func (t *turn) onAsk(m AskMsg) {
+func (t *turn) onAsk(m ClockMsg) {
 	if !t.reigns() || m.Epoch != t.epoch || m.From != t.rec.Deputy {
 		return
 	}
-	if m.Born != t.echoBorn {
+	if m.Incarnation != t.echoBorn {
 		t.twice = t.stands && (t.twice || t.echoBorn != 0)
-		t.echo, t.echoBorn = 0, m.Born
+		t.echo, t.echoBorn = 0, m.Incarnation
 	}
 	t.echo = max(t.echo, m.At)
 }
 
-func (t *turn) onBeat(m BeatMsg) {
+func (t *turn) onBeat(m HeartbeatMsg) {
 	switch {
 	case t.epoch > m.Epoch:
-		t.do(SendCmd{To: m.From, Msg: YieldMsg{From: t.cfg.Self, Below: t.epoch}})
+		t.do(SendCmd{To: m.From, Msg: PrepareMsg{From: t.cfg.Self, Below: t.epoch}})
 		return
 	case t.epoch != 0 && t.epoch < m.Epoch:
 		t.step("fenced", "a beat came under a later epoch")
@@ -76,7 +76,7 @@
 		return
 	}
 	if t.leaving {
-		t.promise(YieldMsg{From: m.From, Below: m.Epoch + 1})
+		t.promise(PrepareMsg{From: m.From, Below: m.Epoch + 1})
 		return
 	}
 	if m.Epoch > t.d.epoch {
@@ -86,13 +86,13 @@
 	if t.d.state != watching {
 		t.fire(deputyChart, &t.d.state, "beat")
 	}
-	t.d.heard, t.d.rev, t.d.clear = t.now, m.Rev, m.Clear
+	t.d.heard, t.d.rev, t.d.clear = t.now, m.Rev, m.NoStandby
 	t.tells = 0
 	if m.Mark.Boot != 0 || m.Mark.At != 0 {
 		t.srv.fromBeat(m.Mark, t.now)
 	}
-	if m.Echo > 0 && m.Born == t.born.UnixNano() {
-		told := t.cfg.Times.Until(t.born.Add(m.Echo), m.Left)
+	if m.Echo > 0 && m.Incarnation == t.born.UnixNano() {
+		told := t.cfg.Times.AuthorityEnd(t.born.Add(m.Echo), m.Left)
 		t.d.until = later(t.d.until, told)
 		t.d.sure = true
 	}
@@ -113,13 +113,13 @@
 // is old. It looks at the beat alone, so a lost question is put again with the
 // next beat, and a holder or deputy that started anew is anchored at once: the
 // one names no reading, the other does not know the one that is named.
-func (t *turn) ask(m BeatMsg) {
+func (t *turn) ask(m HeartbeatMsg) {
 	at := max(t.now.Sub(t.born), 1)
-	known := m.Echo > 0 && m.Born == t.born.UnixNano()
+	known := m.Echo > 0 && m.Incarnation == t.born.UnixNano()
 	if known && at-m.Echo < t.cfg.Times.Term/askPart {
 		return
 	}
-	t.do(SendCmd{To: m.From, Msg: AskMsg{From: t.cfg.Self, Epoch: m.Epoch, At: at, Born: t.born.UnixNano()}})
+	t.do(SendCmd{To: m.From, Msg: ClockMsg{From: t.cfg.Self, Epoch: m.Epoch, At: at, Incarnation: t.born.UnixNano()}})
 }
 
 // runDeputy goes from watching to renewing when the holder is silent. It tries to
@@ -130,10 +130,10 @@
 	t.runProbe()
 	switch t.d.state {
 	case watching:
-		if t.due(t.d.heard.Add(t.cfg.Times.Silent)) {
+		if t.due(t.d.heard.Add(t.cfg.Times.SilenceTimeout)) {
 			t.fire(deputyChart, &t.d.state, "silent")
 			t.storeAt, t.d.next = t.now, t.now
-			t.do(AloneCmd{Epoch: t.d.epoch})
+			t.do(DeputyActiveCmd{Epoch: t.d.epoch})
 		}
 	case renewing:
 		t.renewAlone()
@@ -146,14 +146,14 @@
 	if t.epoch != 0 || !t.now.Before(t.d.until) || !t.due(t.d.next) {
 		return
 	}
-	t.d.next = t.now.Add(t.cfg.Times.Call)
+	t.d.next = t.now.Add(t.cfg.Times.CallTimeout)
 	if !t.srv.mark.Usable(t.now, t.cfg.Times) {
 		t.readServer()
 		return
 	}
 	t.d.seq++
 	o := server.Order{
-		Service: t.cfg.Service, Server: t.cfg.Server, Seat: t.cfg.Server, Sender: t.cfg.Self,
+		Service: t.cfg.Service, Server: t.cfg.Server, Lessor: t.cfg.Server, Sender: t.cfg.Self,
 		Fence: ident.Fence{Epoch: t.d.epoch, Seq: deputySeq + t.d.seq},
 		Mark:  t.srv.mark.Mark, TTL: t.cfg.Times.TTL, Rev: t.d.rev,
 	}
@@ -180,9 +180,9 @@
 	}
 	r := m.Reply
 	switch {
-	case r.Done || r.Why == server.WhyRev:
+	case r.Done || r.Reason == server.ReasonRev:
 		d.next = m.Order.At.Add(t.cfg.Times.Renew)
-	case r.Why == server.WhyFence && r.Fence.Epoch > d.epoch:
+	case r.Reason == server.ReasonFence && r.Fence.Epoch > d.epoch:
 		t.endDeputy()
 	default:
 		d.next = t.now.Add(lateGap)
@@ -191,11 +191,11 @@
 
 // runProbe promises to stop when the server did not answer us either.
 func (t *turn) runProbe() {
-	if t.d.probe.IsZero() || !t.due(t.d.probe.Add(2*t.cfg.Times.Call)) {
+	if t.d.probe.IsZero() || !t.due(t.d.probe.Add(2*t.cfg.Times.CallTimeout)) {
 		return
 	}
 	t.d.probe = time.Time{}
-	t.promise(YieldMsg{From: t.d.holder, Below: t.d.epoch + 1, Silent: true})
+	t.promise(PrepareMsg{From: t.d.holder, Below: t.d.epoch + 1, Silent: true})
 }
 
 func (t *turn) endDeputy() {
--- a/internal/owner/seat/export_test.go
+++ b/internal/owner/lessor/export_test.go
@@ -1,4 +1,4 @@
-package seat
+package lessor
 
 // Flaw is a broken safety rule, for the tests that show it is noticed.
 type Flaw = flaw
--- a/internal/owner/seat/flaw.go
+++ b/internal/owner/lessor/flaw.go
@@ -1,4 +1,4 @@
-package seat
+package lessor
 
 // flaw names a deliberately broken safety rule. Only tests set one, to show
 // that the properties notice: see docs/design/ownership.md.
--- a/internal/owner/seat/free.go
+++ b/internal/owner/lessor/free.go
@@ -1,4 +1,4 @@
-package seat
+package lessor
 
 import "time"
 
@@ -16,7 +16,7 @@
 		return true
 	case t.cfg.flaw == flawWait:
 		return t.lease == silent || t.lease == out
-	case !t.due(t.srv.used.Out(t.cfg.Times)):
+	case !t.due(t.srv.used.Expiry(t.cfg.Times)):
 		return false
 	case t.cfg.flaw == flawOthers:
 		return true
@@ -25,7 +25,7 @@
 	for _, o := range t.others {
 		end, known := t.endOf(o)
 		if known && !o.quiet {
-			known = t.due(end.Add(t.cfg.Times.Span()))
+			known = t.due(end.Add(t.cfg.Times.MaxRemaining()))
 		}
 		ready = ready && known
 	}
@@ -51,12 +51,12 @@
 		if !known {
 			return time.Time{}, false
 		}
-		if !t.cfg.Checks && !o.quiet {
-			at = later(at, end.Add(t.cfg.Times.Span()))
+		if !t.cfg.FenceChecks && !o.quiet {
+			at = later(at, end.Add(t.cfg.Times.MaxRemaining()))
 		}
 	}
-	if !t.cfg.Checks && t.cfg.flaw != flawLate {
-		at = later(at, t.b.full.Out(t.cfg.Times))
+	if !t.cfg.FenceChecks && t.cfg.flaw != flawLate {
+		at = later(at, t.b.full.Expiry(t.cfg.Times))
 	}
 	return at, true
 }
--- a/internal/owner/seat/guard.go
+++ b/internal/owner/lessor/guard.go
@@ -1,4 +1,4 @@
-package seat
+package lessor
 
 import (
 	"slices"
@@ -90,7 +90,7 @@
 		}
 		end, known := t.endOf(o)
 		if known && !o.quiet {
-			known = t.due(end.Add(t.cfg.Times.Span()))
+			known = t.due(end.Add(t.cfg.Times.MaxRemaining()))
 		}
 		open = open || !known
 	}
--- a/internal/owner/seat/history_test.go
+++ b/internal/owner/lessor/history_test.go
@@ -1,4 +1,4 @@
-package seat_test
+package lessor_test
 
 import (
 	"fmt"
@@ -12,7 +12,7 @@
 	"hawthornfield.org/hawthornfield/internal/core/ident"
 	"hawthornfield.org/hawthornfield/internal/fake/seeds"
 	"hawthornfield.org/hawthornfield/internal/fake/world"
-	"hawthornfield.org/hawthornfield/internal/owner/seat"
+	"hawthornfield.org/hawthornfield/internal/owner/lessor"
 	"hawthornfield.org/hawthornfield/internal/owner/table"
 )
 
@@ -91,12 +91,12 @@
 
 func drawHistory(rt *rapid.T, m mode) history {
 	h := history{opt: world.Options{
-		Seed: rapid.Uint64().Draw(rt, "seed"), Checks: m.Checks, Stand: m.Stand, Skew: 5, Term: shortTerm,
+		Seed: rapid.Uint64().Draw(rt, "seed"), FenceChecks: m.Checks, Standby: m.Stand, Skew: 5, Term: shortTerm,
 		VMs: rapid.IntRange(2, 4).Draw(rt, "vms"), Servers: rapid.IntRange(2, 3).Draw(rt, "servers"),
 	}}
 	if rapid.Bool().Draw(rt, "noisy") {
 		h.noise = world.Noise{
-			Drop: 20, Double: 20, Late: 20, Stall: 1, MaxLate: 1500 * time.Millisecond, MaxStall: 3 * time.Second,
+			Drop: 20, Duplicate: 20, Delay: 20, Stall: 1, MaxDelay: 1500 * time.Millisecond, MaxStall: 3 * time.Second,
 		}
 	}
 	for range rapid.IntRange(1, 9).Draw(rt, "faults") {
@@ -149,11 +149,11 @@
 			v.Leave()
 		}
 	case "cutpeer":
-		w.Cut(string(v.ID), string(o.ID), f.For)
+		w.Partition(string(v.ID), string(o.ID), f.For)
 	case "cutserver":
-		w.Cut(string(v.ID), string(s.Name), f.For)
+		w.Partition(string(v.ID), string(s.Name), f.For)
 	case "cutstore":
-		w.Cut(string(v.ID), "store", f.For)
+		w.Partition(string(v.ID), "store", f.For)
 	case "freeze":
 		s.Freeze(f.For)
 	case "killserver":
@@ -162,7 +162,7 @@
 		w.Store.Down(f.For)
 	case "noise":
 		w.Noise = world.Noise{
-			Drop: 100, Double: 100, Late: 100, Stall: 2, MaxLate: 2500 * time.Millisecond, MaxStall: f.For,
+			Drop: 100, Duplicate: 100, Delay: 100, Stall: 2, MaxDelay: 2500 * time.Millisecond, MaxStall: f.For,
 		}
 		w.At(w.Now()+f.For, func() { w.Noise = world.Noise{} })
 	case "drain", "move", "hot":
@@ -178,13 +178,13 @@
 	holder, deputy := vmOf(w, rec.Holder), vmOf(w, rec.Deputy)
 	switch f.Kind {
 	case "holderstore":
-		w.Cut(string(holder.ID), "store", f.For)
+		w.Partition(string(holder.ID), "store", f.For)
 	case "holderserver":
-		w.Cut(string(holder.ID), string(s.Name), f.For)
+		w.Partition(string(holder.ID), string(s.Name), f.For)
 	case "loneserver": // nobody but one VM reaches it
 		for i, v := range w.VMs {
 			if i != f.A%len(w.VMs) {
-				w.Cut(string(v.ID), string(s.Name), f.For)
+				w.Partition(string(v.ID), string(s.Name), f.For)
 			}
 		}
 	case "holderpause":
@@ -198,7 +198,7 @@
 	case "holderrestart":
 		holder.Restart()
 	case "deputystore":
-		w.Cut(string(deputy.ID), "store", f.For)
+		w.Partition(string(deputy.ID), "store", f.For)
 	case "deputykill":
 		if alive(w) > 1 && !deputy.Dead {
 			deputy.Kill(f.For / 2)
@@ -227,13 +227,13 @@
 func applyWish(w *world.World, f fault) {
 	s := w.Servers[f.A%len(w.Servers)]
 	to := w.Servers[f.B%len(w.Servers)]
-	var m seat.MoveMsg
+	var m lessor.MoveMsg
 	switch f.Kind {
 	case "drain":
-		s.Drains = true
+		s.Draining = true
 		for _, v := range w.VMs {
-			v.Send(s.Name, seat.DrainMsg{})
-			w.At(w.Now()+f.For, func() { s.Drains = false; v.Send(s.Name, seat.UndrainMsg{}) })
+			v.Send(s.Name, lessor.DrainMsg{})
+			w.At(w.Now()+f.For, func() { s.Draining = false; v.Send(s.Name, lessor.UndrainMsg{}) })
 		}
 		return
 	case "move":
@@ -287,10 +287,10 @@
 			seeds.Check(t, func(rt *rapid.T) {
 				h := drawHistory(rt, m)
 				w := h.play()
-				if w.Stood() {
+				if w.StandbyServed() {
 					stood++
 				}
-				bad := append(w.Judge(), unserved(w)...)
+				bad := append(w.Check(), unserved(w)...)
 				assert.Assert(rt, len(bad) == 0, "%v\n%s", h, strings.Join(bad, "\n"))
 			})
 			t.Logf("a stand-by served in %d histories", stood)
@@ -305,10 +305,10 @@
 			}()
 			seeds.Check(t, func(rt *rapid.T) {
 				h := drawHistory(rt, m)
-				h.opt.Join = joined
+				h.opt.NewWriter = joined
 				w := h.play()
 				shared, sent = shared+w.Count.Joined, sent+w.Count.Forwarded
-				bad := append(w.Judge(), unserved(w)...)
+				bad := append(w.Check(), unserved(w)...)
 				assert.Assert(rt, len(bad) == 0, "%v\n%s", h, strings.Join(bad, "\n"))
 			})
 		})
--- a/internal/owner/seat/join_test.go
+++ b/internal/owner/lessor/join_test.go
@@ -1,4 +1,4 @@
-package seat_test
+package lessor_test
 
 import (
 	"fmt"
@@ -21,9 +21,9 @@
 // unbarred puts an edit on a table whatever the bar is by now.
 func unbarred(t table.Table, e table.Edit) (table.Table, error) {
 	if r, ok := t.Row(e.Server); ok && len(e.Moves) > 0 {
-		e.Epoch = r.Bar
+		e.Epoch = r.MinEpoch
 	}
-	return t.Edited(e)
+	return t.WithEdit(e)
 }
 
 // blind puts an edit on a table whatever the server's set is by now.
@@ -31,14 +31,14 @@
 	if r, ok := t.Row(e.Server); ok {
 		e.Rev = r.Rev
 	}
-	return t.Edited(e)
+	return t.WithEdit(e)
 }
 
 // sure takes every write whose answer was lost for done.
 type sure struct{ loop.Model }
 
 func (s sure) Update(now time.Time, msg loop.Msg) (loop.Model, []loop.Cmd) {
-	if m, ok := msg.(commit.WroteMsg); ok && m.Kind == kinds.Ambiguous {
+	if m, ok := msg.(commit.WriteResultMsg); ok && m.Kind == kinds.Ambiguous {
 		m.Kind, m.Version = kinds.None, m.Cmd.Old+1
 		msg = m
 	}
@@ -52,12 +52,12 @@
 
 func (s trusting) Update(now time.Time, msg loop.Msg) (loop.Model, []loop.Cmd) {
 	next, cmds := s.Model.Update(now, msg)
-	if _, wrote := msg.(commit.WroteMsg); wrote {
+	if _, wrote := msg.(commit.WriteResultMsg); wrote {
 		return trusting{next}, cmds
 	}
 	for i, c := range cmds {
 		if a, ok := c.(commit.AnswerCmd); ok && a.Msg.Kind == kinds.Ambiguous {
-			a.Msg.Kind = kinds.Down
+			a.Msg.Kind = kinds.Unavailable
 			cmds[i] = a
 		}
 	}
@@ -81,7 +81,7 @@
 
 func drawnJoined(checks bool, i int, flaw string) history {
 	h := drawn(mode{Checks: checks}, i, 0)
-	h.opt.Join = joinFlaws[flaw]
+	h.opt.NewWriter = joinFlaws[flaw]
 	return h
 }
 
@@ -108,10 +108,10 @@
 	for _, m := range joinMutants {
 		t.Run(fmt.Sprintf("%s/checks=%v", m.flaw, m.checks), func(t *testing.T) {
 			t.Parallel()
-			all := strings.Join(drawnJoined(m.checks, m.history, m.flaw).play().Judge(), "\n")
+			all := strings.Join(drawnJoined(m.checks, m.history, m.flaw).play().Check(), "\n")
 			assert.Assert(t, strings.Contains(all, m.kills), "not noticed: %q", all)
 			whole := drawnJoined(m.checks, m.history, "none").play()
-			assert.Equal(t, len(whole.Judge()), 0, "the history is bad without the flaw")
+			assert.Equal(t, len(whole.Check()), 0, "the history is bad without the flaw")
 		})
 	}
 }
@@ -126,7 +126,7 @@
 		t.Run(fmt.Sprint(checks), func(t *testing.T) {
 			t.Parallel()
 			for i := range 3000 {
-				bad := strings.Join(drawnJoined(checks, i, name).play().Judge(), "; ")
+				bad := strings.Join(drawnJoined(checks, i, name).play().Check(), "; ")
 				if bad != "" && strings.Contains(bad, os.Getenv("HAWTHORN_KILLS")) {
 					t.Logf("%s checks=%v history %d: %s", name, checks, i, bad)
 					return
@@ -143,16 +143,16 @@
 func TestFoundARefusedWriteThatCameTwice(t *testing.T) {
 	const ms = time.Millisecond
 	h := history{opt: world.Options{
-		Seed: 491868, VMs: 3, Servers: 2, Checks: true, Skew: 5, Term: shortTerm, Join: joined,
+		Seed: 491868, VMs: 3, Servers: 2, FenceChecks: true, Skew: 5, Term: shortTerm, NewWriter: joined,
 	}}
 	h.noise = world.Noise{
-		Drop: 20, Double: 20, Late: 20, Stall: 1, MaxLate: 1500 * ms, MaxStall: 3 * time.Second,
+		Drop: 20, Duplicate: 20, Delay: 20, Stall: 1, MaxDelay: 1500 * ms, MaxStall: 3 * time.Second,
 	}
 	pause := fault{Kind: "pause", At: 300 * ms, For: 50 * ms}
 	h.faults = []fault{
 		pause, {Kind: "hot", At: 300 * ms, For: 50 * ms}, pause, pause, {Kind: "store", At: 300 * ms, For: 50 * ms},
 	}
 	w := h.play()
-	bad := append(w.Judge(), unserved(w)...)
+	bad := append(w.Check(), unserved(w)...)
 	assert.Equal(t, len(bad), 0, "%v", bad)
 }
--- a/internal/owner/seat/keep.go
+++ b/internal/owner/lessor/keep.go
@@ -1,4 +1,4 @@
-package seat
+package lessor
 
 import (
 	"time"
@@ -26,7 +26,7 @@
 }
 
 func (t *turn) extend() {
-	t.until = t.cfg.Times.Until(t.put.At, t.put.Record.Term)
+	t.until = t.cfg.Times.AuthorityEnd(t.put.At, t.put.Record.Term)
 	t.freshAt = t.put.At.Add(t.cfg.Times.Term / 3)
 }
 
@@ -42,7 +42,7 @@
 		t.putting = false // overtaken; a later duty tries afresh
 		return
 	}
-	t.storeAt = t.now.Add(2 * t.cfg.Times.Store)
+	t.storeAt = t.now.Add(2 * t.cfg.Times.StoreTimeout)
 	t.do(t.put)
 }
 
@@ -93,7 +93,7 @@
 func (t *turn) drop(on chart.Trigger, why string) {
 	t.fire(authorityChart, &t.auth, on)
 	if t.epoch != 0 {
-		t.do(StoodCmd{Epoch: t.epoch, Why: why})
+		t.do(SteppedDownCmd{Epoch: t.epoch, Reason: why})
 		t.tells = tellTimes
 	}
 	t.epoch, t.former, t.until, t.putting = 0, 0, time.Time{}, false
