--- a/internal/owner/seat/kept_test.go
+++ b/internal/owner/lessor/kept_test.go
@@ -1,4 +1,4 @@
-package seat_test
+package lessor_test
 
 import (
 	"testing"
@@ -18,7 +18,7 @@
 	// which promises that nothing was or will be written, and obeyed the second
 	// when it was back. The fake store was at fault (mended in world.request).
 	"a refused write took effect": {
-		opt: world.Options{Seed: 20, VMs: 3, Servers: 3, Checks: true, Stand: true, Skew: 5, Term: shortTerm},
+		opt: world.Options{Seed: 20, VMs: 3, Servers: 3, FenceChecks: true, Standby: true, Skew: 5, Term: shortTerm},
 		faults: []fault{
 			{"store", 1742 * ms, 113 * ms, 0, 2},
 			{"noise", 6332 * ms, 466 * ms, 2, 1},
@@ -40,7 +40,7 @@
 	// at the record before the write took effect. The record named vm1, which knew
 	// nothing of it, and nobody served the keys of s1 any more (tell.go).
 	"a holder that does not know": {
-		opt: world.Options{Seed: 5, VMs: 2, Servers: 3, Stand: true, Skew: 5, Term: shortTerm},
+		opt: world.Options{Seed: 5, VMs: 2, Servers: 3, Standby: true, Skew: 5, Term: shortTerm},
 		faults: []fault{
 			{"pause", 2257 * ms, 169 * ms, 0, 0},
 			{"restartvm", 2188 * ms, 5000 * ms, 1, 0},
@@ -56,7 +56,7 @@
 func TestKeptHistoriesStayWhole(t *testing.T) {
 	for name, h := range kept {
 		w := h.play()
-		assert.Equal(t, len(w.Judge()), 0, "%s: %v", name, w.Errs)
+		assert.Equal(t, len(w.Check()), 0, "%s: %v", name, w.Errs)
 		assert.Equal(t, len(unserved(w)), 0, "%s: %v", name, unserved(w))
 	}
 }
--- a/internal/owner/seat/leave.go
+++ b/internal/owner/lessor/leave.go
@@ -1,4 +1,4 @@
-package seat
+package lessor
 
 import (
 	"cmp"
@@ -74,7 +74,7 @@
 		t.drop("fenced", "this VM leaves")
 	}
 	if heir != "" {
-		t.do(SendCmd{To: heir, Msg: YieldedMsg{From: t.cfg.Self, Below: epoch + 1, Leave: true, Clean: t.vouch}})
+		t.do(SendCmd{To: heir, Msg: PromiseMsg{From: t.cfg.Self, Below: epoch + 1, Leave: true, Clean: t.vouch}})
 	}
 }
 
@@ -82,19 +82,19 @@
 	if t.d.state == off {
 		return
 	}
-	t.promise(YieldMsg{From: t.d.holder, Below: t.d.epoch + 1})
+	t.promise(PrepareMsg{From: t.d.holder, Below: t.d.epoch + 1})
 }
 
 // answerClosed still answers a request to yield: the sender waits for it. And it
 // still reports a move whose answer came late.
 func (t *turn) answerClosed(msg loop.Msg) (loop.Model, []loop.Cmd) {
 	switch m := msg.(type) {
-	case YieldMsg:
+	case PrepareMsg:
 		t.promise(m)
 	case TablePutMsg:
 		if m.Kind == kinds.None {
 			t.wrote(m.Cmd.Edit, cmp.Or(m.Rev, m.Cmd.Table.Rev))
 		}
 	}
-	return t.Seat, t.cmds
+	return t.Lessor, t.cmds
 }
--- a/internal/owner/seat/level_test.go
+++ b/internal/owner/lessor/level_test.go
@@ -1,4 +1,4 @@
-package seat_test
+package lessor_test
 
 import (
 	"strings"
@@ -22,13 +22,13 @@
 			t.Parallel()
 			seeds.Check(t, func(rt *rapid.T) {
 				h := drawHistory(rt, m)
-				h.opt.Level = time.Duration(rapid.IntRange(400, 3000).Draw(rt, "level")) * time.Millisecond
+				h.opt.ReassignEvery = time.Duration(rapid.IntRange(400, 3000).Draw(rt, "level")) * time.Millisecond
 				if rapid.Bool().Draw(rt, "joined") {
-					h.opt.Join = joined
+					h.opt.NewWriter = joined
 				}
 				w := h.play()
-				bad := append(w.Judge(), unserved(w)...)
-				assert.Assert(rt, len(bad) == 0, "%v level %v\n%s", h, h.opt.Level, strings.Join(bad, "\n"))
+				bad := append(w.Check(), unserved(w)...)
+				assert.Assert(rt, len(bad) == 0, "%v level %v\n%s", h, h.opt.ReassignEvery, strings.Join(bad, "\n"))
 			})
 		})
 	}
@@ -37,7 +37,7 @@
 // Without any other fault a seat that passes on costs no key a moment.
 func TestPassingASeatOnCostsNoTime(t *testing.T) {
 	for seed := range uint64(50) {
-		w := world.New(world.Options{Seed: seed, Skew: 5, Level: 2 * time.Second, Checks: seed%2 == 0})
+		w := world.New(world.Options{Seed: seed, Skew: 5, ReassignEvery: 2 * time.Second, FenceChecks: seed%2 == 0})
 		w.Run(3 * time.Second)
 		epochs := w.Epochs()
 		from := w.Now()
@@ -46,6 +46,6 @@
 			assert.Equal(t, w.Unavailable(s, from, w.Now()), time.Duration(0), "seed %d slice %d", seed, s)
 		}
 		assert.Assert(t, w.Epochs() >= epochs+15, "seed %d: only %d take-overs", seed, w.Epochs()-epochs)
-		assert.Equal(t, len(w.Judge()), 0)
+		assert.Equal(t, len(w.Check()), 0)
 	}
 }
--- a/internal/owner/seat/loop_test.go
+++ b/internal/owner/lessor/loop_test.go
@@ -1,4 +1,4 @@
-package seat_test
+package lessor_test
 
 import (
 	"context"
@@ -12,7 +12,7 @@
 	"hawthornfield.org/hawthornfield/internal/core/ident"
 	"hawthornfield.org/hawthornfield/internal/core/kinds"
 	"hawthornfield.org/hawthornfield/internal/core/loop"
-	"hawthornfield.org/hawthornfield/internal/owner/seat"
+	"hawthornfield.org/hawthornfield/internal/owner/lessor"
 	"hawthornfield.org/hawthornfield/internal/owner/table"
 	"hawthornfield.org/hawthornfield/internal/plat/object"
 	"hawthornfield.org/hawthornfield/internal/plat/server"
@@ -22,7 +22,7 @@
 type platform struct {
 	mu    sync.Mutex // the loop runs commands while the test looks
 	down  bool
-	rec   seat.Record
+	rec   lessor.Record
 	ver   object.Version
 	table table.Table
 	rev   object.Version
@@ -39,34 +39,34 @@
 	defer p.mu.Unlock()
 	kind := kinds.None
 	if p.down {
-		kind = kinds.Down
+		kind = kinds.Unavailable
 	}
 	switch c := cmd.(type) {
-	case seat.ReadRecordCmd:
-		send(seat.RecordMsg{Cmd: c, Record: p.rec, Version: p.ver, Kind: kind})
-	case seat.PutRecordCmd:
+	case lessor.ReadRecordCmd:
+		send(lessor.RecordMsg{Cmd: c, Record: p.rec, Version: p.ver, Kind: kind})
+	case lessor.PutRecordCmd:
 		if !p.down {
 			p.rec, p.ver = c.Record, p.ver+1
 		}
-		send(seat.RecordPutMsg{Cmd: c, Version: p.ver, Kind: kind})
-	case seat.ReadTableCmd:
-		send(seat.TableMsg{Table: p.table, Version: p.rev, Kind: kind})
-	case seat.PutTableCmd:
+		send(lessor.RecordPutMsg{Cmd: c, Version: p.ver, Kind: kind})
+	case lessor.ReadTableCmd:
+		send(lessor.TableMsg{Table: p.table, Version: p.rev, Kind: kind})
+	case lessor.PutTableCmd:
 		if !p.down {
 			p.table, p.rev = c.Table, p.rev+1
 		}
-		send(seat.TablePutMsg{Cmd: c, Version: p.rev, Kind: kind})
-	case seat.ReadServerCmd:
-		send(seat.ReplyMsg{Read: c, Reply: p.reply(true, "")})
-	case seat.OrderCmd:
-		send(seat.ReplyMsg{Order: c, Reply: p.obey(c)})
+		send(lessor.TablePutMsg{Cmd: c, Version: p.rev, Kind: kind})
+	case lessor.ReadServerCmd:
+		send(lessor.ReplyMsg{Read: c, Reply: p.reply(true, "")})
+	case lessor.OrderCmd:
+		send(lessor.ReplyMsg{Order: c, Reply: p.obey(c)})
 	}
 }
 
-func (p *platform) obey(c seat.OrderCmd) server.Reply {
+func (p *platform) obey(c lessor.OrderCmd) server.Reply {
 	now := time.Now()
 	if !c.Order.Full && !now.Before(p.ends) {
-		return p.reply(false, server.WhyRev)
+		return p.reply(false, server.ReasonRev)
 	}
 	if late := now.Sub(p.ends); !p.ends.IsZero() {
 		p.gap = max(p.gap, late)
@@ -87,7 +87,7 @@
 
 func (p *platform) reply(done bool, why string) server.Reply {
 	return server.Reply{
-		Done: done, Why: why, Rev: p.held, Left: time.Until(p.ends),
+		Done: done, Reason: why, Rev: p.held, Left: time.Until(p.ends),
 		Mark: server.Mark{Boot: 1, At: time.Since(p.boot)},
 	}
 }
@@ -106,14 +106,14 @@
 	synctest.Test(t, func(t *testing.T) {
 		tab, err := table.New("lookup", 4, "s0")
 		assert.NilError(t, err)
-		tab, err = tab.Assigned(table.Move{Slice: 0, To: "s0"})
+		tab, err = tab.WithAssigned(table.Move{Slice: 0, To: "s0"})
 		assert.NilError(t, err)
 		p := &platform{table: tab, rev: 1, boot: time.Now(), gap: -time.Hour}
-		l := loop.New(seat.New(seat.Config{Self: "vm0", Service: "lookup", Server: "s0"}), p)
+		l := loop.New(lessor.New(lessor.Config{Self: "vm0", Service: "lookup", Server: "s0"}), p)
 		defer l.Close()
-		l.Send(seat.PlanMsg{Lead: true})
+		l.Send(lessor.RoleMsg{Lead: true})
 		time.Sleep(time.Second)
-		epoch, ok := l.Model().(seat.Seat).Holds(time.Now())
+		epoch, ok := l.Model().(lessor.Lessor).Holds(time.Now())
 		assert.Assert(t, ok && epoch == 1)
 		granted, _, _ := p.outage(true)
 		time.Sleep(10 * time.Minute)
@@ -122,7 +122,7 @@
 		assert.Assert(t, gap < 0, "the lease lapsed for %v", gap)
 		assert.Equal(t, again, granted)
 		time.Sleep(time.Minute)
-		_, ok = l.Model().(seat.Seat).Holds(time.Now())
+		_, ok = l.Model().(lessor.Lessor).Holds(time.Now())
 		assert.Assert(t, ok)
 	})
 }
@@ -135,15 +135,15 @@
 	synctest.Test(t, func(t *testing.T) {
 		tab, err := table.New("lookup", 4, "s0", "s1")
 		assert.NilError(t, err)
-		tab, err = tab.Assigned(table.Move{Slice: 0, To: "s0"})
+		tab, err = tab.WithAssigned(table.Move{Slice: 0, To: "s0"})
 		assert.NilError(t, err)
 		p := &platform{table: tab, rev: 1, boot: time.Now(), gap: -time.Hour}
-		l := loop.New(seat.New(seat.Config{Self: "vm0", Service: "lookup", Server: "s0", Checks: true}), p)
+		l := loop.New(lessor.New(lessor.Config{Self: "vm0", Service: "lookup", Server: "s0", FenceChecks: true}), p)
 		defer l.Close()
-		l.Send(seat.PlanMsg{Lead: true})
+		l.Send(lessor.RoleMsg{Lead: true})
 		time.Sleep(2 * time.Second)
 		p.outage(true)
-		l.Send(seat.MoveMsg{Moves: []table.Move{{Slice: 0, To: "s1"}}})
+		l.Send(lessor.MoveMsg{Moves: []table.Move{{Slice: 0, To: "s1"}}})
 		time.Sleep(10 * time.Minute)
 		_, ends, _ := p.outage(false)
 		assert.Assert(t, time.Now().Before(ends), "the lease lapsed")
--- a/internal/owner/seat/lost.go
+++ b/internal/owner/lessor/lost.go
@@ -1,4 +1,4 @@
-package seat
+package lessor
 
 import (
 	"time"
@@ -24,8 +24,8 @@
 		return
 	}
 	base := later(t.srv.heard, t.wonAt)
-	quietAt := base.Add(t.cfg.Times.Silent)
-	lapseAt := later(t.srv.used.Out(t.cfg.Times), base.Add(t.cfg.Times.Span())).Add(t.cfg.Patience)
+	quietAt := base.Add(t.cfg.Times.SilenceTimeout)
+	lapseAt := later(t.srv.used.Expiry(t.cfg.Times), base.Add(t.cfg.Times.MaxRemaining())).Add(t.cfg.Patience)
 	if t.lost() {
 		quietAt, lapseAt = base, base
 	}
@@ -50,7 +50,7 @@
 		return
 	}
 	t.helpAt = t.now.Add(helpPause)
-	t.do(SendCmd{To: t.rec.Deputy, Msg: YieldMsg{From: t.cfg.Self, Below: t.epoch + 1, Silent: true}})
+	t.do(SendCmd{To: t.rec.Deputy, Msg: PrepareMsg{From: t.cfg.Self, Below: t.epoch + 1, Silent: true}})
 }
 
 // askPlan asks where the keys of a lost server should go.
--- a/internal/owner/seat/move.go
+++ b/internal/owner/lessor/move.go
@@ -1,4 +1,4 @@
-package seat
+package lessor
 
 import (
 	"cmp"
@@ -148,7 +148,7 @@
 }
 
 func (t *turn) open(moves []table.Move, lost bool) {
-	next, err := t.tab.Moved(t.cfg.Server, t.row().Bar, moves...)
+	next, err := t.tab.WithMoves(t.cfg.Server, t.row().MinEpoch, moves...)
 	if err != nil {
 		return
 	}
@@ -207,12 +207,12 @@
 	if !known || !t.due(at) {
 		return
 	}
-	if t.cfg.Checks || t.cfg.flaw == flawReadback {
+	if t.cfg.FenceChecks || t.cfg.flaw == flawReadback {
 		t.fire(moveChart, &t.move, "clear")
 		t.writeBatch()
 		return
 	}
-	if t.b.asked.IsZero() || t.due(t.b.asked.Add(2*t.cfg.Times.Call)) {
+	if t.b.asked.IsZero() || t.due(t.b.asked.Add(2*t.cfg.Times.CallTimeout)) {
 		t.b.clearAt, t.b.asked = at, t.now
 		t.readServer()
 	}
@@ -249,9 +249,9 @@
 	}
 	edit := table.Edit{Server: t.cfg.Server, Epoch: t.epoch, Rev: t.row().Rev, Moves: left}
 	if t.cfg.flaw == flawBar {
-		edit.Epoch = t.row().Bar
+		edit.Epoch = t.row().MinEpoch
 	}
-	next, err := t.tab.Edited(edit)
+	next, err := t.tab.WithEdit(edit)
 	if err != nil {
 		t.readTable()
 		return
--- a/internal/owner/seat/move_test.go
+++ b/internal/owner/lessor/move_test.go
@@ -1,4 +1,4 @@
-package seat
+package lessor
 
 import (
 	"slices"
@@ -22,13 +22,13 @@
 	x := ident.SliceOf(key, 2)
 	tab, err := table.New("lookup", 2, "a", "b", "c")
 	assert.NilError(t, err)
-	tab, err = tab.Assigned(table.Move{Slice: 0, To: "a"}, table.Move{Slice: 1, To: "a"})
+	tab, err = tab.WithAssigned(table.Move{Slice: 0, To: "a"}, table.Move{Slice: 1, To: "a"})
 	assert.NilError(t, err)
 	at := &turn{}
 	at.tab, at.cfg.Server = tab, "a"
 	moves := at.sensible([]table.Move{{Slice: x, To: "b"}, {Slice: 1 - x, To: "c"}, {Slice: x, Key: key, To: "c"}})
 	assert.Equal(t, len(moves), 3)
-	next, err := tab.Moved("a", 0, moves...)
+	next, err := tab.WithMoves("a", 0, moves...)
 	assert.NilError(t, err)
 	assert.Equal(t, next.OwnerOf(x), ident.Server("b"))
 	assert.Assert(t, next.SetOf("a").Empty())
@@ -44,11 +44,11 @@
 func TestAMoveIsReportedUnderTheTableThatGaveIt(t *testing.T) {
 	first, err := table.New("lookup", 1, "a", "b", "c")
 	assert.NilError(t, err)
-	first, err = first.Assigned(table.Move{To: "a"})
+	first, err = first.WithAssigned(table.Move{To: "a"})
 	assert.NilError(t, err)
-	given, err := first.Moved("a", 0, table.Move{To: "b"})
+	given, err := first.WithMoves("a", 0, table.Move{To: "b"})
 	assert.NilError(t, err)
-	on, err := given.Moved("b", 0, table.Move{To: "c"})
+	on, err := given.WithMoves("b", 0, table.Move{To: "c"})
 	assert.NilError(t, err)
 	cmd := PutTableCmd{Table: given, Edit: table.Edit{Server: "a", Moves: []table.Move{{To: "b"}}}}
 	for name, answers := range map[string][]loop.Msg{
@@ -84,9 +84,9 @@
 func TestAMoveIsReportedAfterItsSeatWasLost(t *testing.T) {
 	tab, err := table.New("lookup", 1, "a", "b")
 	assert.NilError(t, err)
-	tab, err = tab.Assigned(table.Move{To: "a"})
+	tab, err = tab.WithAssigned(table.Move{To: "a"})
 	assert.NilError(t, err)
-	tab, err = tab.Barred("a", 3)
+	tab, err = tab.WithMinEpoch("a", 3)
 	assert.NilError(t, err)
 	row, _ := tab.Row("a")
 	for name, end := range map[string]func(*turn){
@@ -94,7 +94,7 @@
 		"this VM leaves":     func(at *turn) { at.leaving = true; at.now = at.now.Add(2 * leavePatience); at.runLeave() },
 	} {
 		t.Run(name, func(t *testing.T) {
-			at := &turn{Seat: New(Config{Server: "a"}), now: time.Unix(1000, 0)}
+			at := &turn{Lessor: New(Config{Server: "a"}), now: time.Unix(1000, 0)}
 			at.leaveAt = at.now
 			at.auth, at.move, at.epoch = holding, writing, 3
 			at.tab, at.tabVer = tab, 1
--- a/internal/owner/seat/msg.go
+++ b/internal/owner/lessor/msg.go
@@ -1,4 +1,4 @@
-package seat
+package lessor
 
 import (
 	"time"
@@ -17,9 +17,9 @@
 	// clock's reckoning, and must then be set anew.
 	TickMsg struct{ At time.Time }
 
-	// PlanMsg says what the roster of live VMs wants of this VM. Send it at the
+	// RoleMsg says what the roster of live VMs wants of this VM. Send it at the
 	// start and whenever it changes.
-	PlanMsg struct {
+	RoleMsg struct {
 		// Lead means: take the seat when its holder is gone, suspected, or not
 		// named yet. A seat whose holder is well stays where it is, until a
 		// RelieveMsg.
@@ -33,15 +33,15 @@
 	// it only makes the lead take over, and never counts as an end.
 	SuspectMsg struct{ VM ident.VM }
 
-	// RelieveMsg asks the lead to take the seat over from a holder that is well,
+	// TakeOverMsg asks the lead to take the seat over from a holder that is well,
 	// so that seats are even. It counts for the next look at the record alone: a
 	// holder that is not VM keeps the seat, and a store that does not answer ends
 	// the wish.
-	RelieveMsg struct{ VM ident.VM }
+	TakeOverMsg struct{ VM ident.VM }
 
-	// GoneMsg says that the platform listed the VM and now lists it as gone: no
+	// VMGoneMsg says that the platform listed the VM and now lists it as gone: no
 	// process of that name runs or will ever run.
-	GoneMsg struct{ VM ident.VM }
+	VMGoneMsg struct{ VM ident.VM }
 
 	// ServerGoneMsg says the same of the backend server: no lease can exist.
 	ServerGoneMsg struct{}
@@ -117,38 +117,38 @@
 // lost, late, doubled or out of order. From is set by the transport from the
 // peer's certificate, never believed from the message.
 type (
-	// BeatMsg goes from holder to deputy.
-	BeatMsg struct {
+	// HeartbeatMsg goes from holder to deputy.
+	HeartbeatMsg struct {
 		From  ident.VM    `cbor:"-"`
 		Epoch ident.Epoch `cbor:"epoch"`
 		// Left is what remains of the holder's term, and Echo the newest
 		// AskMsg.At that the holder had when it sent this: the deputy counts
 		// Left from there, so a late beat gives it nothing extra.
-		Left time.Duration `cbor:"left"`
-		Echo time.Duration `cbor:"echo"`
-		Born int64         `cbor:"born"`
+		Left        time.Duration `cbor:"left"`
+		Echo        time.Duration `cbor:"echo"`
+		Incarnation int64         `cbor:"born"`
 		// Mark and Rev are what a renewal needs.
 		Mark server.Mark    `cbor:"mark"`
 		Rev  ident.Revision `cbor:"rev"`
-		// Clear says that no stand-by of an earlier epoch can hold the keys. It is
+		// NoStandby says that no stand-by of an earlier epoch can hold the keys. It is
 		// left out where the record speaks of none.
-		Clear bool `cbor:"clear,omitempty"`
+		NoStandby bool `cbor:"clear,omitempty"`
 	}
 
-	// AskMsg goes from deputy to holder after a beat that names no reading of the
+	// ClockMsg goes from deputy to holder after a beat that names no reading of the
 	// deputy's clock, or an old one. At is the deputy's own clock since its
 	// process started, and Born that start: an answer to an earlier process of
 	// the same VM must not be counted on this one's clock.
-	AskMsg struct {
-		From  ident.VM      `cbor:"-"`
-		Epoch ident.Epoch   `cbor:"epoch"`
-		At    time.Duration `cbor:"at"`
-		Born  int64         `cbor:"born"`
+	ClockMsg struct {
+		From        ident.VM      `cbor:"-"`
+		Epoch       ident.Epoch   `cbor:"epoch"`
+		At          time.Duration `cbor:"at"`
+		Incarnation int64         `cbor:"born"`
 	}
 
-	// YieldMsg asks a VM to promise that it will never again act for this seat
+	// PrepareMsg asks a VM to promise that it will never again act for this seat
 	// under an epoch below Below.
-	YieldMsg struct {
+	PrepareMsg struct {
 		From  ident.VM    `cbor:"-"`
 		Below ident.Epoch `cbor:"below"`
 		// Silent is set when the holder asks its deputy because the server does
@@ -158,8 +158,8 @@
 		Silent bool `cbor:"silent,omitempty"`
 	}
 
-	// YieldedMsg is the promise.
-	YieldedMsg struct {
+	// PromiseMsg is the promise.
+	PromiseMsg struct {
 		From  ident.VM    `cbor:"-"`
 		Below ident.Epoch `cbor:"below"`
 		// Quiet adds that no lease of an order of this VM can still run.
--- a/internal/owner/seat/mutant_test.go
+++ b/internal/owner/lessor/mutant_test.go
@@ -1,4 +1,4 @@
-package seat_test
+package lessor_test
 
 import (
 	"fmt"
@@ -13,7 +13,7 @@
 	"hawthornfield.org/hawthornfield/internal/core/ident"
 	"hawthornfield.org/hawthornfield/internal/core/loop"
 	"hawthornfield.org/hawthornfield/internal/fake/world"
-	"hawthornfield.org/hawthornfield/internal/owner/seat"
+	"hawthornfield.org/hawthornfield/internal/owner/lessor"
 )
 
 // mutants names, for each broken safety rule, the property that notices it and
@@ -49,10 +49,10 @@
 	{"return", mode{Checks: true, Stand: true}, 11, "given away while"},
 }
 
-func drawn(m mode, i int, f seat.Flaw) history {
+func drawn(m mode, i int, f lessor.Flaw) history {
 	gen := rapid.Custom(func(rt *rapid.T) history { return drawHistory(rt, m) })
 	h := gen.Example(i)
-	h.opt.New = func(c seat.Config) loop.Model { return seat.New(seat.WithFlaw(c, f)) }
+	h.opt.NewLessor = func(c lessor.Config) loop.Model { return lessor.New(lessor.WithFlaw(c, f)) }
 	return h
 }
 
@@ -62,11 +62,11 @@
 	for _, m := range mutants {
 		t.Run(fmt.Sprintf("%s/%v", m.flaw, m.mode), func(t *testing.T) {
 			t.Parallel()
-			w := drawn(m.mode, m.history, seat.Flaws[m.flaw]).play()
-			all := strings.Join(w.Judge(), "\n")
+			w := drawn(m.mode, m.history, lessor.Flaws[m.flaw]).play()
+			all := strings.Join(w.Check(), "\n")
 			assert.Assert(t, strings.Contains(all, m.kills), "not noticed: %q", all)
-			whole := drawn(m.mode, m.history, seat.Flaws["none"]).play()
-			assert.Equal(t, len(whole.Judge()), 0, "the history is bad without the flaw")
+			whole := drawn(m.mode, m.history, lessor.Flaws["none"]).play()
+			assert.Equal(t, len(whole.Check()), 0, "the history is bad without the flaw")
 		})
 	}
 }
@@ -80,13 +80,13 @@
 		bad := 0
 		for seed := range uint64(60) {
 			o := world.Options{Seed: seed, VMs: 2, Servers: 2, Skew: 5}
-			o.New = func(c seat.Config) loop.Model { return seat.New(seat.WithFlaw(c, seat.Flaws[name])) }
+			o.NewLessor = func(c lessor.Config) loop.Model { return lessor.New(lessor.WithFlaw(c, lessor.Flaws[name])) }
 			w := world.New(o)
 			w.Run(2 * time.Second)
 			cutAfterOrder(w)
 			w.Run(4 * time.Second)
 			assert.Equal(t, w.Store.Table().OwnerOf(0), ident.Server("s1"), "the keys must have moved")
-			if len(w.Judge()) > 0 {
+			if len(w.Check()) > 0 {
 				bad++
 			}
 		}
@@ -105,7 +105,7 @@
 			w.Run(w.Now() + 100*time.Microsecond)
 		}
 		for _, v := range w.VMs {
-			w.Cut(string(v.ID), string(s.Name), time.Minute)
+			w.Partition(string(v.ID), string(s.Name), time.Minute)
 		}
 		w.Run(w.Now() + 2*time.Millisecond)
 		if s.Until() != end {
@@ -126,7 +126,7 @@
 			continue
 		}
 		for i := range 3000 {
-			bad := strings.Join(drawn(m, i, seat.Flaws[name]).play().Judge(), "; ")
+			bad := strings.Join(drawn(m, i, lessor.Flaws[name]).play().Check(), "; ")
 			if bad != "" && strings.Contains(bad, os.Getenv("HAWTHORN_KILLS")) {
 				t.Logf("%s %v history %d: %s", name, m, i, bad)
 				break
--- a/internal/owner/seat/order.go
+++ b/internal/owner/lessor/order.go
@@ -1,4 +1,4 @@
-package seat
+package lessor
 
 import (
 	"cmp"
@@ -67,7 +67,7 @@
 		return
 	}
 	t.sync()
-	t.srv.next = t.now.Add(t.cfg.Times.Call)
+	t.srv.next = t.now.Add(t.cfg.Times.CallTimeout)
 	switch {
 	case !t.mayRenew():
 		t.readServer()
@@ -162,7 +162,7 @@
 		f = ident.Fence{Epoch: 1, Seq: 1}
 	}
 	return server.Order{
-		Service: t.cfg.Service, Server: t.server(), Seat: t.cfg.Server, Sender: t.cfg.Self,
+		Service: t.cfg.Service, Server: t.server(), Lessor: t.cfg.Server, Sender: t.cfg.Self,
 		Fence: f, Mark: t.srv.mark.Mark, TTL: t.cfg.Times.TTL, Rev: rev,
 	}
 }
@@ -229,14 +229,14 @@
 	case r.Done:
 		t.srv.rev, t.srv.sure = r.Rev, r.Rev
 		t.srv.next = m.Order.At.Add(t.cfg.Times.Renew)
-	case r.Why == server.WhyFence:
+	case r.Reason == server.ReasonFence:
 		t.refused(r.Fence)
-	case r.Why == server.WhyRev:
+	case r.Reason == server.ReasonRev:
 		t.srv.rev, t.srv.sure, t.srv.next = 0, 0, t.now
 		if !t.mayGrant() {
 			// Only a full grant helps, and that waits for the table. Asking again
 			// at once would send the server orders as fast as it refuses them.
-			t.srv.next = t.now.Add(t.cfg.Times.Call)
+			t.srv.next = t.now.Add(t.cfg.Times.CallTimeout)
 		}
 	default: // late: the answer brought a fresh mark
 		t.srv.next = t.now.Add(lateGap)
--- a/internal/owner/seat/patience_test.go
+++ b/internal/owner/lessor/patience_test.go
@@ -1,4 +1,4 @@
-package seat_test
+package lessor_test
 
 import (
 	"fmt"
@@ -16,7 +16,7 @@
 // first slice at the end.
 func stalled(t *testing.T, seed uint64, checks bool, patience, stall time.Duration) (int, time.Duration, ident.Server) {
 	w := world.New(world.Options{
-		Seed: seed, VMs: 3, Servers: 3, Checks: checks, Skew: 5, Patience: patience, Join: joined,
+		Seed: seed, VMs: 3, Servers: 3, FenceChecks: checks, Skew: 5, Patience: patience, NewWriter: joined,
 	})
 	w.Run(2*time.Second + time.Duration(seed)*7*time.Millisecond)
 	before, from := w.Count.Moves, w.Now()
@@ -28,7 +28,7 @@
 			first = w.Now() - from
 		}
 	}
-	assert.Equal(t, len(w.Judge()), 0, "seed %d: %v", seed, w.Errs)
+	assert.Equal(t, len(w.Check()), 0, "seed %d: %v", seed, w.Errs)
 	assert.Equal(t, len(unserved(w)), 0)
 	return w.Count.Moves - before, first, w.Store.Table().OwnerOf(0)
 }
--- a/internal/owner/seat/record.go
+++ b/internal/owner/lessor/record.go
@@ -1,4 +1,4 @@
-package seat
+package lessor
 
 import (
 	"slices"
@@ -9,12 +9,12 @@
 	"hawthornfield.org/hawthornfield/internal/core/wire"
 )
 
-// Format is the newest version of a record's encoding. A record that says
+// RecordVersion is the newest version of a record's encoding. A record that says
 // nothing about stand-bys is written as version 1; one that does must not be
 // taken over by a program that does not know what they are.
 const (
-	Format      = 2
-	plainFormat = 1
+	RecordVersion = 2
+	plainFormat   = 1
 )
 
 // maxPast bounds the members that a decoded record may list. Two are added by a
@@ -51,7 +51,7 @@
 // format returns the version to write the record in.
 func (r Record) format() uint {
 	if r.Stand || slices.ContainsFunc(r.Past, func(m Member) bool { return m.Stand }) {
-		return Format
+		return RecordVersion
 	}
 	return plainFormat
 }
@@ -71,8 +71,8 @@
 	if err := wire.Decode(b, &v); err != nil {
 		return Record{}, err
 	}
-	if v.V > Format {
-		return Record{}, kinds.New(kinds.Newer, "seat record in a later format")
+	if v.V > RecordVersion {
+		return Record{}, kinds.New(kinds.NewerVersion, "seat record in a later format")
 	}
 	var r Record
 	if err := wire.Decode(b, &r); err != nil {
--- a/internal/owner/seat/seat.go
+++ b/internal/owner/lessor/seat.go
@@ -1,5 +1,5 @@
-// Package seat decides for one seat: the authority over one backend server's
-// leases. Every entry VM runs one [Seat] for each backend server of a divided
+// Package lessor decides for one seat: the authority over one backend server's
+// leases. Every entry VM runs one [Lessor] for each backend server of a divided
 // service; one of them holds the seat, another is its deputy, the rest watch.
 //
 // The pattern it answers: keys that one server at a time may serve, while VMs
@@ -10,13 +10,13 @@
 // number, and the ways weighed stand in docs/design/ownership.md; comments here
 // refer to them as "rule n". The grounds of the periods are in package lease.
 //
-// Seat is a pure loop.Model: it is told the time, and returns effects as
+// Lessor is a pure loop.Model: it is told the time, and returns effects as
 // values. Its files each have one concern: take.go wins the authority, keep.go
 // keeps and ends it, bar.go has the table's side of it, order.go and reply.go
 // talk to the server, move.go and free.go give keys away, lost.go notices a lost
 // server, stand.go and guard.go let another one stand by for it, deputy.go and
 // yield.go are about the other members, leave.go hands it over.
-package seat
+package lessor
 
 import (
 	"strconv"
@@ -35,33 +35,33 @@
 	Self    ident.VM
 	Service ident.Service
 	Server  ident.Server
-	// Checks says that the service's backend servers refuse an order whose
+	// FenceChecks says that the service's backend servers refuse an order whose
 	// fence is below one that they obeyed. The default is the careful mode, for
 	// servers that obey whoever asks.
-	Checks bool
+	FenceChecks bool
 	// Times of the service; the zero value means lease.Default().
 	Times lease.Times
 	// Patience is how long after its lease ran out a silent server keeps its
 	// keys. Zero moves them at once, for the shortest unavailable time; a
 	// service that fears churn more sets what a usual stall takes.
 	Patience time.Duration
-	// Stand lets another server stand by for a lost one while the store is down.
+	// Standby lets another server stand by for a lost one while the store is down.
 	// The service's servers must then keep one lease for each seat that grants
 	// them any.
-	Stand bool
+	Standby bool
 
 	flaw flaw
 }
 
-// Seat is the state of one seat on one VM. Make it with New; it is a value, and
+// Lessor is the state of one seat on one VM. Make it with New; it is a value, and
 // Update returns the next one.
-type Seat struct {
+type Lessor struct {
 	cfg     Config
 	born    time.Time // first message: the process's start
 	armed   time.Time // when the timer that is set will fire
 	tokens  int
 	floor   ident.Epoch // never act under an epoch below: see yield.go
-	plan    PlanMsg
+	plan    RoleMsg
 	planned bool
 	leaving bool
 	want    bool     // take the seat when its record allows
@@ -135,14 +135,14 @@
 }
 
 // New makes the seat of cfg. It does nothing until its first message.
-func New(cfg Config) Seat {
+func New(cfg Config) Lessor {
 	if cfg.Times == (lease.Times{}) {
 		cfg.Times = lease.Default()
 	}
 	if cfg.flaw == flawMargin {
 		cfg.Times.Drift, cfg.Times.Margin = 0, 0
 	}
-	return Seat{
+	return Lessor{
 		cfg:   cfg,
 		auth:  authorityChart.Start,
 		lease: leaseChart.Start,
@@ -154,12 +154,14 @@
 }
 
 // Holds reports whether this VM holds the seat at the time, and its epoch.
-func (s Seat) Holds(now time.Time) (ident.Epoch, bool) {
+func (s Lessor) Holds(now time.Time) (ident.Epoch, bool) {
 	return s.epoch, s.auth == holding && now.Before(s.until)
 }
 
-// Silent reports whether this VM holds the seat and its server does not answer.
-func (s Seat) Silent() bool { return s.auth == holding && (s.lease == silent || s.lease == out) }
+// Unresponsive reports whether this VM holds the seat and its server does not answer.
+func (s Lessor) Unresponsive() bool {
+	return s.auth == holding && (s.lease == silent || s.lease == out)
+}
 
 // Status is a seat's state for operators.
 type Status struct {
@@ -170,22 +172,22 @@
 	Lease     chart.State  `json:"lease"`
 	Move      chart.State  `json:"move"`
 	Drain     chart.State  `json:"drain"`
-	Stand     chart.State  `json:"stand"`        // as deputy
+	Standby   chart.State  `json:"stand"`        // as deputy
 	By        ident.Server `json:"by,omitempty"` // who stands by for the server
 	Until     time.Time    `json:"until"`
 }
 
 // Status returns the seat's state for operators.
-func (s Seat) Status() Status {
+func (s Lessor) Status() Status {
 	return Status{
 		Authority: s.auth, Epoch: s.epoch, Holder: s.rec.Holder, Deputy: s.rec.Deputy,
-		Lease: s.lease, Move: s.move, Drain: s.drain, Stand: s.d.state, Until: s.until, By: s.by,
+		Lease: s.lease, Move: s.move, Drain: s.drain, Standby: s.d.state, Until: s.until, By: s.by,
 	}
 }
 
 // turn is one Update at work: the state, the time, and the effects so far.
 type turn struct {
-	Seat
+	Lessor
 	now   time.Time
 	cmds  []loop.Cmd
 	wake  time.Time
@@ -197,8 +199,8 @@
 const maxPasses = 6
 
 // Update takes one message. See loop.Model.
-func (s Seat) Update(now time.Time, msg loop.Msg) (loop.Model, []loop.Cmd) {
-	t := &turn{Seat: s, now: now}
+func (s Lessor) Update(now time.Time, msg loop.Msg) (loop.Model, []loop.Cmd) {
+	t := &turn{Lessor: s, now: now}
 	if s.auth == closed {
 		return t.answerClosed(msg)
 	}
@@ -215,7 +217,7 @@
 		}
 	}
 	t.arm()
-	return t.Seat, t.cmds
+	return t.Lessor, t.cmds
 }
 
 func (t *turn) handle(msg loop.Msg) {
@@ -224,13 +226,13 @@
 		if m.At.Equal(t.armed) {
 			t.armed = time.Time{}
 		}
-	case PlanMsg:
+	case RoleMsg:
 		t.onPlan(m)
 	case SuspectMsg:
 		t.onSuspect(m)
-	case RelieveMsg:
+	case TakeOverMsg:
 		t.onRelieve(m)
-	case GoneMsg:
+	case VMGoneMsg:
 		t.heard(word{vm: m.VM, below: ^ident.Epoch(0), gone: true})
 	case ServerGoneMsg:
 		t.gone = true
@@ -257,13 +259,13 @@
 
 func (t *turn) handlePeer(msg loop.Msg) {
 	switch m := msg.(type) {
-	case BeatMsg:
+	case HeartbeatMsg:
 		t.onBeat(m)
-	case AskMsg:
+	case ClockMsg:
 		t.onAsk(m)
-	case YieldMsg:
+	case PrepareMsg:
 		t.onYield(m)
-	case YieldedMsg:
+	case PromiseMsg:
 		t.onYielded(m)
 	}
 }
--- a/internal/owner/seat/settle_test.go
+++ b/internal/owner/lessor/settle_test.go
@@ -1,4 +1,4 @@
-package seat
+package lessor
 
 import (
 	"testing"
@@ -17,12 +17,12 @@
 func settlingTurn(t *testing.T, f flaw) *turn {
 	tab, err := table.New("lookup", 2, "a", "b")
 	assert.NilError(t, err)
-	tab, err = tab.Assigned(table.Move{Slice: 0, To: "a"}, table.Move{Slice: 1, To: "a"})
+	tab, err = tab.WithAssigned(table.Move{Slice: 0, To: "a"}, table.Move{Slice: 1, To: "a"})
 	assert.NilError(t, err)
-	tab, err = tab.Barred("a", 1)
+	tab, err = tab.WithMinEpoch("a", 1)
 	assert.NilError(t, err)
 	now := time.Unix(1000, 0)
-	w := &turn{Seat: New(Config{Self: "vm", Service: "lookup", Server: "a", flaw: f}), now: now}
+	w := &turn{Lessor: New(Config{Self: "vm", Service: "lookup", Server: "a", flaw: f}), now: now}
 	w.auth, w.epoch, w.until = holding, 1, now.Add(time.Hour)
 	w.tab, w.tabVer = tab, 1
 	w.srv.mark = lease.Mark{Mark: server.Mark{Boot: 1, At: time.Minute}, Read: now}
--- a/internal/owner/seat/stand.go
+++ b/internal/owner/lessor/stand.go
@@ -1,4 +1,4 @@
-package seat
+package lessor
 
 import (
 	"github.com/cespare/xxhash/v2"
@@ -123,7 +123,7 @@
 	if t.lease != none {
 		t.fire(leaseChart, &t.lease, "forget")
 	}
-	t.do(StandCmd{Epoch: t.epoch, To: to})
+	t.do(StandbyCmd{Epoch: t.epoch, To: to})
 }
 
 // settleKeys writes the keys to the stand-by when the store is back: they have
@@ -157,8 +157,8 @@
 // nobody until no copy of it can be obeyed any more.
 func (t *turn) leavesAtOnce() bool {
 	at, known := t.clearAt()
-	if !t.cfg.Checks && t.cfg.flaw != flawLate {
-		at = later(at, t.srv.full.Out(t.cfg.Times))
+	if !t.cfg.FenceChecks && t.cfg.flaw != flawLate {
+		at = later(at, t.srv.full.Expiry(t.cfg.Times))
 	}
 	return known && t.due(at)
 }
@@ -198,7 +198,7 @@
 // onAgreed notes that our deputy agrees to a stand-by. Its process must be the
 // one that we knew from the epoch's start: one before may have given its word
 // for the opposite, and this one would not know.
-func (t *turn) onAgreed(m YieldedMsg) {
+func (t *turn) onAgreed(m PromiseMsg) {
 	if !t.reigns() || !m.Agreed || m.Below != t.epoch+1 || m.From != t.rec.Deputy {
 		return
 	}
--- a/internal/owner/seat/stand_test.go
+++ b/internal/owner/lessor/stand_test.go
@@ -1,4 +1,4 @@
-package seat_test
+package lessor_test
 
 import (
 	"strings"
@@ -10,14 +10,14 @@
 	"hawthornfield.org/hawthornfield/internal/core/ident"
 	"hawthornfield.org/hawthornfield/internal/core/loop"
 	"hawthornfield.org/hawthornfield/internal/fake/world"
-	"hawthornfield.org/hawthornfield/internal/owner/seat"
+	"hawthornfield.org/hawthornfield/internal/owner/lessor"
 )
 
 // standing returns a world of three data centres whose seats allow stand-bys,
 // with one rule broken, once all of them are held.
-func standing(checks bool, f seat.Flaw) *world.World {
-	o := world.Options{Seed: 5, VMs: 4, Checks: checks, Stand: true, Skew: 5}
-	o.New = func(c seat.Config) loop.Model { return seat.New(seat.WithFlaw(c, f)) }
+func standing(checks bool, f lessor.Flaw) *world.World {
+	o := world.Options{Seed: 5, VMs: 4, FenceChecks: checks, Standby: true, Skew: 5}
+	o.NewLessor = func(c lessor.Config) loop.Model { return lessor.New(lessor.WithFlaw(c, f)) }
 	w := world.New(o)
 	w.Run(3 * time.Second)
 	return w
@@ -27,7 +27,7 @@
 // ends.
 func cutOff(w *world.World, s *world.Server, d time.Duration) {
 	for _, v := range w.VMs {
-		w.Cut(string(v.ID), string(s.Name), d)
+		w.Partition(string(v.ID), string(s.Name), d)
 	}
 }
 
@@ -36,7 +36,7 @@
 // that one, and a driver who stands at the scale notices no second change.
 func TestAStandByServesUntilTheStoreIsBack(t *testing.T) {
 	for _, checks := range []bool{false, true} {
-		w := standing(checks, seat.Flaws["none"])
+		w := standing(checks, lessor.Flaws["none"])
 		s := w.Servers[0]
 		w.Store.Down(20 * time.Second)
 		w.Run(w.Now() + time.Second)
@@ -50,7 +50,7 @@
 		assert.Equal(t, w.Store.Table().OwnerOf(0), by.Name)
 		assert.Assert(t, w.StandBy(s.Name) == nil, "it still serves under the other's seat")
 		assert.Assert(t, w.Unavailable(0, lost, w.Now()) < time.Second, "%v", w.Unavailable(0, lost, w.Now()))
-		assert.Equal(t, len(w.Judge()), 0, "%v", w.Judge())
+		assert.Equal(t, len(w.Check()), 0, "%v", w.Check())
 	}
 }
 
@@ -62,7 +62,7 @@
 func TestAStandByServesWhenTheStoreWentDownInARetake(t *testing.T) {
 	for _, written := range []bool{false, true} {
 		for _, checks := range []bool{false, true} {
-			w := standing(checks, seat.Flaws["none"])
+			w := standing(checks, lessor.Flaws["none"])
 			s := w.Servers[0]
 			interruptRetake(t, w, s, written)
 			w.Run(w.Now() + time.Second)
@@ -75,7 +75,7 @@
 			assert.Equal(t, w.Store.Table().OwnerOf(0), by.Name)
 			assert.Assert(t, w.StandBy(s.Name) == nil, "it still serves under the other's seat")
 			assert.Assert(t, w.Unavailable(0, lost, w.Now()) < 1500*time.Millisecond, "%v", w.Unavailable(0, lost, w.Now()))
-			assert.Equal(t, len(w.Judge()), 0, "%v", w.Judge())
+			assert.Equal(t, len(w.Check()), 0, "%v", w.Check())
 		}
 	}
 }
@@ -86,7 +86,7 @@
 	t.Helper()
 	holder, rec := beginRetake(t, w, s)
 	if written {
-		w.Cut(string(holder.ID), "store", time.Second) // the answer, not what is on its way to the store
+		w.Partition(string(holder.ID), "store", time.Second) // the answer, not what is on its way to the store
 		w.Run(w.Now() + 100*time.Millisecond)
 	}
 	w.Store.Down(20 * time.Second)
@@ -95,7 +95,7 @@
 
 // beginRetake makes the holder of a server's seat name another deputy. It returns
 // the holder when the write is on its way, and the record before it.
-func beginRetake(t *testing.T, w *world.World, s *world.Server) (*world.VM, seat.Record) {
+func beginRetake(t *testing.T, w *world.World, s *world.Server) (*world.VM, lessor.Record) {
 	t.Helper()
 	rec := w.Store.Record(s.Name)
 	holder, next := w.VMs[0], ident.VM("")
@@ -108,9 +108,9 @@
 			next = v.ID
 		}
 	}
-	holder.Send(s.Name, seat.PlanMsg{Lead: true, Deputy: next})
+	holder.Send(s.Name, lessor.RoleMsg{Lead: true, Deputy: next})
 	for end := w.Now() + time.Second; w.Now() < end; w.Run(w.Now() + 50*time.Microsecond) {
-		if holder.Seat(s.Name).(seat.Seat).Status().Authority == "taking" {
+		if holder.Lessor(s.Name).(lessor.Lessor).Status().Authority == "taking" {
 			return holder, rec
 		}
 	}
@@ -121,10 +121,10 @@
 // The store goes down a moment later in the same retake: the next epoch is written,
 // its bar in the table is not. Drivers must not wait for the store then either.
 func TestAStandByServesWhenTheStoreWentDownBeforeTheBar(t *testing.T) {
-	w := standing(false, seat.Flaws["none"])
+	w := standing(false, lessor.Flaws["none"])
 	s := w.Servers[0]
 	holder, _ := beginRetake(t, w, s)
-	for holder.Seat(s.Name).(seat.Seat).Status().Authority != "barring" {
+	for holder.Lessor(s.Name).(lessor.Lessor).Status().Authority != "barring" {
 		w.Run(w.Now() + 50*time.Microsecond)
 	}
 	w.Store.Down(20 * time.Second)
@@ -137,7 +137,7 @@
 // The stand-by dies as well, in the same outage. The next one is not granted the
 // keys before its lease has run out, and then within a second.
 func TestAStandByThatIsLostIsStoodByFor(t *testing.T) {
-	w := standing(false, seat.Flaws["none"])
+	w := standing(false, lessor.Flaws["none"])
 	s := w.Servers[0]
 	w.Store.Down(20 * time.Second)
 	w.Run(w.Now() + time.Second)
@@ -151,7 +151,7 @@
 	second := w.StandBy(s.Name)
 	assert.Assert(t, second != nil && second != first, "nobody stands by for the stand-by")
 	assert.Assert(t, w.Unavailable(0, lost, w.Now()) < 1500*time.Millisecond, "%v", w.Unavailable(0, lost, w.Now()))
-	assert.Equal(t, len(w.Judge()), 0, "%v", w.Judge())
+	assert.Equal(t, len(w.Check()), 0, "%v", w.Check())
 }
 
 // A stand-by has the keys of a server that is lost. The platform then lists that
@@ -159,7 +159,7 @@
 // once because "their server is gone": the stand-by serves them.
 func TestAStandByIsNotGoneWithItsServer(t *testing.T) {
 	for name, early := range map[string]bool{"none": false, "gone": true} {
-		w := standing(false, seat.Flaws[name])
+		w := standing(false, lessor.Flaws[name])
 		s := w.Servers[0]
 		w.Store.Down(8 * time.Second)
 		w.Run(w.Now() + time.Second)
@@ -167,11 +167,11 @@
 		w.Run(w.Now() + 3*time.Second)
 		assert.Assert(t, w.StandBy(s.Name) != nil, "nobody stands by")
 		for _, v := range w.VMs {
-			v.Send(s.Name, seat.ServerGoneMsg{})
+			v.Send(s.Name, lessor.ServerGoneMsg{})
 		}
 		w.Run(w.Now() + 15*time.Second)
 		assert.Assert(t, w.Store.Table().SetOf(s.Name).Empty(), "the keys must have moved")
-		assert.Equal(t, len(w.Judge()) > 0, early, "%s: %v", name, w.Judge())
+		assert.Equal(t, len(w.Check()) > 0, early, "%s: %v", name, w.Check())
 	}
 }
 
@@ -181,21 +181,21 @@
 // known to have ended: a scale would have two owners for seconds.
 func TestASuccessorWaitsForTheStandBy(t *testing.T) {
 	for name, early := range map[string]bool{"none": false, "forget": true} {
-		w := standing(false, seat.Flaws[name])
+		w := standing(false, lessor.Flaws[name])
 		s := w.Servers[0]
 		rec := w.Store.Record(s.Name)
-		w.Cut(string(rec.Holder), "store", 20*time.Second)
+		w.Partition(string(rec.Holder), "store", 20*time.Second)
 		cutOff(w, s, 1500*time.Millisecond)
-		w.Cut(string(rec.Holder), string(s.Name), 20*time.Second)
+		w.Partition(string(rec.Holder), string(s.Name), 20*time.Second)
 		w.Run(w.Now() + 1600*time.Millisecond)
 		assert.Assert(t, w.StandBy(s.Name) != nil, "nobody stands by")
 		for _, v := range w.VMs {
-			w.Cut(string(rec.Holder), string(v.ID), 10*time.Second)
+			w.Partition(string(rec.Holder), string(v.ID), 10*time.Second)
 		}
 		w.Run(w.Now() + 9*time.Second)
 		next := w.Store.Record(s.Name)
 		assert.Assert(t, next.Epoch > rec.Epoch && next.Holder != rec.Holder, "nobody took over")
-		assert.Equal(t, len(w.Judge()) > 0, early, "%s: %v", name, w.Judge())
+		assert.Equal(t, len(w.Check()) > 0, early, "%s: %v", name, w.Check())
 		w.Run(w.Now() + 15*time.Second)
 		for x := range 6 {
 			assert.Assert(t, early || w.Served(x), "slice %d is served by nobody", x)
@@ -210,24 +210,24 @@
 func TestAHolderLendsNothingAfterItsDeputyGaveItsWord(t *testing.T) {
 	for _, checks := range []bool{false, true} {
 		for name, two := range map[string]bool{"none": false, "agree": true} {
-			w := standing(checks, seat.Flaws[name])
+			w := standing(checks, lessor.Flaws[name])
 			s := w.Servers[0]
 			rec := w.Store.Record(s.Name)
 			var third *world.VM
 			for _, v := range w.VMs {
 				if v.ID != rec.Holder && v.ID != rec.Deputy {
 					third = v
-					w.Cut(string(rec.Holder), string(v.ID), 10*time.Second)
+					w.Partition(string(rec.Holder), string(v.ID), 10*time.Second)
 				}
 			}
 			for _, to := range []string{"store", string(s.Name)} {
-				w.Cut(string(rec.Holder), to, 10*time.Second)
+				w.Partition(string(rec.Holder), to, 10*time.Second)
 			}
-			third.Send(s.Name, seat.PlanMsg{Lead: true, Deputy: rec.Deputy})
-			third.Send(s.Name, seat.RelieveMsg{VM: rec.Holder})
+			third.Send(s.Name, lessor.RoleMsg{Lead: true, Deputy: rec.Deputy})
+			third.Send(s.Name, lessor.TakeOverMsg{VM: rec.Holder})
 			w.Run(w.Now() + 5*time.Second)
 			assert.Equal(t, w.Store.Record(s.Name).Holder, third.ID, "nobody took over")
-			all := strings.Join(w.Judge(), "\n")
+			all := strings.Join(w.Check(), "\n")
 			assert.Equal(t, strings.Contains(all, "two owners"), two, "%s, checks=%v: %s", name, checks, all)
 		}
 	}
@@ -236,14 +236,14 @@
 // The record says that a stand-by is allowed. A program of before stand-bys must
 // not take the seat over; a record without one it can still read.
 func TestARecordWithAStandByIsOfALaterFormat(t *testing.T) {
-	for _, r := range []seat.Record{
+	for _, r := range []lessor.Record{
 		{Epoch: 3, Holder: "a", Deputy: "b"},
 		{Epoch: 3, Holder: "a", Deputy: "b", Stand: true},
-		{Epoch: 4, Holder: "a", Past: []seat.Member{{VM: "b", Epoch: 3, Stand: true}}},
+		{Epoch: 4, Holder: "a", Past: []lessor.Member{{VM: "b", Epoch: 3, Stand: true}}},
 	} {
 		b, err := r.Encode()
 		assert.NilError(t, err)
-		got, err := seat.DecodeRecord(b)
+		got, err := lessor.DecodeRecord(b)
 		assert.NilError(t, err)
 		plain := !r.Stand && len(r.Past) == 0
 		assert.Equal(t, got.V == 1, plain)
--- a/internal/owner/seat/take.go
+++ b/internal/owner/lessor/take.go
@@ -1,4 +1,4 @@
-package seat
+package lessor
 
 import (
 	"time"
@@ -19,7 +19,7 @@
 	until time.Time
 }
 
-func (t *turn) onPlan(m PlanMsg) {
+func (t *turn) onPlan(m RoleMsg) {
 	// The first plan makes a fresh process look whether its predecessor on this
 	// VM held the seat: the roster sees the VM live, so nobody else would act.
 	if !t.planned || m.Lead && !t.plan.Lead {
@@ -42,7 +42,7 @@
 // onRelieve notes whom to take the seat over from. Like a suspicion it only makes
 // the lead look, but a suspicion counts for seconds: two VMs that both take
 // themselves for the lead would pass the seat to and fro all that time.
-func (t *turn) onRelieve(m RelieveMsg) {
+func (t *turn) onRelieve(m TakeOverMsg) {
 	if t.plan.Lead && !t.leaving {
 		t.relieve, t.want = m.VM, true
 	}
@@ -83,12 +83,12 @@
 }
 
 func (t *turn) readRecord() {
-	t.storeAt = t.now.Add(2 * t.cfg.Times.Store)
+	t.storeAt = t.now.Add(2 * t.cfg.Times.StoreTimeout)
 	t.do(ReadRecordCmd{At: t.now})
 }
 
 func (t *turn) onRecord(m RecordMsg) {
-	if m.Kind != kinds.None && m.Kind != kinds.Absent {
+	if m.Kind != kinds.None && m.Kind != kinds.NotFound {
 		t.storeFailed()
 		return
 	}
@@ -143,15 +143,15 @@
 // the careful mode nothing else holds them back.
 func (t *turn) nextRecord() Record {
 	old := t.rec
-	t.pastEnd = t.cfg.Times.Ended(t.recAt, max(old.Term, t.cfg.Times.Term))
+	t.pastEnd = t.cfg.Times.PriorAuthorityEnd(t.recAt, max(old.Term, t.cfg.Times.Term))
 	r := Record{
-		V: Format, Epoch: max(old.Epoch+1, t.floor), Holder: t.cfg.Self,
+		V: RecordVersion, Epoch: max(old.Epoch+1, t.floor), Holder: t.cfg.Self,
 		Deputy: t.plan.Deputy, Term: t.cfg.Times.Term, Token: t.newToken(),
 	}
 	if r.Deputy == t.cfg.Self || t.isGone(r.Deputy) {
 		r.Deputy = ""
 	}
-	r.Stand = t.cfg.Stand && r.Deputy != ""
+	r.Stand = t.cfg.Standby && r.Deputy != ""
 	for _, m := range append(old.members(), old.Past...) {
 		if t.longEnded(m) {
 			continue
@@ -177,7 +177,7 @@
 func (t *turn) write(r Record) {
 	t.put = PutRecordCmd{Record: r, Old: t.ver, At: t.now}
 	t.putting, t.hung = true, false
-	t.storeAt = t.now.Add(2 * t.cfg.Times.Store)
+	t.storeAt = t.now.Add(2 * t.cfg.Times.StoreTimeout)
 	t.do(t.put)
 }
 
@@ -192,7 +192,7 @@
 	case m.Kind == kinds.None:
 		t.rec, t.ver, t.down = t.put.Record, max(t.ver, m.Version), false
 		t.settlePut()
-	case m.Kind == kinds.Down && !t.hung:
+	case m.Kind == kinds.Unavailable && !t.hung:
 		t.putFailed()
 	default:
 		t.down = t.down || m.Kind == kinds.Ambiguous
@@ -248,7 +248,7 @@
 		// Not written yet. The same write again is safe: it and a late first one
 		// name the same version, so one of them at most takes effect.
 		t.fire(authorityChart, &t.auth, "again")
-		t.storeAt = t.now.Add(2 * t.cfg.Times.Store)
+		t.storeAt = t.now.Add(2 * t.cfg.Times.StoreTimeout)
 		t.do(t.put)
 	default:
 		t.putting = false
@@ -262,11 +262,11 @@
 	t.want, t.d.called, t.tells = false, false, 0
 	t.former = 0
 	written := t.tabBusy || t.b.doubt || t.b.hung // may still give keys away under its bar
-	if t.epoch != 0 && t.row().Bar == t.epoch && !written {
+	if t.epoch != 0 && t.row().MinEpoch == t.epoch && !written {
 		t.former = t.epoch
 	}
 	t.epoch = t.put.Record.Epoch
-	t.until = t.cfg.Times.Until(t.put.At, t.put.Record.Term)
+	t.until = t.cfg.Times.AuthorityEnd(t.put.At, t.put.Record.Term)
 	t.wonAt = t.now
 	t.tabBusy, t.clashes = false, 0
 	t.freshAt = t.now.Add(t.cfg.Times.Term / 3)
--- a/internal/owner/seat/tell.go
+++ b/internal/owner/lessor/tell.go
@@ -1,4 +1,4 @@
-package seat
+package lessor
 
 import "time"
 
@@ -23,12 +23,12 @@
 	}
 	t.tells--
 	t.tellAt = t.now.Add(tellPause)
-	t.promise(YieldMsg{From: heir, Below: t.rec.Epoch})
+	t.promise(PrepareMsg{From: heir, Below: t.rec.Epoch})
 }
 
 // onTold makes a process look at the record that hears of an epoch which it does
 // not know.
-func (t *turn) onTold(m YieldedMsg) {
+func (t *turn) onTold(m PromiseMsg) {
 	if t.auth == idle && m.Below > t.rec.Epoch && m.Below > t.d.epoch+1 {
 		t.want = true
 	}
--- a/internal/owner/seat/yield.go
+++ b/internal/owner/lessor/yield.go
@@ -1,4 +1,4 @@
-package seat
+package lessor
 
 import (
 	"slices"
@@ -97,12 +97,12 @@
 func (t *turn) longEnded(m Member) bool {
 	for _, o := range t.others {
 		if o.Member == m && o.done {
-			return !t.now.Before(o.at.Add(t.cfg.Times.Span()))
+			return !t.now.Before(o.at.Add(t.cfg.Times.MaxRemaining()))
 		}
 	}
 	for _, w := range t.words {
 		if w.gone && w.vm == m.VM {
-			return !t.now.Before(w.at.Add(t.cfg.Times.Span()))
+			return !t.now.Before(w.at.Add(t.cfg.Times.MaxRemaining()))
 		}
 	}
 	return false
@@ -126,13 +126,13 @@
 	for i, o := range t.others {
 		first := slices.IndexFunc(t.others, func(p other) bool { return p.VM == o.VM }) == i
 		if !o.done && o.Epoch < t.epoch && first {
-			t.do(SendCmd{To: o.VM, Msg: YieldMsg{From: t.cfg.Self, Below: t.epoch}})
+			t.do(SendCmd{To: o.VM, Msg: PrepareMsg{From: t.cfg.Self, Below: t.epoch}})
 		}
 	}
 }
 
 // onYield answers a request to yield.
-func (t *turn) onYield(m YieldMsg) {
+func (t *turn) onYield(m PrepareMsg) {
 	if !m.Silent || m.From != t.d.holder || t.d.state == off || m.Below != t.d.epoch+1 {
 		t.promise(m)
 		return
@@ -146,7 +146,7 @@
 }
 
 // promise keeps this VM from acting under any epoch below, for good.
-func (t *turn) promise(m YieldMsg) {
+func (t *turn) promise(m PrepareMsg) {
 	if m.Silent {
 		t.agree(m.Below - 1)
 	}
@@ -155,7 +155,7 @@
 		t.floor = max(t.floor, m.Below)
 		t.obeyFloor()
 	}
-	t.do(SendCmd{To: m.From, Msg: YieldedMsg{
+	t.do(SendCmd{To: m.From, Msg: PromiseMsg{
 		From: t.cfg.Self, Below: m.Below, Quiet: t.quiet(), Clean: t.vouch,
 		Agreed: m.Silent && t.agreed+1 == m.Below, Born: t.born.UnixNano(),
 	}})
@@ -173,12 +173,12 @@
 // quiet reports that no lease of an order of this VM can still run. What an
 // earlier process of this VM sent counts from before our start.
 func (t *turn) quiet() bool {
-	span := t.cfg.Times.Span()
-	return !t.now.Before(t.srv.used.Out(t.cfg.Times)) && !t.now.Before(t.born.Add(span))
+	span := t.cfg.Times.MaxRemaining()
+	return !t.now.Before(t.srv.used.Expiry(t.cfg.Times)) && !t.now.Before(t.born.Add(span))
 }
 
 // onYielded takes a promise.
-func (t *turn) onYielded(m YieldedMsg) {
+func (t *turn) onYielded(m PromiseMsg) {
 	t.heard(word{vm: m.From, below: m.Below, quiet: m.Quiet, clean: m.Clean})
 	t.onAgreed(m)
 	t.onTold(m)
--- a/internal/owner/trial/cost.go
+++ b/internal/owner/outage/cost.go
@@ -1,4 +1,4 @@
-package trial
+package outage
 
 import (
 	"fmt"
@@ -35,8 +35,8 @@
 // its own here, which a VM's runner answers from one List.
 func Cost(seed uint64, n int) CostRow {
 	w := world.New(world.Options{
-		Seed: seed, VMs: n, Servers: n, Slices: n, Centres: 4, Term: costTerm, Lean: true,
-		Join: joined,
+		Seed: seed, VMs: n, Servers: n, Slices: n, Centres: 4, Term: costTerm, SkipIdleTables: true,
+		NewWriter: joined,
 	})
 	w.Run(costWarmup)
 	a := w.Count
--- a/internal/owner/trial/faults.go
+++ b/internal/owner/outage/faults.go
@@ -1,11 +1,11 @@
-package trial
+package outage
 
 import (
 	"time"
 
 	"hawthornfield.org/hawthornfield/internal/core/ident"
 	"hawthornfield.org/hawthornfield/internal/fake/world"
-	"hawthornfield.org/hawthornfield/internal/owner/seat"
+	"hawthornfield.org/hawthornfield/internal/owner/lessor"
 	"hawthornfield.org/hawthornfield/internal/owner/table"
 )
 
@@ -92,13 +92,13 @@
 }
 
 func cutStore(w *world.World, s *world.Server) func(int) bool {
-	w.Cut(string(holder(w, s).ID), "store", cut)
+	w.Partition(string(holder(w, s).ID), "store", cut)
 	return nil
 }
 
 func cutServers(w *world.World, s *world.Server) func(int) bool {
 	for _, o := range w.Servers {
-		w.Cut(string(holder(w, s).ID), string(o.Name), cut)
+		w.Partition(string(holder(w, s).ID), string(o.Name), cut)
 	}
 	return nil
 }
@@ -175,9 +175,9 @@
 }
 
 func drained(w *world.World, s *world.Server) func(int) bool {
-	s.Drains = true
+	s.Draining = true
 	for _, v := range w.VMs {
-		v.Send(s.Name, seat.DrainMsg{})
+		v.Send(s.Name, lessor.DrainMsg{})
 	}
 	return of(w, s)
 }
@@ -190,7 +190,7 @@
 	set := w.Store.Table().SetOf(s.Name)
 	x := set.Slices[0]
 	for _, v := range w.VMs {
-		v.Send(s.Name, seat.MoveMsg{Moves: []table.Move{{Slice: x, To: to.Name}}})
+		v.Send(s.Name, lessor.MoveMsg{Moves: []table.Move{{Slice: x, To: to.Name}}})
 	}
 	return func(y int) bool { return y == int(x) }
 }
--- a/internal/owner/trial/naive.go
+++ b/internal/owner/outage/naive.go
@@ -1,4 +1,4 @@
-package trial
+package outage
 
 import (
 	"math/rand/v2"
--- a/internal/owner/trial/table_test.go
+++ b/internal/owner/outage/table_test.go
@@ -1,4 +1,4 @@
-package trial
+package outage
 
 import (
 	"os"
@@ -28,8 +28,8 @@
 	}
 	t.Log("\n" + Markdown(rows))
 	for _, r := range rows {
-		if r.Bad > 0 {
-			t.Errorf("%s: %d runs broke a promise", r.Fault, r.Bad)
+		if r.Violations > 0 {
+			t.Errorf("%s: %d runs broke a promise", r.Fault, r.Violations)
 		}
 	}
 }
--- a/internal/owner/trial/trial.go
+++ b/internal/owner/outage/trial.go
@@ -1,4 +1,4 @@
-// Package trial measures what faults cost: for each fault of the design note it
+// Package perf measures what faults cost: for each fault of the design note it
 // runs the seats in the stand-in world under many seeds, and reports how long a
 // key had no server that served it.
 //
@@ -7,7 +7,7 @@
 // that is hit (or over all keys, where no server is), the worst key of each run.
 // Beside each stands the naive way: a lease for each server in the store,
 // renewed there (naive.go).
-package trial
+package outage
 
 import (
 	"context"
@@ -32,27 +32,27 @@
 	P99   time.Duration
 	Max   time.Duration
 	Moves float64 // keys moved in a run, on average
-	// Bad counts runs in which a promise was broken. It must be zero.
-	Bad int
+	// Violations counts runs in which a promise was broken. It must be zero.
+	Violations int
 	// Naive is the naive baseline under the same fault.
 	NaiveP50, NaiveP99, NaiveMax time.Duration
 }
 
 // Mode is what a service's servers and its settings have it.
 type Mode struct {
-	Checks bool // its servers check fences
-	Stand  bool // another server stands by for a lost one while the store is down
+	FenceChecks bool // its servers check fences
+	Standby     bool // another server stands by for a lost one while the store is down
 }
 
 // Modes are measured for every fault.
-var Modes = []Mode{{}, {Checks: true}, {Stand: true}, {Checks: true, Stand: true}}
+var Modes = []Mode{{}, {FenceChecks: true}, {Standby: true}, {FenceChecks: true, Standby: true}}
 
 func (m Mode) String() string {
 	name := "careful"
-	if m.Checks {
+	if m.FenceChecks {
 		name = "checks"
 	}
-	if m.Stand {
+	if m.Standby {
 		name += ", stand-by"
 	}
 	return name
@@ -74,7 +74,7 @@
 	var rows []Row
 	for _, f := range Faults {
 		for _, m := range Modes {
-			if !m.Stand || !f.small {
+			if !m.Standby || !f.small {
 				rows = append(rows, Measure(f, seed, runs, m))
 			}
 		}
@@ -102,8 +102,8 @@
 func once(f Fault, seed uint64, m Mode) outcome {
 	rng := rand.New(rand.NewPCG(seed, 7))
 	o := world.Options{
-		Seed: seed, Checks: m.Checks, Stand: m.Stand, Skew: 5, Term: f.term,
-		VMs: 6, Servers: 6, Slices: 18, Centres: 3, Join: joined,
+		Seed: seed, FenceChecks: m.FenceChecks, Standby: m.Standby, Skew: 5, Term: f.term,
+		VMs: 6, Servers: 6, Slices: 18, Centres: 3, NewWriter: joined,
 	}
 	if f.small {
 		o.VMs, o.Servers, o.Slices = 3, 3, 3
@@ -121,7 +121,7 @@
 		}
 	}
 	out.moves = w.Count.Moves - before
-	out.bad = len(w.Judge()) > 0
+	out.bad = len(w.Check()) > 0
 	out.naive = f.naive(rng)
 	return out
 }
@@ -139,7 +139,7 @@
 		ours, naive = append(ours, o.gone), append(naive, o.naive)
 		r.Moves += float64(o.moves) / float64(len(got))
 		if o.bad {
-			r.Bad++
+			r.Violations++
 		}
 	}
 	r.P50, r.P99, r.Max = quantiles(ours)
--- a/internal/owner/trial/trial_test.go
+++ b/internal/owner/outage/trial_test.go
@@ -1,4 +1,4 @@
-package trial
+package outage
 
 import (
 	"testing"
@@ -23,7 +23,7 @@
 	for _, m := range Modes {
 		r := Measure(find(t, "owner lost"), 1, 100, m)
 		t.Logf("%+v", r)
-		assert.Equal(t, r.Bad, 0)
+		assert.Equal(t, r.Violations, 0)
 		assert.Assert(t, r.P99 <= time.Second, "p99 %v", r.P99)
 		assert.Assert(t, r.P50 > 500*time.Millisecond, "too good to be true: %v", r.P50)
 	}
@@ -34,7 +34,7 @@
 func TestStoreOutageAloneCostsNothing(t *testing.T) {
 	for _, m := range Modes {
 		r := Measure(find(t, "store down 10 min"), 1, 2, m)
-		assert.Equal(t, r.Bad, 0)
+		assert.Equal(t, r.Violations, 0)
 		assert.Equal(t, r.Max, time.Duration(0))
 	}
 }
@@ -46,7 +46,7 @@
 		for _, m := range Modes {
 			r := Measure(find(t, name), 1, 20, m)
 			t.Logf("%+v", r)
-			assert.Equal(t, r.Bad, 0)
+			assert.Equal(t, r.Violations, 0)
 			assert.Equal(t, r.Max, time.Duration(0))
 		}
 	}
@@ -59,8 +59,8 @@
 	for _, m := range Modes {
 		r := Measure(find(t, "store down 20 s, owner lost"), 1, 20, m)
 		t.Logf("%+v", r)
-		assert.Equal(t, r.Bad, 0)
-		assert.Equal(t, r.P99 < 1500*time.Millisecond, m.Stand, "p99 %v", r.P99)
+		assert.Equal(t, r.Violations, 0)
+		assert.Equal(t, r.P99 < 1500*time.Millisecond, m.Standby, "p99 %v", r.P99)
 	}
 }
 
@@ -71,8 +71,8 @@
 	for _, m := range Modes {
 		r := Measure(find(t, "holder and deputy lost together"), 1, 20, m)
 		t.Logf("%+v", r)
-		assert.Equal(t, r.Bad, 0)
-		assert.Equal(t, r.Max > 0, m.Stand, "max %v", r.Max)
+		assert.Equal(t, r.Violations, 0)
+		assert.Equal(t, r.Max > 0, m.Standby, "max %v", r.Max)
 		assert.Assert(t, r.Max < lag+time.Second, "max %v", r.Max)
 	}
 }
--- a/internal/owner/place/balance.go
+++ b/internal/owner/place/balance.go
@@ -164,7 +164,7 @@
 }
 
 // give moves an item for balance.
-func (p *plan) give(i, to int, why Why) {
+func (p *plan) give(i, to int, why Reason) {
 	x := &p.items[i]
 	if x.why == "" {
 		x.why = why
--- a/internal/owner/place/curve.go
+++ b/internal/owner/place/curve.go
@@ -14,7 +14,7 @@
 
 // Row is one point of the curve of imbalance against churn.
 type Row struct {
-	Way       string  `json:"way"`       // how keys are placed
+	Strategy  string  `json:"way"`       // how keys are placed
 	Param     float64 `json:"param"`     // its width or bound
 	Imbalance float64 `json:"imbalance"` // highest load over mean, average over the run
 	Worst     float64 `json:"worst"`     // the same at the worst moment
@@ -22,7 +22,7 @@
 	Forced    float64 `json:"forced"`    // of it, moved because a server left
 }
 
-// Curve sizes: one service as of today, an hour of one plan a minute.
+// Simulate sizes: one service as of today, an hour of one plan a minute.
 const (
 	curveSlices  = 4096
 	curveServers = 17
@@ -32,10 +32,10 @@
 	ringVotes    = 64  // points of a server on the bounded-load ring
 )
 
-// Curve runs the same hour under each way of placing keys: load drifts at each
+// Simulate runs the same hour under each way of placing keys: load drifts at each
 // step, hot slices change, every ten minutes one server leaves and returns five
 // minutes later. The same seed gives the same rows.
-func Curve(seed uint64) []Row {
+func Simulate(seed uint64) []Row {
 	var rows []Row
 	for _, high := range []float64{0.02, 0.05, 0.1, 0.15, 0.25, 0.4, 0.7} {
 		band := Band{High: high, Low: min(lowest, 2*high), Budget: curveSlices}
@@ -67,16 +67,16 @@
 	rnd := rand.New(rand.NewPCG(seed, curveSlices))
 	in := Input{Owners: make([]ident.Server, curveSlices), Loads: make([]float64, curveSlices)}
 	for i := range curveServers {
-		in.Servers = append(in.Servers, Server{ID: ident.Server("s" + strconv.Itoa(i)), Takes: true})
+		in.Servers = append(in.Servers, Server{ID: ident.Server("s" + strconv.Itoa(i)), Accepting: true})
 	}
 	for i, s := range rnd.Perm(curveSlices) {
 		in.Loads[s] = math.Pow(float64(i+20), -curveSkew)
 	}
 	in.Owners = next(in)
-	row := Row{Way: way, Param: param}
+	row := Row{Strategy: way, Param: param}
 	for step := range curvePlans {
 		drift(rnd, in.Loads)
-		in.Servers[step/10].Takes = step%10 >= 5
+		in.Servers[step/10].Accepting = step%10 >= 5
 		owners := next(in)
 		for s := range owners {
 			if owners[s] == in.Owners[s] {
@@ -106,7 +106,7 @@
 }
 
 func takes(in Input, id ident.Server) bool {
-	return slices.ContainsFunc(in.Servers, func(s Server) bool { return s.ID == id && s.Takes })
+	return slices.ContainsFunc(in.Servers, func(s Server) bool { return s.ID == id && s.Accepting })
 }
 
 // Imbalance returns the highest load of a server that takes keys over the mean
@@ -137,7 +137,7 @@
 	for s := range owners {
 		best := uint64(0)
 		for _, x := range in.Servers {
-			if h := xxhash.Sum64String(string(x.ID) + "/" + strconv.Itoa(s)); x.Takes && h >= best {
+			if h := xxhash.Sum64String(string(x.ID) + "/" + strconv.Itoa(s)); x.Accepting && h >= best {
 				best, owners[s] = h, x.ID
 			}
 		}
@@ -157,7 +157,7 @@
 	var points []point
 	total, n := 0.0, 0.0
 	for _, x := range in.Servers {
-		if !x.Takes {
+		if !x.Accepting {
 			continue
 		}
 		n++
--- a/internal/owner/place/place.go
+++ b/internal/owner/place/place.go
@@ -35,9 +35,9 @@
 	// Ramp is the share of its capacity that it has reached since a cold start,
 	// from 0 to 1; see RampOf. Zero counts as 1.
 	Ramp float64
-	// Takes says that it may get keys. A server that does not take keys loses
+	// Accepting says that it may get keys. A server that does not take keys loses
 	// those that it has.
-	Takes bool
+	Accepting bool
 }
 
 // RampOf returns the share of its capacity that a server has reached. It begins
@@ -74,28 +74,28 @@
 	Band  Band
 }
 
-// Why says what a move is for.
-type Why string
+// Reason says what a move is for.
+type Reason string
 
 // The reasons, in the order in which moves are made.
 const (
-	Orphan Why = "orphan" // the owner is lost or there was none
-	Drain  Why = "drain"  // the owner leaves
-	Hold   Why = "hold"   // a hot key stays while its slice moves
-	Join   Why = "join"   // a key returns to its slice, no one else owns it meanwhile
-	Excess Why = "excess" // the owner has more than the band allows
-	Fill   Why = "fill"   // the new owner has less than the band allows
+	Orphan Reason = "orphan" // the owner is lost or there was none
+	Drain  Reason = "drain"  // the owner leaves
+	Hold   Reason = "hold"   // a hot key stays while its slice moves
+	Join   Reason = "join"   // a key returns to its slice, no one else owns it meanwhile
+	Excess Reason = "excess" // the owner has more than the band allows
+	Fill   Reason = "fill"   // the new owner has less than the band allows
 )
 
 // Move is one change of ownership. With Key set it concerns that key alone, and
 // Slice names where it hashes to; To then owns it apart from the slice, or with
 // it again when To is the slice's owner.
 type Move struct {
-	Slice ident.Slice
-	Key   ident.Key
-	From  ident.Server
-	To    ident.Server
-	Why   Why
+	Slice  ident.Slice
+	Key    ident.Key
+	From   ident.Server
+	To     ident.Server
+	Reason Reason
 }
 
 // Band says how far a server's load may be from the mean before keys move, and
--- a/internal/owner/place/place_test.go
+++ b/internal/owner/place/place_test.go
@@ -20,11 +20,11 @@
 	n := rapid.IntRange(1, 8).Draw(t, "servers")
 	for i := range n {
 		in.Servers = append(in.Servers, Server{
-			ID:     id(i),
-			Centre: ident.Centre(rapid.SampledFrom([]string{"east", "west"}).Draw(t, "centre")),
-			Weight: rapid.SampledFrom([]float64{0, 1, 2}).Draw(t, "weight"),
-			Ramp:   rapid.SampledFrom([]float64{0, 0.3, 1}).Draw(t, "ramp"),
-			Takes:  rapid.IntRange(0, 4).Draw(t, "takes") > 0,
+			ID:        id(i),
+			Centre:    ident.Centre(rapid.SampledFrom([]string{"east", "west"}).Draw(t, "centre")),
+			Weight:    rapid.SampledFrom([]float64{0, 1, 2}).Draw(t, "weight"),
+			Ramp:      rapid.SampledFrom([]float64{0, 0.3, 1}).Draw(t, "ramp"),
+			Accepting: rapid.IntRange(0, 4).Draw(t, "takes") > 0,
 		})
 	}
 	slots := rapid.IntRange(1, 60).Draw(t, "slices")
@@ -68,7 +68,7 @@
 func takers(in Input) int {
 	n := 0
 	for _, s := range in.Servers {
-		if s.Takes {
+		if s.Accepting {
 			n++
 		}
 	}
@@ -98,7 +98,7 @@
 				assert.Equal(t, m.From, in.Owners[m.Slice])
 				assert.Assert(t, m.From != m.To)
 			}
-			if m.Why == Excess || m.Why == Fill {
+			if m.Reason == Excess || m.Reason == Fill {
 				assert.Assert(t, takes(in, m.From))
 				balance++
 			}
@@ -134,7 +134,7 @@
 		}
 		again := Plan(out)
 		for _, m := range again {
-			assert.Assert(t, m.Why == Excess || m.Why == Fill || m.Why == Hold || m.Why == Join, "%+v", m)
+			assert.Assert(t, m.Reason == Excess || m.Reason == Fill || m.Reason == Hold || m.Reason == Join, "%+v", m)
 		}
 		if ours <= 1+in.Band.High && lowest1(out) >= 1-in.Band.Low {
 			assert.Equal(t, len(again), 0, "%v", again)
@@ -174,7 +174,7 @@
 // another server has been relieved by the filling of an idle one.
 func TestFillingCanOpenAWayToRelieve(t *testing.T) {
 	in := Input{Band: Band{High: 0.2, Low: 0.1, Budget: 1000}}
-	in.Servers = []Server{{ID: "s0", Weight: 0.6, Takes: true}, {ID: "s4", Takes: true}, {ID: "s5", Weight: 0.6, Takes: true}}
+	in.Servers = []Server{{ID: "s0", Weight: 0.6, Accepting: true}, {ID: "s4", Accepting: true}, {ID: "s5", Weight: 0.6, Accepting: true}}
 	in.Owners = []ident.Server{"s4", "s4", "s0"}
 	in.Loads = []float64{1, 1, 2}
 	assert.Assert(t, !helps(after(in, Plan(in))))
@@ -183,7 +183,7 @@
 func even(servers, slots int, band Band) Input {
 	in := Input{Band: band}
 	for i := range servers {
-		in.Servers = append(in.Servers, Server{ID: id(i), Takes: true})
+		in.Servers = append(in.Servers, Server{ID: id(i), Accepting: true})
 	}
 	for s := range slots {
 		in.Owners = append(in.Owners, id(s%servers))
@@ -205,7 +205,7 @@
 	assert.Equal(t, p.hosts[1].load, 59.5)
 	for _, m := range moves {
 		if m.Key != "" {
-			assert.Equal(t, m, Move{Slice: 5, Key: "ward", From: "s1", To: "s1", Why: Hold})
+			assert.Equal(t, m, Move{Slice: 5, Key: "ward", From: "s1", To: "s1", Reason: Hold})
 			continue
 		}
 		assert.Equal(t, m.From, id(1))
@@ -221,7 +221,7 @@
 	in.Hot = []Hot{{Key: "scale", Slice: 5, Load: 6.5}}
 	in.Servers[2].Weight = 1.4
 	moves := Plan(in)
-	assert.DeepEqual(t, moves, []Move{{Slice: 5, Key: "scale", From: "s1", To: "s2", Why: Excess}})
+	assert.DeepEqual(t, moves, []Move{{Slice: 5, Key: "scale", From: "s1", To: "s2", Reason: Excess}})
 	out := after(in, moves)
 	assert.Equal(t, out.Hot[0].Owner, id(2))
 	assert.Equal(t, len(Plan(out)), 0)
@@ -231,11 +231,11 @@
 // one plan, whatever the budget, before anything moves for balance.
 func TestADrainedServerIsEmptiedFirst(t *testing.T) {
 	in := even(4, 64, Band{High: 0.2, Low: 0.4, Budget: 0})
-	in.Servers[2].Takes = false
+	in.Servers[2].Accepting = false
 	moves := Plan(in)
 	assert.Equal(t, len(moves), 16)
 	for _, m := range moves {
-		assert.Equal(t, m.Why, Drain)
+		assert.Equal(t, m.Reason, Drain)
 	}
 	assert.Assert(t, Imbalance(after(in, moves)) < 1.04)
 }
@@ -253,7 +253,7 @@
 				in.Loads[s] = 0
 			}
 		}
-		in.Servers[2].Takes = false
+		in.Servers[2].Accepting = false
 		out := after(in, Plan(in))
 		counts := map[ident.Server]int{}
 		for _, owner := range out.Owners {
@@ -270,9 +270,9 @@
 // that stays nearly idle gets keys, few while it is cold.
 func TestARestartedServerGetsKeysBackOnlyIfWorthIt(t *testing.T) {
 	in := even(8, 256, Band{High: 0.3, Low: 1, Budget: 100})
-	in.Servers[3].Takes = false
+	in.Servers[3].Accepting = false
 	in = after(in, Plan(in))
-	in.Servers[3].Takes = true
+	in.Servers[3].Accepting = true
 	assert.Equal(t, len(Plan(in)), 0)
 	in.Band.Low = 0.6
 	in.Servers[3].Ramp = RampOf(time.Time{}, time.Time{}.Add(time.Second), 10*time.Second)
@@ -309,20 +309,20 @@
 }
 
 func TestTheCurveIsTheSameEachTime(t *testing.T) {
-	a := Curve(1)
+	a := Simulate(1)
 	for _, r := range a {
 		t.Logf("%+v", r)
 	}
 	band := a[3]
 	naive := a[7]
-	assert.Equal(t, naive.Way, "naive rebalance")
+	assert.Equal(t, naive.Strategy, "naive rebalance")
 	assert.Assert(t, band.Churn < naive.Churn/5)
 	assert.Assert(t, band.Imbalance < 1+band.Param)
 	for i := range 6 {
 		assert.Assert(t, a[i].Churn >= a[i+1].Churn, "a wider band moves more: %+v", a[i+1])
 	}
 	if !testing.Short() {
-		assert.DeepEqual(t, a, Curve(1))
+		assert.DeepEqual(t, a, Simulate(1))
 	}
 }
 
@@ -337,7 +337,7 @@
 				in.Loads[s] *= 30
 			}
 		}
-		in.Servers[1].Takes = false
+		in.Servers[1].Accepting = false
 		in.Servers = slices.Delete(in.Servers, 2, 3)
 		b.Run(strconv.Itoa(size.slices)+"x"+strconv.Itoa(size.servers), func(b *testing.B) {
 			b.ReportAllocs()
--- a/internal/owner/place/plan.go
+++ b/internal/owner/place/plan.go
@@ -28,7 +28,7 @@
 	load  float64
 	was   int // server index before, -1 for none
 	now   int
-	why   Why
+	why   Reason
 }
 
 // host is a server with what it has.
@@ -65,7 +65,7 @@
 	for _, s := range in.Servers {
 		h := host{Server: s, capacity: cmp.Or(s.Weight, 1) * cmp.Or(s.Ramp, 1)}
 		index[s.ID] = len(p.hosts)
-		if s.Takes {
+		if s.Accepting {
 			p.takers = append(p.takers, len(p.hosts))
 		}
 		p.hosts = append(p.hosts, h)
@@ -153,7 +153,7 @@
 		switch {
 		case x.now < 0:
 			x.why = Orphan
-		case !p.hosts[x.now].Takes:
+		case !p.hosts[x.now].Accepting:
 			x.why = Drain
 		default:
 			continue
@@ -220,7 +220,7 @@
 }
 
 func (p *plan) settle(h int) {
-	if !p.hosts[h].Takes {
+	if !p.hosts[h].Accepting {
 		return
 	}
 	p.byRatio.fix(h)
@@ -238,15 +238,15 @@
 			continue
 		}
 		if x.now != x.was {
-			out = append(out, Move{Slice: x.slice, From: p.in.Owners[x.slice], To: p.hosts[x.now].ID, Why: x.why})
+			out = append(out, Move{Slice: x.slice, From: p.in.Owners[x.slice], To: p.hosts[x.now].ID, Reason: x.why})
 		}
 	}
-	slices.SortStableFunc(out, func(a, b Move) int { return cmp.Compare(order(a.Why), order(b.Why)) })
+	slices.SortStableFunc(out, func(a, b Move) int { return cmp.Compare(order(a.Reason), order(b.Reason)) })
 	return out
 }
 
-func order(w Why) int {
-	return slices.Index([]Why{Hold, Orphan, Drain, Join, Excess, Fill}, w)
+func order(w Reason) int {
+	return slices.Index([]Reason{Hold, Orphan, Drain, Join, Excess, Fill}, w)
 }
 
 // hotMove says what changes for a key that was looked at by itself.
@@ -258,16 +258,16 @@
 	if !apart {
 		from = p.in.Owners[x.slice]
 	}
-	m := Move{Slice: x.slice, Key: h.Key, From: from, To: p.hosts[x.now].ID, Why: x.why}
+	m := Move{Slice: x.slice, Key: h.Key, From: from, To: p.hosts[x.now].ID, Reason: x.why}
 	switch {
 	case x.now == slice.now && !apart:
 		return out // it goes, or stays, with its slice
 	case x.now == slice.now && m.From == m.To:
-		m.Why = Join
+		m.Reason = Join
 	case x.now == x.was && apart:
 		return out
 	case x.now == x.was:
-		m.Why = Hold
+		m.Reason = Hold
 	}
 	return append(out, m)
 }
--- a/internal/owner/stripe/table.go
+++ b/internal/owner/ranges/table.go
@@ -1,4 +1,4 @@
-// Package stripe says which backend server owns which keys where keys are numbers
+// Package ranges says which backend server owns which keys where keys are numbers
 // and servers take them in ranges.
 //
 // The pattern it answers is that busy keys lie next to each other: one large range
@@ -6,7 +6,7 @@
 // into stripes that are dealt out in turn, and a stripe that is busy by itself is
 // cut further. A [Table] is the agreed value, one object in the store for each
 // service; the request path reads a [View], which answers without a lock.
-package stripe
+package ranges
 
 import (
 	"encoding/json"
@@ -18,7 +18,7 @@
 
 // Sizes of the key space.
 const (
-	Keys = 1 << 16 // keys are the numbers below it
+	KeySpace = 1 << 16 // keys are the numbers below it
 	// Widest is how many keys a stripe has to begin with where servers are few. Each
 	// stripe is an order of some 350 bytes each 1.6 s, to a server that is mostly in
 	// another data centre: 1,024 stripes of 64 keys sent 6 MB between three data centres
@@ -35,8 +35,8 @@
 	// rowsEach is how many stripes each server has to begin with, at least: one is then
 	// less than the band of 0.15 within which no keys move for balance.
 	rowsEach = 8
-	// Cell is the narrowest stripe that a busy one is cut into.
-	Cell = 4
+	// CellWidth is the narrowest stripe that a busy one is cut into.
+	CellWidth = 4
 	// MostRows bounds a table, and with it what renewals cost.
 	MostRows = 2048
 )
@@ -53,13 +53,13 @@
 // Row is one stripe and its owner.
 type Row struct {
 	Span
-	Owner ident.Server // empty: nobody yet
-	Born  int64        // the owner's life that has the keys
-	Fence uint64       // under which it has them
-	// From is the owner before, as long as it is not certain that it has given the
+	Owner       ident.Server // empty: nobody yet
+	Incarnation int64        // the owner's life that has the keys
+	Fence       uint64       // under which it has them
+	// PrevOwner is the owner before, as long as it is not certain that it has given the
 	// keys back.
-	From ident.Server
-	// Lost says that nobody can tell any more who had the keys: the stored row named a
+	PrevOwner ident.Server
+	// LostRows says that nobody can tell any more who had the keys: the stored row named a
 	// server that the table does not have. Whoever it was may hold them for as long as
 	// the longest grant.
 	Lost bool
@@ -76,11 +76,11 @@
 // NewTable cuts the key space into stripes without owners, for so many servers.
 func NewTable(servers int) Table {
 	width := Widest
-	for width > narrowest && Keys/width < rowsEach*servers {
+	for width > narrowest && KeySpace/width < rowsEach*servers {
 		width /= 2
 	}
-	t := Table{Rows: make([]Row, 0, Keys/width)}
-	for first := 0; first < Keys; first += width {
+	t := Table{Rows: make([]Row, 0, KeySpace/width)}
+	for first := 0; first < KeySpace; first += width {
 		t.Rows = append(t.Rows, Row{Span: Span{First: uint16(first), Last: uint16(first + width - 1)}})
 	}
 	return t
@@ -92,14 +92,14 @@
 	return t
 }
 
-// Fence returns the next fence, above all that were ever used.
-func (t *Table) Fence() uint64 {
+// NextFence returns the next fence, above all that were ever used.
+func (t *Table) NextFence() uint64 {
 	t.Top++
 	return t.Top
 }
 
-// Lost counts the rows of which nobody can tell who had their keys.
-func (t Table) Lost() int {
+// LostRows counts the rows of which nobody can tell who had their keys.
+func (t Table) LostRows() int {
 	n := 0
 	for _, r := range t.Rows {
 		if r.Lost {
@@ -128,8 +128,8 @@
 func (t *Table) Split(i int) bool {
 	r := t.Rows[i]
 	const parts = 4
-	width := max(r.Len()/parts, Cell)
-	if r.Len() <= Cell || len(t.Rows)+parts > MostRows {
+	width := max(r.Len()/parts, CellWidth)
+	if r.Len() <= CellWidth || len(t.Rows)+parts > MostRows {
 		return false
 	}
 	var pieces []Row
@@ -166,11 +166,11 @@
 		return index[s]
 	}
 	for i, r := range t.Rows {
-		from := of(r.From)
+		from := of(r.PrevOwner)
 		if r.Lost {
 			from = lost
 		}
-		d.Rows[i] = [5]int64{int64(r.First), of(r.Owner), r.Born, int64(r.Fence), from}
+		d.Rows[i] = [5]int64{int64(r.First), of(r.Owner), r.Incarnation, int64(r.Fence), from}
 	}
 	b, err := json.Marshal(d)
 	return b, kinds.Wrap(kinds.Internal, err, "encode table")
@@ -192,7 +192,7 @@
 		return Table{}, kinds.Wrap(kinds.Malformed, err, "decode table")
 	}
 	t := Table{Epoch: d.Epoch, Top: d.Top, Rows: make([]Row, len(d.Rows))}
-	last := int64(Keys)
+	last := int64(KeySpace)
 	for i := len(d.Rows) - 1; i >= 0; i-- {
 		r := d.Rows[i]
 		if r[0] < 0 || r[0] >= last || r[3] < 0 || r[3] > mostFence {
@@ -215,12 +215,12 @@
 		row.Lost = true
 		return row
 	}
-	row.Owner, row.Born = d.server(r[1]), r[2]
+	row.Owner, row.Incarnation = d.server(r[1]), r[2]
 	if !d.knows(r[4]) {
 		row.Lost = true
 		return row
 	}
-	row.From = d.server(r[4])
+	row.PrevOwner = d.server(r[4])
 	return row
 }
 
--- a/internal/owner/stripe/table_test.go
+++ b/internal/owner/ranges/table_test.go
@@ -1,4 +1,4 @@
-package stripe
+package ranges
 
 import (
 	"strconv"
@@ -22,9 +22,9 @@
 		if i%17 == 0 {
 			r := &tab.Rows[i]
 			r.Owner = rapid.SampledFrom(names).Draw(t, "owner")
-			r.From = rapid.SampledFrom(names).Draw(t, "from")
-			r.Born = rapid.Int64Range(0, 1<<41).Draw(t, "born")
-			r.Fence = tab.Fence()
+			r.PrevOwner = rapid.SampledFrom(names).Draw(t, "from")
+			r.Incarnation = rapid.Int64Range(0, 1<<41).Draw(t, "born")
+			r.Fence = tab.NextFence()
 		}
 	}
 	return tab
@@ -47,10 +47,10 @@
 		next := 0
 		for _, r := range tab.Rows {
 			assert.Equal(t, int(r.First), next)
-			assert.Assert(t, r.Len() >= Cell && r.Len()%Cell == 0)
+			assert.Assert(t, r.Len() >= CellWidth && r.Len()%CellWidth == 0)
 			next = int(r.Last) + 1
 		}
-		assert.Equal(t, next, Keys)
+		assert.Equal(t, next, KeySpace)
 		key := rapid.Uint16().Draw(t, "key")
 		r := tab.Rows[tab.Find(key)]
 		assert.Assert(t, r.First <= key && key <= r.Last)
@@ -78,12 +78,12 @@
 	tab, err := Decode([]byte(`{"epoch":3,"top":5,"servers":["a"],"rows":[[0,1,7,4,0],[16,2,7,9,1],[32,1,7,5,2],[48,-1,7,3,0]]}`))
 	assert.NilError(t, err)
 	assert.DeepEqual(t, tab, Table{Epoch: 3, Top: 9, Rows: []Row{
-		{Span: Span{First: 0, Last: 15}, Owner: "a", Born: 7, Fence: 4},
+		{Span: Span{First: 0, Last: 15}, Owner: "a", Incarnation: 7, Fence: 4},
 		{Span: Span{First: 16, Last: 31}, Fence: 9, Lost: true},
-		{Span: Span{First: 32, Last: 47}, Owner: "a", Born: 7, Fence: 5, Lost: true},
-		{Span: Span{First: 48, Last: Keys - 1}, Fence: 3, Lost: true},
+		{Span: Span{First: 32, Last: 47}, Owner: "a", Incarnation: 7, Fence: 5, Lost: true},
+		{Span: Span{First: 48, Last: KeySpace - 1}, Fence: 3, Lost: true},
 	}})
-	assert.Equal(t, tab.Lost(), 3)
+	assert.Equal(t, tab.LostRows(), 3)
 	b, err := tab.Encode()
 	assert.NilError(t, err)
 	back, err := Decode(b)
@@ -97,7 +97,7 @@
 	for servers, rows := range map[int]int{0: 256, 1: 256, 17: 256, 32: 256, 33: 512, 64: 512, 65: 1024, 400: 1024} {
 		tab := NewTable(servers)
 		assert.Equal(t, len(tab.Rows), rows, "%d servers", servers)
-		assert.Equal(t, tab.Rows[rows-1].Last, uint16(Keys-1))
+		assert.Equal(t, tab.Rows[rows-1].Last, uint16(KeySpace-1))
 	}
 }
 
@@ -117,11 +117,11 @@
 	seeds.Check(t, func(t *rapid.T) {
 		var all *View
 		for seq := range uint64(rapid.IntRange(1, 10).Draw(t, "changes")) {
-			first := rapid.Uint16Range(0, Keys/Cell-2).Draw(t, "first")
-			last := rapid.Uint16Range(first, Keys/Cell-1).Draw(t, "last")
+			first := rapid.Uint16Range(0, KeySpace/CellWidth-2).Draw(t, "first")
+			last := rapid.Uint16Range(first, KeySpace/CellWidth-1).Draw(t, "last")
 			name := rapid.SampledFrom([]ident.Server{"", "a", "b", "c"}).Draw(t, "server")
-			span := Span{First: first * Cell, Last: last*Cell + Cell - 1}
-			all = all.Apply(1, seq+1, false, []Served{{Span: span, Server: name}})
+			span := Span{First: first * CellWidth, Last: last*CellWidth + CellWidth - 1}
+			all = all.Apply(1, seq+1, false, []Assignment{{Span: span, Server: name}})
 		}
 		var whole *View
 		whole = whole.Apply(1, all.Seq, true, all.Spans())
@@ -139,10 +139,10 @@
 func TestAViewNamesTheRightServerAfterManyHadTheKeys(t *testing.T) {
 	const many = 1 << 16
 	var v *View
-	whole := func(i int) []Served {
-		return []Served{
-			{Span: Span{First: 0, Last: Keys/2 - 1}, Server: ident.Server("s-" + strconv.Itoa(i))},
-			{Span: Span{First: Keys / 2, Last: Keys - 1}, Server: "stays"},
+	whole := func(i int) []Assignment {
+		return []Assignment{
+			{Span: Span{First: 0, Last: KeySpace/2 - 1}, Server: ident.Server("s-" + strconv.Itoa(i))},
+			{Span: Span{First: KeySpace / 2, Last: KeySpace - 1}, Server: "stays"},
 		}
 	}
 	v = v.Apply(1, 1, true, whole(0))
@@ -163,20 +163,20 @@
 // As many servers as there are cells have keys at once, which is more than are kept
 // without a look at whether they are in use.
 func TestAViewNamesAsManyServersAsThereAreCells(t *testing.T) {
-	var all []Served
-	for i := range Keys / Cell {
-		all = append(all, Served{Span: Span{First: uint16(i * Cell), Last: uint16(i*Cell + Cell - 1)}, Server: ident.Server("s-" + strconv.Itoa(i))})
+	var all []Assignment
+	for i := range KeySpace / CellWidth {
+		all = append(all, Assignment{Span: Span{First: uint16(i * CellWidth), Last: uint16(i*CellWidth + CellWidth - 1)}, Server: ident.Server("s-" + strconv.Itoa(i))})
 	}
 	var v *View
 	v = v.Apply(1, 1, true, all)
 	assert.DeepEqual(t, v.Spans(), all)
-	v = v.Apply(1, 2, false, []Served{{Span: Span{First: 0, Last: Keys - 1}, Server: "one"}})
+	v = v.Apply(1, 2, false, []Assignment{{Span: Span{First: 0, Last: KeySpace - 1}, Server: "one"}})
 	assert.Equal(t, len(v.Spans()), 1)
 }
 
 func TestWhatIsNoKeyHasNoOwner(t *testing.T) {
 	var v *View
-	v = v.Apply(1, 1, true, []Served{{Span: Span{First: 0, Last: 65535}, Server: "a"}})
+	v = v.Apply(1, 1, true, []Assignment{{Span: Span{First: 0, Last: 65535}, Server: "a"}})
 	for _, k := range []ident.Key{"", "-1", "65536", "x", "1.5", " 1"} {
 		_, ok := v.Owner(k)
 		assert.Assert(t, !ok, k)
@@ -191,7 +191,7 @@
 
 func BenchmarkOwner(b *testing.B) {
 	var v *View
-	v = v.Apply(1, 1, true, []Served{{Span: Span{First: 0, Last: 65535}, Server: "a"}})
+	v = v.Apply(1, 1, true, []Assignment{{Span: Span{First: 0, Last: 65535}, Server: "a"}})
 	b.ReportAllocs()
 	for b.Loop() {
 		v.Owner("12345")
--- a/internal/owner/stripe/view.go
+++ b/internal/owner/ranges/view.go
@@ -1,4 +1,4 @@
-package stripe
+package ranges
 
 import (
 	"slices"
@@ -8,9 +8,9 @@
 	"hawthornfield.org/hawthornfield/internal/owner/table"
 )
 
-// Served says which server serves a span now; an empty Server that none does,
+// Assignment says which server serves a span now; an empty Server that none does,
 // because its keys are between two owners.
-type Served struct {
+type Assignment struct {
 	Span
 	Server ident.Server
 }
@@ -22,7 +22,7 @@
 type View struct {
 	Epoch uint64
 	Seq   uint64
-	cells [Keys / Cell]uint16 // index of the server plus one
+	cells [KeySpace / CellWidth]uint16 // index of the server plus one
 	names []ident.Server
 	index map[ident.Server]uint16
 	room  int // names that there may be before those out of use are dropped
@@ -32,7 +32,7 @@
 const fewNames = 256
 
 // Apply returns the view after changes. A full one begins with nothing.
-func (v *View) Apply(epoch, seq uint64, full bool, changes []Served) *View {
+func (v *View) Apply(epoch, seq uint64, full bool, changes []Assignment) *View {
 	next := &View{}
 	if !full && v != nil {
 		*next = *v
@@ -45,7 +45,7 @@
 	}
 	for _, c := range changes {
 		at := next.place(c.Server)
-		for cell := int(c.First) / Cell; cell <= int(c.Last)/Cell; cell++ {
+		for cell := int(c.First) / CellWidth; cell <= int(c.Last)/CellWidth; cell++ {
 			next.cells[cell] = at
 		}
 	}
@@ -97,7 +97,7 @@
 	if err != nil {
 		return table.Owner{}, false
 	}
-	cell := int(n) / Cell
+	cell := int(n) / CellWidth
 	o := table.Owner{Slice: ident.Slice(cell), Epoch: ident.Epoch(v.Epoch)}
 	at := v.cells[cell]
 	if at == 0 {
@@ -110,14 +110,14 @@
 // CellOf returns the cell of a key, and false for what is no key.
 func CellOf(k ident.Key) (uint16, bool) {
 	n, err := strconv.ParseUint(string(k), 10, 16)
-	return uint16(n / Cell), err == nil
+	return uint16(n / CellWidth), err == nil
 }
 
 // Spans lists who serves what, for a reader who has nothing yet.
-func (v *View) Spans() []Served {
-	var all []Served
+func (v *View) Spans() []Assignment {
+	var all []Assignment
 	for i, at := range v.cells {
-		first, last := uint16(i*Cell), uint16(i*Cell+Cell-1)
+		first, last := uint16(i*CellWidth), uint16(i*CellWidth+CellWidth-1)
 		name := ident.Server("")
 		if at > 0 {
 			name = v.names[at-1]
@@ -126,7 +126,7 @@
 			all[n-1].Last = last
 			continue
 		}
-		all = append(all, Served{Span: Span{First: first, Last: last}, Server: name})
+		all = append(all, Assignment{Span: Span{First: first, Last: last}, Server: name})
 	}
 	return all
 }
--- a/internal/owner/sketch/sketch.go
+++ b/internal/owner/sketch/sketch.go
@@ -146,19 +146,19 @@
 // Export is a sketch as it is sent to another VM: its heaviest counters, and the
 // least weight, which bounds what a key that is missing here may have had.
 type Export[K comparable] struct {
-	Total float64    `cbor:"total"`
-	Least float64    `cbor:"least"`
-	List  []Count[K] `cbor:"list"`
+	Total     float64    `cbor:"total"`
+	MinWeight float64    `cbor:"least"`
+	List      []Count[K] `cbor:"list"`
 }
 
 // Export returns the n heaviest counters for another VM.
 func (s *Sketch[K]) Export(now time.Time, n int) Export[K] {
-	e := Export[K]{Total: s.Total(now), Least: s.floor / s.factor(now), List: s.Top(now, n)}
+	e := Export[K]{Total: s.Total(now), MinWeight: s.floor / s.factor(now), List: s.Top(now, n)}
 	switch {
 	case len(e.List) < s.Len() && len(e.List) == 0:
-		e.Least = s.Top(now, 1)[0].Weight
+		e.MinWeight = s.Top(now, 1)[0].Weight
 	case len(e.List) < s.Len() || s.Len() == s.size:
-		e.Least = max(e.Least, e.List[len(e.List)-1].Weight)
+		e.MinWeight = max(e.MinWeight, e.List[len(e.List)-1].Weight)
 	}
 	return e
 }
@@ -173,12 +173,12 @@
 	unseen := 0.0
 	for _, p := range parts {
 		s.total += p.Total
-		unseen += p.Least
+		unseen += p.MinWeight
 		for _, c := range p.List {
 			x := sum[c.Key]
 			x.Key = c.Key
-			x.Weight += c.Weight - p.Least
-			x.Error += c.Error - p.Least
+			x.Weight += c.Weight - p.MinWeight
+			x.Error += c.Error - p.MinWeight
 			sum[c.Key] = x
 		}
 	}
--- a/internal/owner/sketch/sketch_test.go
+++ b/internal/owner/sketch/sketch_test.go
@@ -66,7 +66,7 @@
 		assert.Assert(t, sums[c.Key] <= c.Weight+slack, "key %d: true %v, counted %+v", c.Key, sums[c.Key], c)
 		assert.Assert(t, sums[c.Key] >= c.Weight-c.Error-slack, "key %d: true %v, counted %+v", c.Key, sums[c.Key], c)
 	}
-	least := s.Export(now, s.Len()).Least
+	least := s.Export(now, s.Len()).MinWeight
 	for k, w := range sums {
 		assert.Assert(t, listed[k] || w <= least+slack, "key %d with %v of %v is missing, least %v", k, w, total, least)
 	}
--- a/internal/owner/table/codec.go
+++ b/internal/owner/table/codec.go
@@ -44,7 +44,7 @@
 		return Table{}, err
 	}
 	if v.V > Format {
-		return Table{}, kinds.New(kinds.Newer, "table in a later format")
+		return Table{}, kinds.New(kinds.NewerVersion, "table in a later format")
 	}
 	var f form
 	if err := wire.Decode(b, &f); err != nil {
--- a/internal/owner/table/delta.go
+++ b/internal/owner/table/delta.go
@@ -88,7 +88,7 @@
 // and loses nothing.
 func (t Table) Apply(d Delta) (Table, error) {
 	if d.V > Format {
-		return t, kinds.New(kinds.Newer, "table delta in a later format")
+		return t, kinds.New(kinds.NewerVersion, "table delta in a later format")
 	}
 	if d.Svc != t.Service || d.From != t.Rev || d.Base != t.Digest() || d.To <= d.From {
 		return t, kinds.New(kinds.Conflict, "table delta for another revision")
@@ -171,7 +171,7 @@
 	var d Delta
 	err := wire.Decode(b, &d)
 	if err == nil && d.V > Format {
-		err = kinds.New(kinds.Newer, "table delta in a later format")
+		err = kinds.New(kinds.NewerVersion, "table delta in a later format")
 	}
 	return d, err
 }
--- a/internal/owner/table/edit.go
+++ b/internal/owner/table/edit.go
@@ -28,19 +28,19 @@
 	return t.OwnerOf(ident.SliceOf(m.Key, t.Slices()))
 }
 
-// Moved returns the table after the moves, all of which take something away
+// WithMoves returns the table after the moves, all of which take something away
 // from one server under the epoch of that server's seat.
 //
 // It fails with kind Fenced when the server's bar is another epoch: somebody
 // took the seat over, and a holder that goes on would give away keys that its
 // successor still grants. It fails with kind Conflict when a subject is not the
 // server's, or its next owner is unknown.
-func (t Table) Moved(from ident.Server, epoch ident.Epoch, moves ...Move) (Table, error) {
+func (t Table) WithMoves(from ident.Server, epoch ident.Epoch, moves ...Move) (Table, error) {
 	r, ok := t.Row(from)
 	if !ok {
-		return t, kinds.New(kinds.Absent, "move keys from an unknown server")
+		return t, kinds.New(kinds.NotFound, "move keys from an unknown server")
 	}
-	if r.Bar != epoch {
+	if r.MinEpoch != epoch {
 		return t, kinds.New(kinds.Fenced, "move keys under a replaced epoch")
 	}
 	e := t.edit()
@@ -55,9 +55,9 @@
 	return e, nil
 }
 
-// Assigned returns the table after giving slices that nobody owns an owner. It
+// WithAssigned returns the table after giving slices that nobody owns an owner. It
 // fails with kind Conflict when a slice has one.
-func (t Table) Assigned(moves ...Move) (Table, error) {
+func (t Table) WithAssigned(moves ...Move) (Table, error) {
 	e := t.edit()
 	for _, m := range moves {
 		if m.Key != "" || e.From(m) != "" {
@@ -70,23 +70,23 @@
 	return e, nil
 }
 
-// Barred returns the table with the server's bar raised to epoch. It fails with
+// WithMinEpoch returns the table with the server's bar raised to epoch. It fails with
 // kind Fenced when the bar is higher already. Bars never fall.
-func (t Table) Barred(s ident.Server, epoch ident.Epoch) (Table, error) {
+func (t Table) WithMinEpoch(s ident.Server, epoch ident.Epoch) (Table, error) {
 	i, ok := t.row(s)
 	if !ok {
-		return t, kinds.New(kinds.Absent, "raise the bar of an unknown server")
+		return t, kinds.New(kinds.NotFound, "raise the bar of an unknown server")
 	}
-	if t.Rows[i].Bar > epoch {
+	if t.Rows[i].MinEpoch > epoch {
 		return t, kinds.New(kinds.Fenced, "raise the bar under a replaced epoch")
 	}
 	e := t.edit()
-	e.Rows[i].Bar = epoch
+	e.Rows[i].MinEpoch = epoch
 	return e, nil
 }
 
-// Added returns the table with one more server, which owns nothing yet.
-func (t Table) Added(s ident.Server) (Table, error) {
+// WithServer returns the table with one more server, which owns nothing yet.
+func (t Table) WithServer(s ident.Server) (Table, error) {
 	if _, ok := t.row(s); ok {
 		return t, kinds.New(kinds.Conflict, "add a server twice")
 	}
@@ -103,7 +103,7 @@
 func (t Table) Removed(s ident.Server) (Table, error) {
 	i, ok := t.row(s)
 	if !ok {
-		return t, kinds.New(kinds.Absent, "remove an unknown server")
+		return t, kinds.New(kinds.NotFound, "remove an unknown server")
 	}
 	if !t.SetOf(s).Empty() {
 		return t, kinds.New(kinds.Conflict, "remove a server that owns keys")
--- a/internal/owner/table/joint.go
+++ b/internal/owner/table/joint.go
@@ -18,20 +18,20 @@
 	Moves []Move `cbor:"moves,omitempty"`
 }
 
-// Edited returns the table after the edit, under the rules of [Table.Moved] and
-// [Table.Barred].
+// WithEdit returns the table after the edit, under the rules of [Table.WithMoves] and
+// [Table.WithMinEpoch].
 //
 // A move needs one rule more here than there, because the table may be a later
 // one than the holder saw: the server's set must be the one that the holder saw.
 // An edit that waited while the key went away and came back would otherwise take
 // it from a server that was granted it anew. It then fails with kind Conflict,
 // and the holder looks at the table again.
-func (t Table) Edited(e Edit) (Table, error) {
+func (t Table) WithEdit(e Edit) (Table, error) {
 	if len(e.Moves) == 0 {
-		return t.Barred(e.Server, e.Epoch)
+		return t.WithMinEpoch(e.Server, e.Epoch)
 	}
 	if r, ok := t.Row(e.Server); ok && r.Rev != e.Rev {
 		return t, kinds.New(kinds.Conflict, "the server's keys changed since the edit was made")
 	}
-	return t.Moved(e.Server, e.Epoch, e.Moves...)
+	return t.WithMoves(e.Server, e.Epoch, e.Moves...)
 }
--- a/internal/owner/table/table.go
+++ b/internal/owner/table/table.go
@@ -37,9 +37,9 @@
 // Row is what the table knows of one server.
 type Row struct {
 	Name ident.Server `cbor:"name"`
-	// Bar is the epoch of the seat holder that may move keys away from this
+	// MinEpoch is the epoch of the seat holder that may move keys away from this
 	// server. An edit under any other epoch is refused.
-	Bar ident.Epoch `cbor:"bar"`
+	MinEpoch ident.Epoch `cbor:"bar"`
 	// Rev is the revision that last changed the set of keys of this server. It
 	// is the revision that grants and renewals for the server carry.
 	Rev ident.Revision `cbor:"rev"`
--- a/internal/owner/table/table_test.go
+++ b/internal/owner/table/table_test.go
@@ -16,9 +16,9 @@
 func small(t testing.TB) Table {
 	tab, err := New("lookup", 8, "b", "a")
 	assert.NilError(t, err)
-	tab, err = tab.Assigned(Move{Slice: 0, To: "a"}, Move{Slice: 1, To: "a"}, Move{Slice: 2, To: "b"})
+	tab, err = tab.WithAssigned(Move{Slice: 0, To: "a"}, Move{Slice: 1, To: "a"}, Move{Slice: 2, To: "b"})
 	assert.NilError(t, err)
-	tab, err = tab.Barred("a", 3)
+	tab, err = tab.WithMinEpoch("a", 3)
 	assert.NilError(t, err)
 	return tab
 }
@@ -28,12 +28,12 @@
 func TestMoveUnderAnotherEpochIsFenced(t *testing.T) {
 	tab := small(t)
 	for _, e := range []ident.Epoch{2, 4} {
-		_, err := tab.Moved("a", e, Move{Slice: 0, To: "b"})
+		_, err := tab.WithMoves("a", e, Move{Slice: 0, To: "b"})
 		assert.Equal(t, kinds.Of(err), kinds.Fenced)
 	}
-	_, err := tab.Barred("a", 2)
+	_, err := tab.WithMinEpoch("a", 2)
 	assert.Equal(t, kinds.Of(err), kinds.Fenced)
-	next, err := tab.Moved("a", 3, Move{Slice: 0, To: "b"})
+	next, err := tab.WithMoves("a", 3, Move{Slice: 0, To: "b"})
 	assert.NilError(t, err)
 	assert.Equal(t, next.OwnerOf(0), ident.Server("b"))
 	assert.Equal(t, tab.OwnerOf(0), ident.Server("a"), "the old table changed")
@@ -41,15 +41,15 @@
 
 func TestEditsRefuseWhatWouldLoseAnOwner(t *testing.T) {
 	tab := small(t)
-	_, err := tab.Moved("a", 3, Move{Slice: 2, To: "b"})
+	_, err := tab.WithMoves("a", 3, Move{Slice: 2, To: "b"})
 	assert.Equal(t, kinds.Of(err), kinds.Conflict)
-	_, err = tab.Moved("a", 3, Move{Slice: 0, To: "nobody"})
+	_, err = tab.WithMoves("a", 3, Move{Slice: 0, To: "nobody"})
 	assert.Equal(t, kinds.Of(err), kinds.Conflict)
-	_, err = tab.Assigned(Move{Slice: 0, To: "b"})
+	_, err = tab.WithAssigned(Move{Slice: 0, To: "b"})
 	assert.Equal(t, kinds.Of(err), kinds.Conflict)
 	_, err = tab.Removed("a")
 	assert.Equal(t, kinds.Of(err), kinds.Conflict)
-	more, err := tab.Added("aa")
+	more, err := tab.WithServer("aa")
 	assert.NilError(t, err)
 	assert.Equal(t, more.OwnerOf(2), ident.Server("b"))
 	less, err := more.Removed("aa")
@@ -63,13 +63,13 @@
 	for i := 0; tab.From(Move{Key: k}) != "a" || k == ""; i++ {
 		k = ident.Key(fmt.Sprint("scale-", i))
 	}
-	hot, err := tab.Moved("a", 3, Move{Key: k, To: "b"})
+	hot, err := tab.WithMoves("a", 3, Move{Key: k, To: "b"})
 	assert.NilError(t, err)
 	o, ok := NewView(hot).Owner(k)
 	assert.Assert(t, ok && o.Hot && o.Server == "b" && o.Rev == hot.Rev)
 	assert.DeepEqual(t, hot.SetOf("a").Except, []ident.Key{k})
 	assert.DeepEqual(t, hot.SetOf("b").Keys, []ident.Key{k})
-	back, err := hot.Moved("b", 0, Move{Key: k})
+	back, err := hot.WithMoves("b", 0, Move{Key: k})
 	assert.NilError(t, err)
 	o, ok = NewView(back).Owner(k)
 	assert.Assert(t, ok && !o.Hot && o.Server == "a" && o.Epoch == 3)
@@ -83,7 +83,7 @@
 	b, err := wire.Encode(map[string]any{"v": Format + 1, "own": "something else"})
 	assert.NilError(t, err)
 	_, err = Decode(b)
-	assert.Equal(t, kinds.Of(err), kinds.Newer)
+	assert.Equal(t, kinds.Of(err), kinds.NewerVersion)
 }
 
 // Any series of edits survives encoding, and the difference between any two
@@ -123,22 +123,22 @@
 	m := Move{Slice: ident.Slice(rapid.IntRange(0, 7).Draw(rt, "slice")), To: name()}
 	switch rapid.IntRange(0, 5).Draw(rt, "edit") {
 	case 0:
-		return t.Added(name())
+		return t.WithServer(name())
 	case 1:
 		return t.Removed(name())
 	case 2:
-		return t.Barred(name(), ident.Epoch(rapid.IntRange(0, 9).Draw(rt, "epoch")))
+		return t.WithMinEpoch(name(), ident.Epoch(rapid.IntRange(0, 9).Draw(rt, "epoch")))
 	case 3:
 		m.Key = rapid.SampledFrom([]ident.Key{"k1", "k2", "k3"}).Draw(rt, "key")
 		if rapid.Bool().Draw(rt, "back") {
 			m.To = ""
 		}
 	case 4:
-		return t.Assigned(m)
+		return t.WithAssigned(m)
 	}
 	from := t.From(m)
 	row, _ := t.Row(from)
-	return t.Moved(from, row.Bar, m)
+	return t.WithMoves(from, row.MinEpoch, m)
 }
 
 func FuzzDecode(f *testing.F) {
@@ -162,7 +162,7 @@
 
 func FuzzDelta(f *testing.F) {
 	a := small(f)
-	c, err := a.Moved("a", 3, Move{Slice: 0, To: "b"})
+	c, err := a.WithMoves("a", 3, Move{Slice: 0, To: "b"})
 	assert.NilError(f, err)
 	b, err := Diff(a, c).Encode()
 	assert.NilError(f, err)
@@ -215,7 +215,7 @@
 func BenchmarkMoveEncodeDecode(b *testing.B) {
 	t := large(b)
 	for b.Loop() {
-		next, _ := t.Moved("viewer-000", 0, Move{Slice: 0, To: "viewer-001"})
+		next, _ := t.WithMoves("viewer-000", 0, Move{Slice: 0, To: "viewer-001"})
 		raw, _ := next.Encode()
 		b.ReportMetric(float64(len(raw)), "bytes")
 		if _, err := Decode(raw); err != nil {
@@ -226,7 +226,7 @@
 
 func BenchmarkDelta(b *testing.B) {
 	t := large(b)
-	next, _ := t.Moved("viewer-000", 0, Move{Slice: 0, To: "viewer-001"})
+	next, _ := t.WithMoves("viewer-000", 0, Move{Slice: 0, To: "viewer-001"})
 	for b.Loop() {
 		raw, _ := Diff(t, next).Encode()
 		b.ReportMetric(float64(len(raw)), "bytes")
@@ -240,14 +240,14 @@
 	tab, err := New("svc", 4, "a", "b")
 	assert.NilError(t, err)
 	x := ident.SliceOf("busy", 4)
-	tab, err = tab.Assigned(Move{Slice: x, To: "a"})
+	tab, err = tab.WithAssigned(Move{Slice: x, To: "a"})
 	assert.NilError(t, err)
-	held, err := tab.Moved("a", 0, Move{Key: "busy", To: "a"}, Move{Slice: x, To: "b"})
+	held, err := tab.WithMoves("a", 0, Move{Key: "busy", To: "a"}, Move{Slice: x, To: "b"})
 	assert.NilError(t, err)
 	o, _ := NewView(held).Owner("busy")
 	assert.Equal(t, o.Server, ident.Server("a"))
 	assert.Equal(t, held.OwnerOf(x), ident.Server("b"))
-	joined, err := held.Moved("a", 0, Move{Key: "busy", To: "b"})
+	joined, err := held.WithMoves("a", 0, Move{Key: "busy", To: "b"})
 	assert.NilError(t, err)
 	assert.Equal(t, len(joined.Hot), 0)
 }
--- a/internal/owner/table/view.go
+++ b/internal/owner/table/view.go
@@ -53,6 +53,6 @@
 		return o, false
 	}
 	r := &v.table.Rows[i-1]
-	o.Server, o.Epoch = r.Name, r.Bar
+	o.Server, o.Epoch = r.Name, r.MinEpoch
 	return o, true
 }
--- a/internal/peer/link/link.go
+++ b/internal/peer/link/link.go
@@ -28,8 +28,8 @@
 	// MaxFrame is the largest message, in bytes: a whole table of 64k slices,
 	// the largest value the platform holds.
 	MaxFrame = 1 << 20
-	// MaxCast is the largest datagram that fits the smallest packet QUIC allows.
-	MaxCast = 1100
+	// MaxDatagram is the largest datagram that fits the smallest packet QUIC allows.
+	MaxDatagram = 1100
 	// ringSize is how many messages may wait for one peer. Newer news replaces
 	// older news, so the oldest is dropped.
 	ringSize = 256
@@ -47,11 +47,11 @@
 
 // The kinds of message.
 const (
-	Gossip Kind = 1 // node/gossip
-	Seat   Kind = 2 // owner/seat
-	Beat   Kind = 3 // heartbeats
-	Load   Kind = 4 // load reports
-	Rules  Kind = 5 // rules/quorum
+	Gossip    Kind = 1 // node/gossip
+	Lessor    Kind = 2 // owner/seat
+	Heartbeat Kind = 3 // heartbeats
+	Load      Kind = 4 // load reports
+	Rules     Kind = 5 // rules/quorum
 )
 
 // Peer says where a VM listens.
@@ -71,9 +71,9 @@
 	Certs  *certs.Store
 	Handle Handler
 	Log    *slog.Logger // nil: the default logger
-	// Packets, if set, stands between the exchange and its socket, to count what
+	// WrapPacketConn, if set, stands between the exchange and its socket, to count what
 	// crosses it.
-	Packets func(net.PacketConn) net.PacketConn
+	WrapPacketConn func(net.PacketConn) net.PacketConn
 }
 
 // Node is one VM's end of the exchange. Make one with New.
@@ -109,11 +109,11 @@
 	}
 	udp, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(o.Addr))
 	if err != nil {
-		return nil, kinds.Wrap(kinds.Down, err, "listen for peers")
+		return nil, kinds.Wrap(kinds.Unavailable, err, "listen for peers")
 	}
 	conn := net.PacketConn(udp)
-	if o.Packets != nil {
-		conn = o.Packets(udp)
+	if o.WrapPacketConn != nil {
+		conn = o.WrapPacketConn(udp)
 	}
 	n := &Node{
 		Options:   o,
@@ -124,7 +124,7 @@
 	l, err := n.transport.Listen(o.Certs.Server(), settings())
 	if err != nil {
 		udp.Close()
-		return nil, kinds.Wrap(kinds.Down, err, "listen for peers")
+		return nil, kinds.Wrap(kinds.Unavailable, err, "listen for peers")
 	}
 	n.group.Go(func(ctx context.Context) error { return n.accept(ctx, l) })
 	return n, nil
@@ -176,10 +176,10 @@
 	return n.push(to, frame{kind: k, body: body}, MaxFrame)
 }
 
-// Cast queues a small message that may be lost, such as a heartbeat. It never
+// SendDatagram queues a small message that may be lost, such as a heartbeat. It never
 // waits behind a large one.
-func (n *Node) Cast(to ident.VM, k Kind, body []byte) bool {
-	return n.push(to, frame{kind: k, body: body, cast: true}, MaxCast)
+func (n *Node) SendDatagram(to ident.VM, k Kind, body []byte) bool {
+	return n.push(to, frame{kind: k, body: body, cast: true}, MaxDatagram)
 }
 
 func (n *Node) push(to ident.VM, f frame, most int) bool {
--- a/internal/peer/link/link_test.go
+++ b/internal/peer/link/link_test.go
@@ -76,7 +76,7 @@
 	assert.Equal(t, <-two.inbox, got{"vm-1", Gossip, ""})
 	assert.Assert(t, (<-two.inbox).body == long)
 	assert.Assert(t, !one.Send("vm-2", Gossip, []byte(long+"x")), "beyond the bound")
-	assert.Assert(t, !one.Cast("vm-2", Beat, make([]byte, MaxCast+1)), "beyond the bound")
+	assert.Assert(t, !one.SendDatagram("vm-2", Heartbeat, make([]byte, MaxDatagram+1)), "beyond the bound")
 	assert.Assert(t, !one.Send("vm-9", Gossip, nil), "not a peer")
 	assert.Assert(t, !one.Send("vm-1", Gossip, nil), "a node is not its own peer")
 	assert.DeepEqual(t, one.Connected(), []ident.VM{"vm-2"})
@@ -90,10 +90,10 @@
 	assert.Equal(t, <-two.inbox, got{"vm-1", Gossip, "up"})
 	// A datagram may be lost, so the sender of heartbeats simply sends the next.
 	for {
-		assert.Assert(t, one.Cast("vm-2", Beat, []byte("b")))
+		assert.Assert(t, one.SendDatagram("vm-2", Heartbeat, []byte("b")))
 		select {
 		case m := <-two.inbox:
-			assert.Equal(t, m, got{"vm-1", Beat, "b"})
+			assert.Equal(t, m, got{"vm-1", Heartbeat, "b"})
 			return
 		case <-time.After(20 * time.Millisecond):
 		}
@@ -182,11 +182,11 @@
 	_, err := unpack(bytes.NewReader([]byte{0xff, 0xff, 0xff, 0xff, 1}))
 	assert.Equal(t, kinds.Of(err), kinds.Malformed)
 	_, err = unpack(bytes.NewReader([]byte{0, 0, 0, 9, 1, 'x'}))
-	assert.Equal(t, kinds.Of(err), kinds.Down)
+	assert.Equal(t, kinds.Of(err), kinds.Unavailable)
 }
 
 func FuzzUnpack(f *testing.F) {
-	f.Add(pack(frame{kind: Seat, body: []byte("body")}))
+	f.Add(pack(frame{kind: Lessor, body: []byte("body")}))
 	f.Add([]byte{0xff, 0xff, 0xff, 0xff, 1})
 	f.Add([]byte{0, 0, 0})
 	f.Fuzz(func(t *testing.T, b []byte) {
--- a/internal/peer/link/receive.go
+++ b/internal/peer/link/receive.go
@@ -29,7 +29,7 @@
 func unpack(r io.Reader) (frame, error) {
 	var h [header]byte
 	if _, err := io.ReadFull(r, h[:]); err != nil {
-		return frame{}, kinds.Wrap(kinds.Down, err, "read frame")
+		return frame{}, kinds.Wrap(kinds.Unavailable, err, "read frame")
 	}
 	size := binary.BigEndian.Uint32(h[:])
 	if size > MaxFrame {
@@ -37,7 +37,7 @@
 	}
 	body := make([]byte, size)
 	if _, err := io.ReadFull(r, body); err != nil {
-		return frame{}, kinds.Wrap(kinds.Down, err, "read frame")
+		return frame{}, kinds.Wrap(kinds.Unavailable, err, "read frame")
 	}
 	return frame{kind: Kind(h[4]), body: body}, nil
 }
--- a/internal/peer/link/send.go
+++ b/internal/peer/link/send.go
@@ -57,12 +57,12 @@
 	gen := s.node.Certs.Generation()
 	conn, err := s.node.transport.Dial(ctx, net.UDPAddrFromAddrPort(s.peer.Addr), conf, settings())
 	if err != nil {
-		return kinds.Wrap(kinds.Down, err, "call peer")
+		return kinds.Wrap(kinds.Unavailable, err, "call peer")
 	}
 	defer conn.CloseWithError(codeBye, "")
 	stream, err := conn.OpenUniStreamSync(ctx)
 	if err != nil {
-		return kinds.Wrap(kinds.Down, err, "open stream")
+		return kinds.Wrap(kinds.Unavailable, err, "open stream")
 	}
 	ready()
 	s.up.Store(true)
@@ -109,5 +109,5 @@
 		return nil
 	}
 	_, err := stream.Write(pack(f))
-	return kinds.Wrap(kinds.Down, err, "write to peer")
+	return kinds.Wrap(kinds.Unavailable, err, "write to peer")
 }
--- a/internal/plat/call/call.go
+++ b/internal/plat/call/call.go
@@ -29,7 +29,7 @@
 // Headers of a read that needs no answer where nothing changed.
 const (
 	HeaderIfNone = "If-None-Match"
-	HeaderTag    = "Etag"
+	HeaderETag   = "Etag"
 )
 
 // MaxHeader bounds the headers of an answer in bytes.
@@ -57,9 +57,9 @@
 type Answer struct {
 	Header http.Header
 	Body   []byte
-	// Same says that nothing changed since the answer whose tag the call named
+	// NotModified says that nothing changed since the answer whose tag the call named
 	// (If-None-Match, RFC 9110, 13.1.2); there is no body then.
-	Same bool
+	NotModified bool
 }
 
 // Do is Exchange with an answer in JSON, which it decodes into out.
@@ -68,14 +68,14 @@
 	if err != nil || out == nil {
 		return err
 	}
-	return Unread(method, json.Unmarshal(a.Body, out))
+	return DecodeError(method, json.Unmarshal(a.Body, out))
 }
 
-// Unread gives an answer that could not be decoded its kind: Ambiguous for a
+// DecodeError gives an answer that could not be decoded its kind: Ambiguous for a
 // call with an effect, because a 200 says that it was done, whatever the rest
 // says. Taken for a failure, a write that took effect would be repeated, or a
 // key be given away that its server still serves.
-func Unread(method string, err error) error {
+func DecodeError(method string, err error) error {
 	if method != http.MethodGet {
 		return kinds.Wrap(kinds.Ambiguous, err, "decode answer")
 	}
@@ -105,7 +105,7 @@
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode == http.StatusNotModified && r.Header.Get(HeaderIfNone) != "" && method == http.MethodGet {
-		return Answer{Header: resp.Header, Same: true}, nil
+		return Answer{Header: resp.Header, NotModified: true}, nil
 	}
 	return read(resp, method)
 }
@@ -126,7 +126,7 @@
 	if handed && method != http.MethodGet {
 		return kinds.Ambiguous
 	}
-	return kinds.Down
+	return kinds.Unavailable
 }
 
 func read(resp *http.Response, method string) (Answer, error) {
@@ -147,13 +147,13 @@
 func kindOf(status int, method string) kinds.Kind {
 	switch status {
 	case http.StatusNotFound, http.StatusGone:
-		return kinds.Absent
+		return kinds.NotFound
 	case http.StatusConflict:
 		return kinds.Conflict
 	case http.StatusRequestEntityTooLarge:
 		return kinds.TooLarge
 	case http.StatusServiceUnavailable, http.StatusTooManyRequests:
-		return kinds.Down
+		return kinds.Unavailable
 	}
 	if status >= http.StatusInternalServerError {
 		return failure(method, true)
--- a/internal/plat/call/call_test.go
+++ b/internal/plat/call/call_test.go
@@ -66,12 +66,12 @@
 // for a write.
 func TestOnlyARefusalProvesThatAWriteDidNothing(t *testing.T) {
 	for status, want := range map[int]kinds.Kind{
-		400: kinds.Malformed, 404: kinds.Absent, 409: kinds.Conflict, 410: kinds.Absent, 413: kinds.TooLarge, 429: kinds.Down,
-		500: kinds.Ambiguous, 502: kinds.Ambiguous, 503: kinds.Down, 504: kinds.Ambiguous,
+		400: kinds.Malformed, 404: kinds.NotFound, 409: kinds.Conflict, 410: kinds.NotFound, 413: kinds.TooLarge, 429: kinds.Unavailable,
+		500: kinds.Ambiguous, 502: kinds.Ambiguous, 503: kinds.Unavailable, 504: kinds.Ambiguous,
 	} {
 		assert.Equal(t, kindOf(status, http.MethodPut), want, "%d", status)
 		if status >= 500 {
-			assert.Equal(t, kindOf(status, http.MethodGet), kinds.Down, "%d", status)
+			assert.Equal(t, kindOf(status, http.MethodGet), kinds.Unavailable, "%d", status)
 		}
 	}
 }
--- a/internal/plat/objcli/objcli.go
+++ b/internal/plat/objcli/objcli.go
@@ -38,16 +38,16 @@
 	if err != nil {
 		return object.Object{}, err
 	}
-	if a.Same {
+	if a.NotModified {
 		o := known.Object
 		o.Value = slices.Clone(o.Value)
 		return o, nil
 	}
 	var o object.Object
-	if err := call.Unread(http.MethodGet, json.Unmarshal(a.Body, &o)); err != nil {
+	if err := call.DecodeError(http.MethodGet, json.Unmarshal(a.Body, &o)); err != nil {
 		return object.Object{}, err
 	}
-	c.recent.note(name, a.Header.Get(call.HeaderTag), o)
+	c.recent.note(name, a.Header.Get(call.HeaderETag), o)
 	return o, nil
 }
 
--- a/internal/plat/objcli/objcli_test.go
+++ b/internal/plat/objcli/objcli_test.go
@@ -39,7 +39,7 @@
 	assert.NilError(t, err)
 	assert.DeepEqual(t, o, object.Object{Name: "table/look up", Version: w, Value: []byte("b")})
 	_, err = c.Get(t.Context(), "none")
-	assert.Equal(t, kinds.Of(err), kinds.Absent)
+	assert.Equal(t, kinds.Of(err), kinds.NotFound)
 	_, err = c.Put(t.Context(), "big", make([]byte, object.MaxValue+1), 0)
 	assert.Equal(t, kinds.Of(err), kinds.TooLarge)
 	all, _, err := c.List(t.Context(), "table/")
@@ -81,10 +81,10 @@
 
 	nobody := New(netip.MustParseAddrPort("127.0.0.1:1"))
 	_, err = nobody.Put(t.Context(), "seat/a", []byte("x"), 0)
-	assert.Equal(t, kinds.Of(err), kinds.Down)
+	assert.Equal(t, kinds.Of(err), kinds.Unavailable)
 	api.Outage(true)
 	_, err = c.Get(t.Context(), "seat/a")
-	assert.Equal(t, kinds.Of(err), kinds.Down)
+	assert.Equal(t, kinds.Of(err), kinds.Unavailable)
 }
 
 // The rules are read twice a second to see that the store answers. Sent in full
@@ -125,7 +125,7 @@
 	assert.Equal(t, string(read().Value), "new")
 	assert.NilError(t, c.Delete(t.Context(), "rules/current", version))
 	_, err = c.Get(t.Context(), "rules/current")
-	assert.Equal(t, kinds.Of(err), kinds.Absent)
+	assert.Equal(t, kinds.Of(err), kinds.NotFound)
 	for v := object.Version(0); v < version; {
 		v, err = c.Put(t.Context(), "rules/current", []byte("made again"), v)
 		assert.NilError(t, err)
--- a/internal/plat/object/object.go
+++ b/internal/plat/object/object.go
@@ -13,8 +13,8 @@
 // Version counts the updates of one object. Zero means that it does not exist.
 type Version uint64
 
-// Any asks Put not to compare versions. Nothing that is agreed uses it.
-const Any = ^Version(0)
+// AnyVersion asks Put not to compare versions. Nothing that is agreed uses it.
+const AnyVersion = ^Version(0)
 
 // Cursor marks a place in the store's sequence of changes.
 type Cursor uint64
--- a/internal/plat/server/server.go
+++ b/internal/plat/server/server.go
@@ -28,9 +28,9 @@
 type Order struct {
 	Service ident.Service `cbor:"svc" json:"svc"`
 	Server  ident.Server  `cbor:"srv" json:"srv"`
-	// Seat names the authority the order is given under: the server whose keys
+	// Lessor names the authority the order is given under: the server whose keys
 	// these are. It is Server itself, except where a stand-by holds them.
-	Seat   ident.Server  `cbor:"seat" json:"seat"`
+	Lessor ident.Server  `cbor:"seat" json:"seat"`
 	Sender ident.VM      `cbor:"from" json:"from"`
 	Fence  ident.Fence   `cbor:"fence" json:"fence"`
 	Mark   Mark          `cbor:"mark" json:"mark"`
@@ -50,22 +50,22 @@
 
 // Reply is a backend server's answer to any control call.
 type Reply struct {
-	Done  bool           `cbor:"done" json:"done"`   // the order was obeyed
-	Why   string         `cbor:"why" json:"why"`     // reason when it was not: fence, late, rev
-	Fence ident.Fence    `cbor:"fence" json:"fence"` // highest fence obeyed
-	Rev   ident.Revision `cbor:"rev" json:"rev"`     // slice set held
-	Left  time.Duration  `cbor:"left" json:"left"`   // lease time left at Mark
-	Mark  Mark           `cbor:"mark" json:"mark"`   // the server's clock now
-	// Word is the server's own word, which spares a probe of it; nil from a server
+	Done   bool           `cbor:"done" json:"done"`   // the order was obeyed
+	Reason string         `cbor:"why" json:"why"`     // reason when it was not: fence, late, rev
+	Fence  ident.Fence    `cbor:"fence" json:"fence"` // highest fence obeyed
+	Rev    ident.Revision `cbor:"rev" json:"rev"`     // slice set held
+	Left   time.Duration  `cbor:"left" json:"left"`   // lease time left at Mark
+	Mark   Mark           `cbor:"mark" json:"mark"`   // the server's clock now
+	// Status is the server's own word, which spares a probe of it; nil from a server
 	// that says nothing of itself in answers to orders.
-	Word *Word `cbor:"word,omitempty" json:"word,omitempty"`
+	Status *Status `cbor:"word,omitempty" json:"word,omitempty"`
 }
 
 // Reasons in Reply.Why.
 const (
-	WhyFence = "fence" // an order with a higher fence was obeyed before
-	WhyLate  = "late"  // Mark plus TTL has passed, or another start of the server
-	WhyRev   = "rev"   // a renewal named a set that the server does not hold
+	ReasonFence = "fence" // an order with a higher fence was obeyed before
+	ReasonLate  = "late"  // Mark plus TTL has passed, or another start of the server
+	ReasonRev   = "rev"   // a renewal named a set that the server does not hold
 )
 
 // Health is a server's own word on its state. It can lag or mislead.
@@ -83,8 +83,8 @@
 	Age   time.Duration `cbor:"age" json:"age"` // how old the report is
 }
 
-// Word is a server's own word on its state and its load, in one answer.
-type Word struct {
+// Status is a server's own word on its state and its load, in one answer.
+type Status struct {
 	Health
 	Load
 }
@@ -100,8 +100,8 @@
 	// Read asks what the server holds under the authority that seat names (see
 	// Order.Seat), without changing it.
 	Read(ctx context.Context, to netip.AddrPort, svc ident.Service, seat ident.Server) (Reply, error)
-	// Word asks for the server's own word on its state and load.
-	Word(ctx context.Context, to netip.AddrPort) (Word, error)
+	// Status asks for the server's own word on its state and load.
+	Status(ctx context.Context, to netip.AddrPort) (Status, error)
 	// Drain asks the server to finish what it has and take nothing new.
 	Drain(ctx context.Context, to netip.AddrPort) error
 	// Cancel asks the server to stop working on a request.
--- a/internal/plat/srvcli/pack.go
+++ b/internal/plat/srvcli/pack.go
@@ -29,7 +29,7 @@
 		return wire.Encode(packOrder(v))
 	case server.Reply:
 		return wire.Encode(packReply(v))
-	case server.Word:
+	case server.Status:
 		return wire.Encode(packWord(v))
 	}
 	return wire.Encode(v)
@@ -45,7 +45,7 @@
 		return unpack(b, v, packedOrder.open)
 	case *server.Reply:
 		return unpack(b, v, packedReply.open)
-	case *server.Word:
+	case *server.Status:
 		return unpack(b, v, packedWord.open)
 	}
 	return wire.Decode(b, v)
@@ -97,7 +97,7 @@
 
 func packOrder(o server.Order) packedOrder {
 	p := packedOrder{
-		Service: o.Service, Server: o.Server, Seat: o.Seat, Sender: o.Sender,
+		Service: o.Service, Server: o.Server, Seat: o.Lessor, Sender: o.Sender,
 		Fence: packFence(o.Fence), Mark: packMark(o.Mark), TTL: o.TTL,
 		Rev: o.Rev, Full: o.Full, Slices: o.Slices, Keys: o.Keys, Except: o.Except,
 	}
@@ -109,12 +109,12 @@
 
 func (p packedOrder) open() server.Order {
 	o := server.Order{
-		Service: p.Service, Server: p.Server, Seat: p.Seat, Sender: p.Sender,
+		Service: p.Service, Server: p.Server, Lessor: p.Seat, Sender: p.Sender,
 		Fence: p.Fence.open(), Mark: p.Mark.open(), TTL: p.TTL,
 		Rev: p.Rev, Full: p.Full, Slices: p.Slices, Keys: p.Keys, Except: p.Except,
 	}
-	if o.Seat == "" {
-		o.Seat = o.Server
+	if o.Lessor == "" {
+		o.Lessor = o.Server
 	}
 	return o
 }
@@ -132,10 +132,10 @@
 
 func packReply(r server.Reply) packedReply {
 	p := packedReply{
-		Done: r.Done, Why: r.Why, Fence: packFence(r.Fence), Rev: r.Rev, Left: r.Left, Mark: packMark(r.Mark),
+		Done: r.Done, Why: r.Reason, Fence: packFence(r.Fence), Rev: r.Rev, Left: r.Left, Mark: packMark(r.Mark),
 	}
-	if r.Word != nil {
-		w := packWord(*r.Word)
+	if r.Status != nil {
+		w := packWord(*r.Status)
 		p.Word = &w
 	}
 	return p
@@ -143,11 +143,11 @@
 
 func (p packedReply) open() server.Reply {
 	r := server.Reply{
-		Done: p.Done, Why: p.Why, Fence: p.Fence.open(), Rev: p.Rev, Left: p.Left, Mark: p.Mark.open(),
+		Done: p.Done, Reason: p.Why, Fence: p.Fence.open(), Rev: p.Rev, Left: p.Left, Mark: p.Mark.open(),
 	}
 	if p.Word != nil {
 		w := p.Word.open()
-		r.Word = &w
+		r.Status = &w
 	}
 	return r
 }
@@ -163,12 +163,12 @@
 	Age   time.Duration `cbor:"7,keyasint,omitempty"`
 }
 
-func packWord(w server.Word) packedWord {
+func packWord(w server.Status) packedWord {
 	return packedWord{w.Ready, w.Cold, w.Drain, w.Slots, w.Busy, w.Queue, w.Age}
 }
 
-func (p packedWord) open() server.Word {
-	return server.Word{
+func (p packedWord) open() server.Status {
+	return server.Status{
 		Health: server.Health{Ready: p.Ready, Cold: p.Cold, Drain: p.Drain},
 		Load:   server.Load{Slots: p.Slots, Busy: p.Busy, Queue: p.Queue, Age: p.Age},
 	}
--- a/internal/plat/srvcli/pack_test.go
+++ b/internal/plat/srvcli/pack_test.go
@@ -35,13 +35,13 @@
 func drawOrder(t *rapid.T) server.Order {
 	o := server.Order{
 		Service: ident.Service(words.Draw(t, "svc")), Server: ident.Server(words.Draw(t, "srv")),
-		Seat: ident.Server(words.Draw(t, "seat")), Sender: ident.VM(words.Draw(t, "from")),
+		Lessor: ident.Server(words.Draw(t, "seat")), Sender: ident.VM(words.Draw(t, "from")),
 		Fence: fences.Draw(t, "fence"), Mark: marks.Draw(t, "mark"), TTL: spans.Draw(t, "ttl"),
 		Rev: ident.Revision(rapid.Uint64().Draw(t, "rev")), Full: rapid.Bool().Draw(t, "full"),
 		Keys: someKeys(t, "keys"), Except: someKeys(t, "not"),
 	}
-	if o.Seat == "" {
-		o.Seat = o.Server // an order always names its seat
+	if o.Lessor == "" {
+		o.Lessor = o.Server // an order always names its seat
 	}
 	for range rapid.IntRange(0, 4).Draw(t, "set") {
 		o.Slices = append(o.Slices, ident.Slice(rapid.Uint32().Draw(t, "slice")))
@@ -51,11 +51,11 @@
 
 func drawReply(t *rapid.T) server.Reply {
 	r := server.Reply{
-		Done: rapid.Bool().Draw(t, "done"), Why: words.Draw(t, "why"), Fence: fences.Draw(t, "fence"),
+		Done: rapid.Bool().Draw(t, "done"), Reason: words.Draw(t, "why"), Fence: fences.Draw(t, "fence"),
 		Rev: ident.Revision(rapid.Uint64().Draw(t, "rev")), Left: spans.Draw(t, "left"), Mark: marks.Draw(t, "mark"),
 	}
 	if rapid.Bool().Draw(t, "says") {
-		r.Word = &server.Word{
+		r.Status = &server.Status{
 			Health: server.Health{Ready: rapid.Bool().Draw(t, "ready"), Cold: rapid.Bool().Draw(t, "cold"), Drain: rapid.Bool().Draw(t, "drain")},
 			Load:   server.Load{Slots: rapid.Int().Draw(t, "slots"), Busy: rapid.Int().Draw(t, "busy"), Queue: rapid.Int().Draw(t, "queue"), Age: spans.Draw(t, "age")},
 		}
@@ -79,14 +79,14 @@
 			var gotReply server.Reply
 			assert.NilError(t, Decode(kind, b, &gotReply))
 			assert.DeepEqual(t, gotReply, r)
-			if r.Word == nil {
+			if r.Status == nil {
 				continue
 			}
-			b, err = Encode(kind, *r.Word)
+			b, err = Encode(kind, *r.Status)
 			assert.NilError(t, err)
-			var gotWord server.Word
+			var gotWord server.Status
 			assert.NilError(t, Decode(kind, b, &gotWord))
-			assert.DeepEqual(t, gotWord, *r.Word)
+			assert.DeepEqual(t, gotWord, *r.Status)
 		}
 	})
 }
@@ -96,12 +96,12 @@
 	mark := server.Mark{Boot: 1 << 63, At: time.Hour}
 	fence := ident.Fence{Epoch: 4, Seq: 70_000}
 	order := server.Order{
-		Service: "lookup", Server: "lookup-07", Seat: "lookup-07", Sender: "vm-03",
+		Service: "lookup", Server: "lookup-07", Lessor: "lookup-07", Sender: "vm-03",
 		Fence: fence, Mark: mark, TTL: 700 * time.Millisecond, Rev: 812,
 	}
 	reply := server.Reply{
 		Done: true, Fence: fence, Rev: 812, Left: 699 * time.Millisecond, Mark: mark,
-		Word: &server.Word{Health: server.Health{Ready: true}, Load: server.Load{Slots: 4}},
+		Status: &server.Status{Health: server.Health{Ready: true}, Load: server.Load{Slots: 4}},
 	}
 	for _, c := range []struct {
 		v    any
@@ -120,7 +120,7 @@
 // malformed, or it is read back the same.
 func FuzzDecode(f *testing.F) {
 	for _, kind := range []string{TypeJSON, TypeCBOR} {
-		b, err := Encode(kind, server.Reply{Done: true, Rev: 3, Left: time.Second, Word: &server.Word{}})
+		b, err := Encode(kind, server.Reply{Done: true, Rev: 3, Left: time.Second, Status: &server.Status{}})
 		assert.NilError(f, err)
 		f.Add(kind == TypeCBOR, b)
 		f.Add(kind == TypeCBOR, b[:len(b)-1])
--- a/internal/plat/srvcli/srvcli.go
+++ b/internal/plat/srvcli/srvcli.go
@@ -24,7 +24,7 @@
 	PathGrant  = "/control/grant"
 	PathRevoke = "/control/revoke"
 	PathRead   = "/control/read"
-	PathWord   = "/control/word"
+	PathStatus = "/control/word"
 	PathDrain  = "/control/drain"
 	PathCancel = "/control/cancel"
 )
@@ -57,9 +57,9 @@
 	return do[server.Reply](ctx, c, to, http.MethodGet, PathRead+"?"+query.Encode(), nil)
 }
 
-// Word asks for the server's own word on its state and load.
-func (c *Client) Word(ctx context.Context, to netip.AddrPort) (server.Word, error) {
-	return do[server.Word](ctx, c, to, http.MethodGet, PathWord, nil)
+// Status asks for the server's own word on its state and load.
+func (c *Client) Status(ctx context.Context, to netip.AddrPort) (server.Status, error) {
+	return do[server.Status](ctx, c, to, http.MethodGet, PathStatus, nil)
 }
 
 // Drain asks the server to finish what it has and take nothing new.
@@ -103,9 +103,9 @@
 	}
 	c.learn(to, h, a.Header)
 	err = Decode(a.Header.Get("Content-Type"), a.Body, &out)
-	if r, ok := any(out).(server.Reply); ok && err == nil && !r.Done && r.Why == "" {
+	if r, ok := any(out).(server.Reply); ok && err == nil && !r.Done && r.Reason == "" {
 		// Another version's form, of which nothing was understood.
 		err = kinds.New(kinds.Malformed, "a reply that neither obeys nor refuses")
 	}
-	return out, call.Unread(method, err)
+	return out, call.DecodeError(method, err)
 }
--- a/internal/plat/srvcli/srvcli_test.go
+++ b/internal/plat/srvcli/srvcli_test.go
@@ -91,7 +91,7 @@
 	d.host = &host{origin: origin.New(cfg), done: make(chan struct{})}
 	p := &http.Protocols{}
 	p.SetHTTP1(true)
-	p.SetUnencryptedHTTP2(!cfg.Old)
+	p.SetUnencryptedHTTP2(!cfg.LegacyControl)
 	inner := d.origin.Handler()
 	web := &http.Server{Protocols: p, Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		d.calls.Add(1)
@@ -125,12 +125,12 @@
 }
 
 func keyed(old bool) origin.Config {
-	return origin.Config{Service: "lookup", Server: "lookup-07", Keyed: true, Slices: 4096, Slots: 4, Old: old}
+	return origin.Config{Service: "lookup", Server: "lookup-07", Keyed: true, Slices: 4096, Slots: 4, LegacyControl: old}
 }
 
 func grant(mark server.Mark) server.Order {
 	o := server.Order{
-		Service: "lookup", Server: "lookup-07", Seat: "lookup-07", Sender: "vm-03",
+		Service: "lookup", Server: "lookup-07", Lessor: "lookup-07", Sender: "vm-03",
 		Fence: ident.Fence{Epoch: 4, Seq: 70_000}, Mark: mark, TTL: 700 * time.Millisecond, Rev: 812, Full: true,
 	}
 	for x := range ident.Slice(240) {
@@ -156,9 +156,9 @@
 		order := func(o server.Order) func() error {
 			return func() error {
 				r, err := d.Grant(t.Context(), at, o)
-				assert.Equal(t, r.Why, "")
-				assert.Assert(t, r.Word != nil && r.Word.Ready)
-				assert.Equal(t, r.Word.Slots, 4)
+				assert.Equal(t, r.Reason, "")
+				assert.Assert(t, r.Status != nil && r.Status.Ready)
+				assert.Equal(t, r.Status.Slots, 4)
 				mark = r.Mark
 				return err
 			}
@@ -168,7 +168,7 @@
 		time.Sleep(175 * time.Millisecond)
 		renew := d.spend(t, order(renewal(mark)))
 		probe := func() error {
-			w, err := d.Word(t.Context(), at)
+			w, err := d.Status(t.Context(), at)
 			assert.Assert(t, w.Ready && w.Slots == 4)
 			return err
 		}
@@ -199,7 +199,7 @@
 				return err
 			})
 		}
-		w, err := d.Word(t.Context(), at)
+		w, err := d.Status(t.Context(), at)
 		assert.NilError(t, err)
 		assert.Assert(t, w.Ready)
 		assert.Equal(t, d.dials.Load(), int64(1))
@@ -276,9 +276,9 @@
 
 		// Nobody listens any more: this one certainly did nothing.
 		_, err := d.Grant(t.Context(), at, grant(mark))
-		assert.Equal(t, kinds.Of(err), kinds.Down)
+		assert.Equal(t, kinds.Of(err), kinds.Unavailable)
 		_, err = d.Read(t.Context(), at, "lookup", "")
-		assert.Equal(t, kinds.Of(err), kinds.Down)
+		assert.Equal(t, kinds.Of(err), kinds.Unavailable)
 		d.close(t)
 	})
 }
--- a/internal/plat/vmcli/vmcli.go
+++ b/internal/plat/vmcli/vmcli.go
@@ -52,7 +52,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if a.Same {
+	if a.NotModified {
 		return slices.Clone(last), nil
 	}
 	all, err := readRows(a.Body)
@@ -60,7 +60,7 @@
 		return nil, err
 	}
 	c.mu.Lock()
-	c.tag, c.last = a.Header.Get(call.HeaderTag), slices.Clone(all)
+	c.tag, c.last = a.Header.Get(call.HeaderETag), slices.Clone(all)
 	c.mu.Unlock()
 	return all, nil
 }
--- a/internal/rules/match/accept.go
+++ b/internal/rules/match/accept.go
@@ -6,7 +6,7 @@
 	"hawthornfield.org/hawthornfield/internal/core/kinds"
 )
 
-// Accept builds a Set from rules that were accepted elsewhere: by the store, or by
+// CompileAccepted builds a Set from rules that were accepted elsewhere: by the store, or by
 // another version of this program. Unlike [Compile] it refuses nothing, because a VM
 // cannot turn down what is in force everywhere else: if it kept the rules before, it
 // would tell callers of the new ones that nothing is there for them, for good, and
@@ -15,7 +15,7 @@
 // What an author would have been told comes back as faults, for the log. A rule that
 // cannot be followed as it stands holds its place in the order all the same, so that
 // its requests do not fall to a later rule; [Rule.Check] says why it can't be followed.
-func Accept(rules []Rule) (*Set, Faults) {
+func CompileAccepted(rules []Rule) (*Set, Faults) {
 	own := cloneRules(rules)
 	c := &checker{}
 	for i := range own {
@@ -53,9 +53,9 @@
 	}
 }
 
-// Unread marks a rule that stands for one that could not be read: it holds the place of
+// MarkUnreadable marks a rule that stands for one that could not be read: it holds the place of
 // that one as far as this is known, and is not followed, see [Rule.Check].
-func (r *Rule) Unread(why string) { r.fault = why }
+func (r *Rule) MarkUnreadable(why string) { r.fault = why }
 
 // Check returns nil when the rule can be followed. Otherwise the error, of kind Newer,
 // says what stands in the way: its requests are told to come back, and run nowhere.
@@ -63,7 +63,7 @@
 	if r.fault == "" {
 		return nil
 	}
-	return kinds.New(kinds.Newer, "rule "+r.Name+" cannot be followed here: "+r.fault)
+	return kinds.New(kinds.NewerVersion, "rule "+r.Name+" cannot be followed here: "+r.fault)
 }
 
 // plainStart is what each path that a pattern was meant for begins with, as far as that
--- a/internal/rules/match/accept_test.go
+++ b/internal/rules/match/accept_test.go
@@ -28,13 +28,13 @@
 	for _, rules := range [][]Rule{many, odd} {
 		_, err := Compile(rules)
 		assert.Assert(t, err != nil, "an author is told")
-		set, _ := Accept(rules)
+		set, _ := CompileAccepted(rules)
 		assert.Equal(t, len(set.Rules()), len(rules))
 		for i := range set.Rules() {
 			assert.NilError(t, set.Rules()[i].Check())
 		}
 	}
-	set, faults := Accept(odd)
+	set, faults := CompileAccepted(odd)
 	assert.Assert(t, len(faults) >= 5, "%v", faults)
 	r, ok := set.Match(&Request{Path: "/odd/below/x"})
 	assert.Assert(t, ok)
@@ -53,13 +53,13 @@
 		{Name: "durable", Then: Then{Service: "ledger", Durable: "twice"}},
 		{Name: "once", Then: Then{Service: "ledger", Once: "ever"}},
 	} {
-		set, faults := Accept([]Rule{r, {Name: "rest", Then: Then{Service: "lookup"}}})
+		set, faults := CompileAccepted([]Rule{r, {Name: "rest", Then: Then{Service: "lookup"}}})
 		assert.Equal(t, len(faults), 1)
 		got, ok := set.Match(&Request{Path: "/receipt/1"})
 		assert.Assert(t, ok)
 		assert.Equal(t, got.Name, r.Name)
 		err := got.Check()
-		assert.Equal(t, kinds.Of(err), kinds.Newer, "%v", err)
+		assert.Equal(t, kinds.Of(err), kinds.NewerVersion, "%v", err)
 		assert.Equal(t, kinds.Of(err).Answer().Ran, kinds.RanNo)
 	}
 }
@@ -67,7 +67,7 @@
 // The path pattern of one rule cannot be read. The requests of the rules below it go on
 // being served, all but those whose path begins as the pattern does.
 func TestAPatternThatCannotBeReadTurnsAwayNoOtherPaths(t *testing.T) {
-	set, _ := Accept([]Rule{
+	set, _ := CompileAccepted([]Rule{
 		{Name: "odd", When: When{Path: "/receipt/a%20b/{scale"}, Then: Then{Service: "ledger"}},
 		{Name: "rest", Then: Then{Service: "lookup"}},
 	})
@@ -82,13 +82,13 @@
 // holds its place: its requests are told to come back, and the log says why.
 func TestARuleThatWasNotReadKeepsItsPlace(t *testing.T) {
 	odd := Rule{Name: "odd", When: When{Prefix: "/receipt/"}}
-	odd.Unread("its target cannot be read")
-	set, faults := Accept([]Rule{odd, {Name: "rest", Then: Then{Service: "lookup"}}})
+	odd.MarkUnreadable("its target cannot be read")
+	set, faults := CompileAccepted([]Rule{odd, {Name: "rest", Then: Then{Service: "lookup"}}})
 	assert.Assert(t, len(faults) > 0 && faults[0].Text == "its target cannot be read", "%v", faults)
 	got, ok := set.Match(&Request{Path: "/receipt/1"})
 	assert.Assert(t, ok)
 	assert.Equal(t, got.Name, "odd")
-	assert.Equal(t, kinds.Of(got.Check()), kinds.Newer)
+	assert.Equal(t, kinds.Of(got.Check()), kinds.NewerVersion)
 	assert.ErrorContains(t, got.Check(), "its target cannot be read")
 	rest, ok := set.Match(&Request{Path: "/other/1"})
 	assert.Assert(t, ok)
@@ -99,7 +99,7 @@
 func TestAcceptAgreesWithCompile(t *testing.T) {
 	seeds.Check(t, func(t *rapid.T) {
 		set := compileSeen(t, drawRules(t, 40))
-		accepted, faults := Accept(set.Rules())
+		accepted, faults := CompileAccepted(set.Rules())
 		assert.Equal(t, len(faults), 0, "%v", faults)
 		for range 20 {
 			req := drawRequest(t)
--- a/internal/rules/match/check.go
+++ b/internal/rules/match/check.go
@@ -266,7 +266,7 @@
 		c.add("then.keep", reason(err))
 		return
 	}
-	c.addIf(t.Durable == DurableJournal && !t.Keep.Whole(), "then.keep",
+	c.addIf(t.Durable == DurableJournal && !t.Keep.RetainsAll(), "then.keep",
 		`durable = "journal" demands a record of every request, and this leaves some out`)
 	c.addIf(t.Keep.Sampled() && t.Key == "", "then.keep", "a sample is chosen by key: say where the key stands")
 }
--- a/internal/rules/match/match.go
+++ b/internal/rules/match/match.go
@@ -27,7 +27,7 @@
 	"time"
 
 	"hawthornfield.org/hawthornfield/internal/core/ident"
-	"hawthornfield.org/hawthornfield/internal/core/keep"
+	"hawthornfield.org/hawthornfield/internal/core/retain"
 )
 
 // Request is what the conditions look at. The caller's side fills it once per
@@ -105,7 +105,7 @@
 	Durable Durable       `cbor:"durable,omitempty" json:"durable,omitempty"`
 	Once    Once          `cbor:"once,omitempty" json:"once,omitempty"`
 	// Keep says which of the rule's decisions are kept in the journal.
-	Keep keep.Word `cbor:"keep,omitempty" json:"keep,omitempty"`
+	Keep retain.Policy `cbor:"keep,omitempty" json:"keep,omitempty"`
 }
 
 // Class is the priority of a rule's requests.
@@ -147,7 +147,7 @@
 )
 
 // Bounds on what an author writes, by which a mistyped limit is found before it is
-// accepted. They bind nobody afterwards, see [Accept].
+// accepted. They bind nobody afterwards, see [CompileAccepted].
 const (
 	MaxRules    = 4096
 	MaxKey      = 1024             // bytes of a key
--- a/internal/rules/match/parse.go
+++ b/internal/rules/match/parse.go
@@ -10,8 +10,8 @@
 	"github.com/pelletier/go-toml/v2/unstable"
 
 	"hawthornfield.org/hawthornfield/internal/core/ident"
-	"hawthornfield.org/hawthornfield/internal/core/keep"
 	"hawthornfield.org/hawthornfield/internal/core/kinds"
+	"hawthornfield.org/hawthornfield/internal/core/retain"
 )
 
 // MaxFile is the largest file of rules that Parse reads, in bytes. It leaves
@@ -111,7 +111,7 @@
 	Wait       string        `toml:"wait,omitempty"`
 	Durable    Durable       `toml:"durable,omitempty"`
 	Once       Once          `toml:"once,omitempty"`
-	Keep       keep.Word     `toml:"keep,omitempty"`
+	Keep       retain.Policy `toml:"keep,omitempty"`
 }
 
 type partDoc struct {
--- a/internal/rules/quorum/quorum.go
+++ b/internal/rules/quorum/quorum.go
@@ -53,8 +53,8 @@
 // which they count. Every VM must be given the same order.
 type PeersMsg struct{ Order []ident.VM }
 
-// HoldMsg tells that this VM put a revision in force.
-type HoldMsg struct{ Rev ident.Revision }
+// AppliedMsg tells that this VM put a revision in force.
+type AppliedMsg struct{ Rev ident.Revision }
 
 // ConfirmMsg tells that another VM holds a revision, or a newer one.
 type ConfirmMsg struct {
@@ -129,7 +129,7 @@
 	switch msg := msg.(type) {
 	case PeersMsg:
 		m.setPeers(now, msg.Order)
-	case HoldMsg:
+	case AppliedMsg:
 		m.hold(now, msg.Rev)
 	case ConfirmMsg:
 		m.by[msg.From] = max(m.by[msg.From], msg.Rev)
@@ -225,10 +225,10 @@
 		return Record{}
 	}
 	slices.SortFunc(revs, func(a, b ident.Revision) int { return cmp.Compare(b, a) })
-	r := Record{Form: Form, Rev: revs[len(revs)/2], Live: len(revs)}
+	r := Record{Form: FormatVersion, Rev: revs[len(revs)/2], Live: len(revs)}
 	for _, rev := range revs {
 		if rev >= r.Rev {
-			r.Have++
+			r.Confirmed++
 		}
 	}
 	return r
@@ -238,8 +238,8 @@
 func (m *Model) read(now time.Time, msg RecordMsg) []loop.Cmd {
 	m.busy = false
 	switch msg.Kind {
-	case kinds.None, kinds.Absent:
-	case kinds.Malformed, kinds.Newer:
+	case kinds.None, kinds.NotFound:
+	case kinds.Malformed, kinds.NewerVersion:
 		m.due = now.Add(rest)
 		return nil
 	default:
--- a/internal/rules/quorum/quorum_test.go
+++ b/internal/rules/quorum/quorum_test.go
@@ -78,9 +78,9 @@
 func (f *fleet) read(vm ident.VM) RecordMsg {
 	switch {
 	case f.down || f.cut[vm]:
-		return RecordMsg{Kind: kinds.Down}
+		return RecordMsg{Kind: kinds.Unavailable}
 	case f.version == 0:
-		return RecordMsg{Kind: kinds.Absent}
+		return RecordMsg{Kind: kinds.NotFound}
 	}
 	return RecordMsg{Record: f.record, Version: f.version}
 }
@@ -88,7 +88,7 @@
 func (f *fleet) write(vm ident.VM, cmd WriteCmd) WroteMsg {
 	switch {
 	case f.down || f.cut[vm]:
-		return WroteMsg{Record: cmd.Record, Kind: kinds.Down}
+		return WroteMsg{Record: cmd.Record, Kind: kinds.Unavailable}
 	case cmd.Old != f.version:
 		return WroteMsg{Record: cmd.Record, Kind: kinds.Conflict}
 	}
@@ -128,25 +128,25 @@
 func TestAnEditThatMostVMsMissIsNotAccepted(t *testing.T) {
 	f := newFleet(10)
 	for _, vm := range f.order {
-		f.send(vm, HoldMsg{Rev: 1})
+		f.send(vm, AppliedMsg{Rev: 1})
 	}
 	assert.Equal(t, f.record.Rev, ident.Revision(1))
 	for _, vm := range f.order[4:] {
 		f.cut[vm] = true
 	}
 	for _, vm := range f.order[:4] {
-		f.send(vm, HoldMsg{Rev: 2})
+		f.send(vm, AppliedMsg{Rev: 2})
 	}
-	f.send(f.order[4], HoldMsg{Rev: 2})
+	f.send(f.order[4], AppliedMsg{Rev: 2})
 	f.pass(time.Minute)
 	assert.Equal(t, f.record.Rev, ident.Revision(1), "accepted by half")
 
 	clear(f.cut)
 	for _, vm := range f.order[4:6] {
-		f.send(vm, HoldMsg{Rev: 2})
+		f.send(vm, AppliedMsg{Rev: 2})
 	}
 	f.pass(Slow)
-	assert.Equal(t, f.record, Record{Form: Form, Rev: 2, Have: 6, Live: 10, At: f.record.At})
+	assert.Equal(t, f.record, Record{Form: FormatVersion, Rev: 2, Confirmed: 6, Live: 10, At: f.record.At})
 }
 
 // The VM that counts is lost after all have told it, before it wrote anything.
@@ -156,12 +156,12 @@
 	f := newFleet(5)
 	f.models[f.order[0]] = nil
 	for _, vm := range f.order[1:] {
-		f.send(vm, HoldMsg{Rev: 7})
+		f.send(vm, AppliedMsg{Rev: 7})
 	}
 	assert.Equal(t, f.record.Rev, ident.Revision(0))
 	f.pass(Again)
 	assert.Equal(t, f.record.Rev, ident.Revision(7))
-	assert.Assert(t, 2*f.record.Have > f.record.Live)
+	assert.Assert(t, 2*f.record.Confirmed > f.record.Live)
 }
 
 // The store is down as the last VM confirms, and comes back a minute later. The
@@ -171,7 +171,7 @@
 	f := newFleet(3)
 	f.down = true
 	for _, vm := range f.order {
-		f.send(vm, HoldMsg{Rev: 1})
+		f.send(vm, AppliedMsg{Rev: 1})
 	}
 	f.pass(time.Minute)
 	f.down = false
@@ -186,7 +186,7 @@
 	for _, n := range []int{3, 10, 130, 520} {
 		f := newFleet(n)
 		for _, vm := range f.order {
-			f.send(vm, HoldMsg{Rev: 1})
+			f.send(vm, AppliedMsg{Rev: 1})
 		}
 		f.pass(time.Minute)
 		t.Logf("%d VMs: %d messages, %d reads, %d writes", n, f.told, f.reads, f.writes)
@@ -208,7 +208,7 @@
 			vm := rapid.SampledFrom(f.order).Draw(t, "vm")
 			switch rapid.IntRange(0, 5).Draw(t, "event") {
 			case 0, 1, 2:
-				f.send(vm, HoldMsg{Rev: f.models[vm].rev + ident.Revision(rapid.IntRange(1, 2).Draw(t, "ahead"))})
+				f.send(vm, AppliedMsg{Rev: f.models[vm].rev + ident.Revision(rapid.IntRange(1, 2).Draw(t, "ahead"))})
 			case 3:
 				f.cut[vm] = !f.cut[vm]
 			case 4:
@@ -230,7 +230,7 @@
 			top = max(top, f.models[vm].rev)
 		}
 		for _, vm := range f.order {
-			f.send(vm, HoldMsg{Rev: top + 1})
+			f.send(vm, AppliedMsg{Rev: top + 1})
 		}
 		f.pass(Counters * Slow)
 		assert.Equal(t, f.record.Rev, top+1)
@@ -270,27 +270,27 @@
 
 func TestRecordsThatMakeNoSenseAreRefused(t *testing.T) {
 	for _, bad := range []Record{
-		{}, {Form: Form, Rev: 1, Have: 2, Live: 4}, {Form: Form, Have: 3, Live: 4}, {Rev: 1, Have: 3, Live: 4},
+		{}, {Form: FormatVersion, Rev: 1, Confirmed: 2, Live: 4}, {Form: FormatVersion, Confirmed: 3, Live: 4}, {Rev: 1, Confirmed: 3, Live: 4},
 	} {
 		raw, err := bad.Encode()
 		assert.NilError(t, err)
 		_, err = Decode(raw)
 		assert.Equal(t, kinds.Of(err), kinds.Malformed, "%+v", bad)
 	}
-	raw, err := Record{Form: Form + 1, Rev: 1, Have: 3, Live: 4}.Encode()
+	raw, err := Record{Form: FormatVersion + 1, Rev: 1, Confirmed: 3, Live: 4}.Encode()
 	assert.NilError(t, err)
 	_, err = Decode(raw)
-	assert.Equal(t, kinds.Of(err), kinds.Newer)
+	assert.Equal(t, kinds.Of(err), kinds.NewerVersion)
 }
 
 func FuzzRecord(f *testing.F) {
-	raw, err := Record{Form: Form, Rev: 3, Have: 6, Live: 10, At: time.Unix(1000, 0)}.Encode()
+	raw, err := Record{Form: FormatVersion, Rev: 3, Confirmed: 6, Live: 10, At: time.Unix(1000, 0)}.Encode()
 	assert.NilError(f, err)
 	f.Add(raw)
 	f.Add([]byte{0xa1, 0x63, 'r', 'e', 'v', 0x20})
 	f.Fuzz(func(t *testing.T, b []byte) {
 		if r, err := Decode(b); err == nil {
-			assert.Assert(t, 2*r.Have > r.Live && r.Rev > 0)
+			assert.Assert(t, 2*r.Confirmed > r.Live && r.Rev > 0)
 		}
 	})
 }
--- a/internal/rules/force/book_test.go
+++ b/internal/rules/revs/book_test.go
@@ -1,4 +1,4 @@
-package force
+package revs
 
 import (
 	"testing"
@@ -13,10 +13,10 @@
 // The newest that it knows to exist never goes back, and never lies below the one by
 // which it decides.
 func TestTheNewestRevisionNeverGoesBack(t *testing.T) {
-	var b Book
+	var b Holder
 	assert.Equal(t, int(b.Newest()), 0)
-	b.Hear(7)
-	b.Hear(5)
+	b.NoteRevision(7)
+	b.NoteRevision(5)
 	assert.Equal(t, int(b.Newest()), 7)
 	assert.Equal(t, int(b.Current().Rev), 0)
 	assert.Assert(t, b.Apply(&Snapshot{Record: &Record{Rev: 9}}))
@@ -27,18 +27,18 @@
 // rules are the newest. What it learned a moment ago never shortens what it knows, and a
 // newer revision that it hears of ends it at once.
 func TestRulesAreInDoubtOnceNobodyVouchesForThem(t *testing.T) {
-	var b Book
+	var b Holder
 	assert.Assert(t, b.Apply(&Snapshot{Record: &Record{Rev: 3}}))
-	assert.NilError(t, b.Doubt(t0), "nobody vouches on this platform")
-	b.Vouch(t0.Add(2 * time.Second))
-	b.Vouch(t0.Add(time.Second))
-	assert.NilError(t, b.Doubt(t0.Add(2*time.Second)))
+	assert.NilError(t, b.CheckFresh(t0), "nobody vouches on this platform")
+	b.SetFreshUntil(t0.Add(2 * time.Second))
+	b.SetFreshUntil(t0.Add(time.Second))
+	assert.NilError(t, b.CheckFresh(t0.Add(2*time.Second)))
 	late := t0.Add(2*time.Second + time.Millisecond)
-	assert.Equal(t, kinds.Of(b.Doubt(late)), kinds.Behind)
-	b.Vouch(late)
-	assert.NilError(t, b.Doubt(late))
-	b.Hear(4)
-	assert.Equal(t, kinds.Of(b.Doubt(t0)), kinds.Behind)
+	assert.Equal(t, kinds.Of(b.CheckFresh(late)), kinds.StaleRules)
+	b.SetFreshUntil(late)
+	assert.NilError(t, b.CheckFresh(late))
+	b.NoteRevision(4)
+	assert.Equal(t, kinds.Of(b.CheckFresh(t0)), kinds.StaleRules)
 	assert.Assert(t, b.Apply(&Snapshot{Record: &Record{Rev: 4}}))
-	assert.NilError(t, b.Doubt(t0))
+	assert.NilError(t, b.CheckFresh(t0))
 }
--- a/internal/rules/force/edit.go
+++ b/internal/rules/revs/edit.go
@@ -1,4 +1,4 @@
-package force
+package revs
 
 import (
 	"fmt"
@@ -43,9 +43,9 @@
 	return kinds.Wrap(kinds.Conflict, c, "edit rules")
 }
 
-// Place says where in the order a rule goes. The zero value means the end for a
+// Position says where in the order a rule goes. The zero value means the end for a
 // new rule, and its present place for one that is replaced.
-type Place struct {
+type Position struct {
 	Before string // name of the rule that follows
 	First  bool
 	Last   bool
@@ -53,10 +53,10 @@
 
 // Put returns the next revision with the rule added, or replaced if one of its
 // name exists.
-func Put(cur *Record, e Edit, r match.Rule, at Place) (*Record, error) {
+func Put(cur *Record, e Edit, r match.Rule, at Position) (*Record, error) {
 	return change(cur, e, func(rules []match.Rule) ([]match.Rule, error) {
 		i := find(rules, r.Name)
-		if i >= 0 && at == (Place{}) {
+		if i >= 0 && at == (Position{}) {
 			rules[i] = r
 			return rules, nil
 		}
@@ -68,7 +68,7 @@
 }
 
 // Move returns the next revision with the named rule at another place.
-func Move(cur *Record, e Edit, name string, at Place) (*Record, error) {
+func Move(cur *Record, e Edit, name string, at Position) (*Record, error) {
 	return change(cur, e, func(rules []match.Rule) ([]match.Rule, error) {
 		i := find(rules, name)
 		if i < 0 {
@@ -79,9 +79,9 @@
 	})
 }
 
-// Retire returns the next revision without the named rule. Earlier revisions
+// Remove returns the next revision without the named rule. Earlier revisions
 // keep it, so reports can still show what it said.
-func Retire(cur *Record, e Edit, name string) (*Record, error) {
+func Remove(cur *Record, e Edit, name string) (*Record, error) {
 	return change(cur, e, func(rules []match.Rule) ([]match.Rule, error) {
 		i := find(rules, name)
 		if i < 0 {
@@ -117,7 +117,7 @@
 		return nil, err
 	}
 	return &Record{
-		Form: Form, Rev: cur.Rev + 1, Author: e.Author, Note: e.Note,
+		Form: FormatVersion, Rev: cur.Rev + 1, Author: e.Author, Note: e.Note,
 		At: e.At.UTC(), Token: e.Token, Rules: rules,
 	}, nil
 }
@@ -127,10 +127,10 @@
 }
 
 func unknown(name string) error {
-	return kinds.New(kinds.Absent, "no rule is named "+name)
+	return kinds.New(kinds.NotFound, "no rule is named "+name)
 }
 
-func insert(rules []match.Rule, r match.Rule, at Place) ([]match.Rule, error) {
+func insert(rules []match.Rule, r match.Rule, at Position) ([]match.Rule, error) {
 	switch {
 	case at.First:
 		return slices.Insert(rules, 0, r), nil
--- a/internal/rules/force/force.go
+++ b/internal/rules/revs/force.go
@@ -1,10 +1,10 @@
-// Package force decides which revision of the rules is in force on this entry
+// Package revs decides which revision of the rules is in force on this entry
 // VM, how an edit becomes a revision, and when the VM must stop answering
 // because it can no longer know the rules.
 //
 // A revision is accepted when the conditional update of the object
 // "rules/current" is confirmed. Every entry VM then puts it in force, or stops
-// answering, within [Bound]. Two faults are answered here. A list of rules that
+// answering, within [MaxApplyDelay]. Two faults are answered here. A list of rules that
 // went back, after a late message, a peer's old copy or a restored store, would
 // send requests where an operator has just forbidden it: so a revision that is
 // not newer than any held before is never applied, and a VM that starts anew
@@ -14,7 +14,7 @@
 //
 // While the store is down nothing can be accepted, so peers that see each other
 // go on serving: an outage of the store alone costs no unavailable time.
-package force
+package revs
 
 import (
 	"time"
@@ -25,22 +25,22 @@
 	"hawthornfield.org/hawthornfield/internal/core/loop"
 )
 
-// Bound is the time from acceptance until every entry VM answers under the new
+// MaxApplyDelay is the time from acceptance until every entry VM answers under the new
 // revision or not at all.
-const Bound = 7 * time.Second
+const MaxApplyDelay = 7 * time.Second
 
 // Limits are the times after which a VM stops answering.
 type Limits struct {
-	// Alone is for a VM that hears neither the store nor more than half of the
+	// Isolated is for a VM that hears neither the store nor more than half of the
 	// live entry VMs.
-	Alone time.Duration
+	Isolated time.Duration
 	// Behind is for a VM that knows of a newer revision and does not get it.
 	Behind time.Duration
 }
 
 // DefaultLimits leave, of the bound of 7 s, 2 s for news to arrive through the
 // peers and 1 s for a tick and the balancer.
-var DefaultLimits = Limits{Alone: 4 * time.Second, Behind: 4 * time.Second}
+var DefaultLimits = Limits{Isolated: 4 * time.Second, Behind: 4 * time.Second}
 
 // State says whether this VM may answer requests.
 type State uint32
@@ -71,8 +71,8 @@
 	Raw  []byte
 }
 
-// SightMsg tells what this VM hears at present.
-type SightMsg struct {
+// ContactMsg tells what this VM hears at present.
+type ContactMsg struct {
 	Store bool // the store answered just now
 	Live  int  // entry VMs that should be there, this one included
 	Heard int  // of them heard within the last second or two, this one included
@@ -92,7 +92,7 @@
 	Rev  ident.Revision
 }
 
-// ApplyCmd puts a snapshot in force: give it to the [Book] before the next
+// ApplyCmd puts a snapshot in force: give it to the [Holder] before the next
 // command.
 type ApplyCmd struct{ Snap *Snapshot }
 
@@ -145,7 +145,7 @@
 		cmds = m.heard(now, msg)
 	case LoadedMsg:
 		cmds = m.loaded(now, msg)
-	case SightMsg:
+	case ContactMsg:
 		m.looked(now, msg)
 	case TickMsg:
 		cmds = m.askAgain(now)
@@ -158,7 +158,7 @@
 }
 
 // looked notes when this VM last saw enough.
-func (m *Model) looked(now time.Time, msg SightMsg) {
+func (m *Model) looked(now time.Time, msg ContactMsg) {
 	at := msg.At
 	if at.IsZero() || at.After(now) {
 		at = now
@@ -171,7 +171,7 @@
 // enough reports whether this VM would hear of a new revision. More than half
 // of the VMs is asked for because any two such groups share a member: news that
 // reaches one group reaches the other.
-func (s SightMsg) enough() bool { return s.Store || 2*s.Heard > s.Live }
+func (s ContactMsg) enough() bool { return s.Store || 2*s.Heard > s.Live }
 
 func (m *Model) heard(now time.Time, msg HeardMsg) []loop.Cmd {
 	if msg.Rev == m.Rev() && m.snap != nil && msg.Sum != m.snap.Sum {
@@ -219,7 +219,7 @@
 	if msg.From != "" || !wanted || m.want.From == "" || now.Sub(m.since) < doubt {
 		return nil
 	}
-	cmds := m.alarm(m.want.From, m.want.Rev, kinds.New(kinds.Absent, "a peer announced a revision that the store does not have"))
+	cmds := m.alarm(m.want.From, m.want.Rev, kinds.New(kinds.NotFound, "a peer announced a revision that the store does not have"))
 	m.want = HeardMsg{}
 	return cmds
 }
@@ -274,7 +274,7 @@
 		return Empty
 	case m.want.Rev > m.Rev() && now.Sub(m.since) >= l.Behind:
 		return Behind
-	case now.Sub(m.sight) >= l.Alone:
+	case now.Sub(m.sight) >= l.Isolated:
 		return Alone
 	}
 	return Serve
--- a/internal/rules/force/force_test.go
+++ b/internal/rules/revs/force_test.go
@@ -1,4 +1,4 @@
-package force
+package revs
 
 import (
 	"strconv"
@@ -32,7 +32,7 @@
 	out := [][]byte{nil}
 	var cur *Record
 	for i := range n {
-		next, err := Put(cur, edit(ident.Revision(i)), rule("r"+strconv.Itoa(i)), Place{First: true})
+		next, err := Put(cur, edit(ident.Revision(i)), rule("r"+strconv.Itoa(i)), Position{First: true})
 		assert.NilError(t, err)
 		raw, err := next.Encode()
 		assert.NilError(t, err)
@@ -56,35 +56,35 @@
 		assert.NilError(t, err)
 		cur = next
 	}
-	step(Put(cur, edit(0), rule("a"), Place{}))
-	step(Put(cur, edit(1), rule("b"), Place{}))
-	step(Put(cur, edit(2), rule("c"), Place{Before: "b"}))
+	step(Put(cur, edit(0), rule("a"), Position{}))
+	step(Put(cur, edit(1), rule("b"), Position{}))
+	step(Put(cur, edit(2), rule("c"), Position{Before: "b"}))
 	assert.Equal(t, names(cur), "acb")
-	step(Move(cur, edit(3), "b", Place{First: true}))
+	step(Move(cur, edit(3), "b", Position{First: true}))
 	assert.Equal(t, names(cur), "bac")
-	step(Put(cur, edit(4), rule("a"), Place{}))
+	step(Put(cur, edit(4), rule("a"), Position{}))
 	assert.Equal(t, names(cur), "bac")
-	step(Move(cur, edit(5), "b", Place{Last: true}))
+	step(Move(cur, edit(5), "b", Position{Last: true}))
 	assert.Equal(t, names(cur), "acb")
 	old := cur
-	step(Retire(cur, edit(6), "c"))
+	step(Remove(cur, edit(6), "c"))
 	assert.Equal(t, names(cur), "ab")
 	assert.Equal(t, names(old), "acb")
 	assert.Equal(t, cur.Rev, ident.Revision(7))
 	for _, f := range []func() (*Record, error){
-		func() (*Record, error) { return Move(cur, edit(7), "z", Place{First: true}) },
-		func() (*Record, error) { return Retire(cur, edit(7), "z") },
-		func() (*Record, error) { return Put(cur, edit(7), rule("x"), Place{Before: "z"}) },
+		func() (*Record, error) { return Move(cur, edit(7), "z", Position{First: true}) },
+		func() (*Record, error) { return Remove(cur, edit(7), "z") },
+		func() (*Record, error) { return Put(cur, edit(7), rule("x"), Position{Before: "z"}) },
 	} {
 		_, err := f()
-		assert.Equal(t, kinds.Of(err), kinds.Absent)
+		assert.Equal(t, kinds.Of(err), kinds.NotFound)
 	}
-	_, err := Retire(cur, edit(3), "a")
+	_, err := Remove(cur, edit(3), "a")
 	assert.ErrorContains(t, err, "made on revision 3, in force is 7")
 	assert.Equal(t, kinds.Of(err), kinds.Conflict)
-	_, err = Put(cur, edit(7), match.Rule{Name: "bad"}, Place{})
+	_, err = Put(cur, edit(7), match.Rule{Name: "bad"}, Position{})
 	assert.Equal(t, kinds.Of(err), kinds.Malformed)
-	_, err = Put(cur, Edit{Seen: 7}, rule("x"), Place{})
+	_, err = Put(cur, Edit{Seen: 7}, rule("x"), Position{})
 	assert.Equal(t, kinds.Of(err), kinds.BadRequest)
 }
 
@@ -92,10 +92,10 @@
 // one does not know. Reading them as far as it understands would let a rule
 // match more than its author meant, so they are refused as a whole.
 func TestRulesOfANewerFormAreRefused(t *testing.T) {
-	raw, err := wire.Encode(Record{Form: Form + 1, Rev: 3})
+	raw, err := wire.Encode(Record{Form: FormatVersion + 1, Rev: 3})
 	assert.NilError(t, err)
 	_, err = Open(raw)
-	assert.Equal(t, kinds.Of(err), kinds.Newer)
+	assert.Equal(t, kinds.Of(err), kinds.NewerVersion)
 	_, err = Open([]byte{0xff})
 	assert.Equal(t, kinds.Of(err), kinds.Malformed)
 	raw, err = wire.Encode(Record{})
@@ -107,7 +107,7 @@
 // vm drives one model and its book by hand.
 type vm struct {
 	Model
-	book  Book
+	book  Holder
 	alarm []AlarmCmd
 	fetch []FetchCmd
 }
@@ -137,14 +137,14 @@
 	raw := raws(t, 1)
 	v.do(t0, LoadedMsg{Raw: raw[1]})
 	assert.Equal(t, v.book.State(), Alone)
-	v.do(t0, SightMsg{Store: true})
+	v.do(t0, ContactMsg{Store: true})
 	assert.Equal(t, v.book.State(), Serve)
-	v.do(t0.Add(3*time.Second), SightMsg{Live: 10, Heard: 5})
+	v.do(t0.Add(3*time.Second), ContactMsg{Live: 10, Heard: 5})
 	v.do(t0.Add(4*time.Second-1), TickMsg{})
 	assert.Equal(t, v.book.State(), Serve)
 	v.do(t0.Add(4*time.Second), TickMsg{})
 	assert.Equal(t, v.book.State(), Alone)
-	v.do(t0.Add(time.Minute), SightMsg{Live: 10, Heard: 6})
+	v.do(t0.Add(time.Minute), ContactMsg{Live: 10, Heard: 6})
 	assert.Equal(t, v.book.State(), Serve)
 }
 
@@ -154,11 +154,11 @@
 func TestWhatWasSeenBeforeAPauseIsOld(t *testing.T) {
 	var v vm
 	v.do(t0, LoadedMsg{Raw: raws(t, 1)[1]})
-	v.do(t0, SightMsg{Store: true, At: t0})
+	v.do(t0, ContactMsg{Store: true, At: t0})
 	assert.Equal(t, v.book.State(), Serve)
-	v.do(t0.Add(10*time.Second), SightMsg{Store: true, At: t0.Add(time.Second)})
+	v.do(t0.Add(10*time.Second), ContactMsg{Store: true, At: t0.Add(time.Second)})
 	assert.Equal(t, v.book.State(), Alone)
-	v.do(t0.Add(11*time.Second), SightMsg{Store: true, At: t0.Add(10900 * time.Millisecond)})
+	v.do(t0.Add(11*time.Second), ContactMsg{Store: true, At: t0.Add(10900 * time.Millisecond)})
 	assert.Equal(t, v.book.State(), Serve)
 }
 
@@ -168,7 +168,7 @@
 	var v vm
 	v.do(t0, LoadedMsg{Raw: raws(t, 1)[1]})
 	for i := range 3600 {
-		v.do(t0.Add(time.Duration(i)*time.Second), SightMsg{Live: 10, Heard: 9})
+		v.do(t0.Add(time.Duration(i)*time.Second), ContactMsg{Live: 10, Heard: 9})
 		assert.Equal(t, v.book.State(), Serve)
 	}
 }
@@ -182,7 +182,7 @@
 	v.do(t0, HeardMsg{From: "vm2", Rev: 2, Sum: digest.Of(raw[2])})
 	for i := range 39 {
 		now := t0.Add(time.Duration(i) * 100 * time.Millisecond)
-		v.do(now, SightMsg{Store: true})
+		v.do(now, ContactMsg{Store: true})
 		v.do(now, TickMsg{})
 		assert.Equal(t, v.book.State(), Serve)
 	}
@@ -231,7 +231,7 @@
 	asked := 0
 	for i := range 100 {
 		now := t0.Add(time.Duration(i) * 100 * time.Millisecond)
-		v.do(now, SightMsg{Store: true})
+		v.do(now, ContactMsg{Store: true})
 		v.fetch = nil
 		v.do(now, TickMsg{})
 		for _, c := range v.fetch {
@@ -276,11 +276,11 @@
 			case 1:
 				alarms := len(v.alarm)
 				v.do(now, LoadedMsg{From: from, Raw: raw[n]})
-				if len(v.alarm) > alarms && kinds.Of(v.alarm[alarms].Err) == kinds.Absent {
+				if len(v.alarm) > alarms && kinds.Of(v.alarm[alarms].Err) == kinds.NotFound {
 					known = 0
 				}
 			case 2:
-				v.do(now, SightMsg{Store: true})
+				v.do(now, ContactMsg{Store: true})
 			default:
 				v.do(now, TickMsg{})
 			}
@@ -299,7 +299,7 @@
 }
 
 func TestBookRefusesWhatIsNotNewer(t *testing.T) {
-	var b Book
+	var b Holder
 	raw := raws(t, 2)
 	one, err := Open(raw[1])
 	assert.NilError(t, err)
--- a/internal/rules/force/open_test.go
+++ b/internal/rules/revs/open_test.go
@@ -1,4 +1,4 @@
-package force
+package revs
 
 import (
 	"strconv"
@@ -15,7 +15,7 @@
 // other version could not open the revision, counted as behind, and stopped answering
 // all callers four seconds later.
 func TestAnAcceptedRevisionOpensWhateverAnAuthorMayWriteHere(t *testing.T) {
-	r := &Record{Form: Form, Rev: 3, Rules: []match.Rule{
+	r := &Record{Form: FormatVersion, Rev: 3, Rules: []match.Rule{
 		{Name: "deeper", When: match.When{Path: "/deeper/{scale", Host: []string{"deep.example"}}, Then: match.Then{Service: "lookup", Once: "ever"}},
 	}}
 	for i := range match.MaxRules {
@@ -27,7 +27,7 @@
 	assert.NilError(t, err)
 	got, ok := s.Set.Match(&match.Request{Path: "/deeper/7", Host: "deep.example"})
 	assert.Assert(t, ok)
-	assert.Equal(t, kinds.Of(got.Check()), kinds.Newer, "its own requests alone are told to come back")
+	assert.Equal(t, kinds.Of(got.Check()), kinds.NewerVersion, "its own requests alone are told to come back")
 	got, ok = s.Set.Match(&match.Request{Path: "/r" + strconv.Itoa(match.MaxRules-1), Host: "other.example"})
 	assert.Assert(t, ok)
 	assert.NilError(t, got.Check())
--- a/internal/rules/force/record.go
+++ b/internal/rules/revs/record.go
@@ -1,4 +1,4 @@
-package force
+package revs
 
 import (
 	"strconv"
@@ -22,10 +22,10 @@
 	return RevPrefix + strconv.FormatUint(uint64(n), 10)
 }
 
-// Form is the version of the record's meaning. A program that reads a higher
+// FormatVersion is the version of the record's meaning. A program that reads a higher
 // one does not guess: a condition that it does not know would make a rule match
 // more requests than its author meant.
-const Form = 1
+const FormatVersion = 1
 
 // Record is one revision of the rules, complete.
 type Record struct {
@@ -62,8 +62,8 @@
 	if err := wire.Decode(raw, &form); err != nil {
 		return nil, err
 	}
-	if form.Form > Form {
-		return nil, kinds.New(kinds.Newer, "rules of form "+strconv.FormatUint(uint64(form.Form), 10))
+	if form.Form > FormatVersion {
+		return nil, kinds.New(kinds.NewerVersion, "rules of form "+strconv.FormatUint(uint64(form.Form), 10))
 	}
 	var r Record
 	if err := wire.Decode(raw, &r); err != nil {
@@ -95,6 +95,6 @@
 	// What an author may write is checked before a revision is accepted. Checked again
 	// here, with the bounds of this program's version, an accepted revision would take
 	// every VM of that version out of service.
-	set, _ := match.Accept(r.Rules)
+	set, _ := match.CompileAccepted(r.Rules)
 	return &Snapshot{Record: r, Set: set, Sum: digest.Of(raw), Raw: raw}, nil
 }
--- a/internal/rules/save/accept.go
+++ b/internal/rules/save/accept.go
@@ -22,7 +22,7 @@
 // held then. Before the first one it returns a zero record.
 func Accepted(ctx context.Context, s Watched) (quorum.Record, error) {
 	o, err := s.Get(ctx, quorum.Object)
-	if kinds.Of(err) == kinds.Absent {
+	if kinds.Of(err) == kinds.NotFound {
 		return quorum.Record{}, nil
 	}
 	if err != nil {
@@ -46,7 +46,7 @@
 		}
 		rec, err := Accepted(ctx, s)
 		switch kinds.Of(err) {
-		case kinds.Malformed, kinds.Newer:
+		case kinds.Malformed, kinds.NewerVersion:
 			return rec, err
 		case kinds.None:
 			if rec.Rev >= rev {
@@ -57,7 +57,7 @@
 			group.Sleep(ctx, again)
 		}
 	}
-	return quorum.Record{}, kinds.Wrap(kinds.Late, context.Cause(ctx), "wait until the rules are accepted")
+	return quorum.Record{}, kinds.Wrap(kinds.DeadlineMissed, context.Cause(ctx), "wait until the rules are accepted")
 }
 
 // seenAt marks the place before the read, so that a change between the read and
--- a/internal/rules/save/save.go
+++ b/internal/rules/save/save.go
@@ -16,7 +16,7 @@
 	"hawthornfield.org/hawthornfield/internal/core/ident"
 	"hawthornfield.org/hawthornfield/internal/core/kinds"
 	"hawthornfield.org/hawthornfield/internal/plat/object"
-	"hawthornfield.org/hawthornfield/internal/rules/force"
+	"hawthornfield.org/hawthornfield/internal/rules/revs"
 )
 
 // Store is the part of the object API that is needed here.
@@ -27,21 +27,21 @@
 
 // Load reads the revision in force and the version of its object. Before the
 // first edit it returns a nil record and version zero.
-func Load(ctx context.Context, s Store) (*force.Record, object.Version, error) {
-	o, err := s.Get(ctx, force.Current)
-	if kinds.Of(err) == kinds.Absent {
+func Load(ctx context.Context, s Store) (*revs.Record, object.Version, error) {
+	o, err := s.Get(ctx, revs.Current)
+	if kinds.Of(err) == kinds.NotFound {
 		return nil, 0, nil
 	}
 	if err != nil {
 		return nil, 0, err
 	}
-	r, err := force.Decode(o.Value)
+	r, err := revs.Decode(o.Value)
 	return r, o.Version, err
 }
 
 // EditFunc makes the next revision out of the one in force; see [force.Put] and
 // its siblings.
-type EditFunc func(cur *force.Record) (*force.Record, error)
+type EditFunc func(cur *revs.Record) (*revs.Record, error)
 
 // Save makes an edit and returns the accepted revision.
 //
@@ -49,7 +49,7 @@
 // first and that nothing of this one took effect. Kind Ambiguous means that the
 // store did not say whether it did: look for the token in the history before
 // repeating it. Any other kind means that nothing took effect.
-func Save(ctx context.Context, s Store, edit EditFunc) (*force.Record, error) {
+func Save(ctx context.Context, s Store, edit EditFunc) (*revs.Record, error) {
 	cur, version, err := Load(ctx, s)
 	if err != nil {
 		return nil, err
@@ -75,7 +75,7 @@
 }
 
 // keep writes the history's copy of a record, if there is none yet.
-func keep(ctx context.Context, s Store, r *force.Record) error {
+func keep(ctx context.Context, s Store, r *revs.Record) error {
 	if r == nil {
 		return nil
 	}
@@ -83,7 +83,7 @@
 	if err != nil {
 		return err
 	}
-	_, err = s.Put(ctx, force.RevName(r.Rev), raw, 0)
+	_, err = s.Put(ctx, revs.RevName(r.Rev), raw, 0)
 	if kinds.Of(err) == kinds.Conflict {
 		return nil
 	}
@@ -94,7 +94,7 @@
 
 func notRun(err error) error {
 	if kinds.Of(err) == kinds.Ambiguous {
-		return kinds.Wrap(kinds.Down, err, "keep the history of rules")
+		return kinds.Wrap(kinds.Unavailable, err, "keep the history of rules")
 	}
 	return err
 }
@@ -104,11 +104,11 @@
 
 // accept updates the current object, on the condition that it is still the one
 // that the edit was made on.
-func accept(ctx context.Context, s Store, next *force.Record, raw []byte, old object.Version) error {
+func accept(ctx context.Context, s Store, next *revs.Record, raw []byte, old object.Version) error {
 	maybe := false
 	var err error
 	for range tries {
-		_, err = s.Put(ctx, force.Current, raw, old)
+		_, err = s.Put(ctx, revs.Current, raw, old)
 		switch kinds.Of(err) {
 		case kinds.None:
 			return nil
@@ -130,10 +130,10 @@
 
 // lost finds out what a conflict means: our own earlier try took effect, also
 // if others followed on it, or another edit came first.
-func lost(ctx context.Context, s Store, next *force.Record, maybe bool) error {
+func lost(ctx context.Context, s Store, next *revs.Record, maybe bool) error {
 	cur, _, err := Load(ctx, s)
 	if err == nil && cur == nil {
-		err = kinds.New(kinds.Absent, "the rules were removed")
+		err = kinds.New(kinds.NotFound, "the rules were removed")
 	}
 	if err != nil {
 		return uncertain(err, maybe)
@@ -147,7 +147,7 @@
 	if maybe && at.Rev == next.Rev && at.Token == next.Token {
 		return nil
 	}
-	c := &force.Conflict{Seen: next.Rev - 1, Actual: cur.Rev, Author: cur.Author, Note: cur.Note}
+	c := &revs.Conflict{Seen: next.Rev - 1, Actual: cur.Rev, Author: cur.Author, Note: cur.Note}
 	return kinds.Wrap(kinds.Conflict, c, "edit rules")
 }
 
@@ -159,22 +159,22 @@
 }
 
 // Revision reads one revision from the history.
-func Revision(ctx context.Context, s Store, n ident.Revision) (*force.Record, error) {
-	o, err := s.Get(ctx, force.RevName(n))
+func Revision(ctx context.Context, s Store, n ident.Revision) (*revs.Record, error) {
+	o, err := s.Get(ctx, revs.RevName(n))
 	if err != nil {
 		return nil, err
 	}
-	return force.Decode(o.Value)
+	return revs.Decode(o.Value)
 }
 
 // History returns up to n revisions, the one in force first. It costs one call
 // of the object API for each.
-func History(ctx context.Context, s Store, n int) ([]*force.Record, error) {
+func History(ctx context.Context, s Store, n int) ([]*revs.Record, error) {
 	cur, _, err := Load(ctx, s)
 	if err != nil || cur == nil {
 		return nil, err
 	}
-	all := []*force.Record{cur}
+	all := []*revs.Record{cur}
 	for rev := cur.Rev - 1; rev > 0 && len(all) < n; rev-- {
 		r, err := Revision(ctx, s, rev)
 		if err != nil {
--- a/internal/rules/save/save_test.go
+++ b/internal/rules/save/save_test.go
@@ -13,8 +13,8 @@
 	"hawthornfield.org/hawthornfield/internal/core/kinds"
 	"hawthornfield.org/hawthornfield/internal/fake/seeds"
 	"hawthornfield.org/hawthornfield/internal/plat/object"
-	"hawthornfield.org/hawthornfield/internal/rules/force"
 	"hawthornfield.org/hawthornfield/internal/rules/match"
+	"hawthornfield.org/hawthornfield/internal/rules/revs"
 )
 
 // store is a small object API whose answers the test chooses.
@@ -36,13 +36,13 @@
 func (s *store) Get(_ context.Context, name string) (object.Object, error) {
 	o, ok := s.objects[name]
 	if !ok {
-		return o, kinds.New(kinds.Absent, name)
+		return o, kinds.New(kinds.NotFound, name)
 	}
 	return o, nil
 }
 
 func (s *store) Put(_ context.Context, name string, value []byte, old object.Version) (object.Version, error) {
-	if f := s.between; f != nil && name == force.Current {
+	if f := s.between; f != nil && name == revs.Current {
 		s.between = nil
 		f()
 	}
@@ -52,7 +52,7 @@
 	}
 	switch {
 	case f == down:
-		return 0, kinds.New(kinds.Down, name)
+		return 0, kinds.New(kinds.Unavailable, name)
 	case f == lostBefore:
 		return 0, kinds.New(kinds.Ambiguous, name)
 	case s.objects[name].Version != old:
@@ -69,10 +69,10 @@
 
 // add is an edit that puts a rule of the given name first.
 func add(name string, seen ident.Revision) EditFunc {
-	return func(cur *force.Record) (*force.Record, error) {
+	return func(cur *revs.Record) (*revs.Record, error) {
 		r := match.Rule{Name: name, When: match.When{Path: "/" + name}, Then: match.Then{Service: "lookup"}}
-		e := force.Edit{Seen: seen, Author: "op", Note: "add " + name, Token: name}
-		return force.Put(cur, e, r, force.Place{First: true})
+		e := revs.Edit{Seen: seen, Author: "op", Note: "add " + name, Token: name}
+		return revs.Put(cur, e, r, revs.Position{First: true})
 	}
 }
 
@@ -89,9 +89,9 @@
 	}
 	_, err = Save(t.Context(), s, add("c", 1))
 	assert.Equal(t, kinds.Of(err), kinds.Conflict)
-	var c *force.Conflict
+	var c *revs.Conflict
 	assert.Assert(t, errors.As(err, &c))
-	assert.Equal(t, *c, force.Conflict{Seen: 1, Actual: 2, Author: "op", Note: "add b"})
+	assert.Equal(t, *c, revs.Conflict{Seen: 1, Actual: 2, Author: "op", Note: "add b"})
 	cur, _, err := Load(t.Context(), s)
 	assert.NilError(t, err)
 	assert.Equal(t, len(cur.Rules), 2)
@@ -106,7 +106,7 @@
 	s := newStore()
 	first := true
 	s.fault = func(name string) fault {
-		if name != force.Current || !first {
+		if name != revs.Current || !first {
 			return none
 		}
 		first = false
--- a/load.go
+++ b/load.go
@@ -15,14 +15,14 @@
 	GateConfig = gate.Config
 	// Job is what the gate needs to know of a request.
 	Job = gate.Job
-	// Pass is a place on a backend server, held until Done.
-	Pass = gate.Pass
+	// Permit is a place on a backend server, held until Done.
+	Permit = gate.Permit
 	// Outcome is what became of an attempt.
 	Outcome = gate.Outcome
 	// ServerInfo describes a backend server to the gate.
 	ServerInfo = gate.ServerInfo
-	// Place is where a key is served and under which authority, for Gate.Follow.
-	Place = gate.Place
+	// KeyOwner is where a key is served and under which authority, for Gate.Follow.
+	KeyOwner = gate.Owner
 	// GateStats are a gate's figures for operators.
 	GateStats = gate.Stats
 )
--- a/ownership.go
+++ b/ownership.go
@@ -2,12 +2,12 @@
 
 import (
 	"hawthornfield.org/hawthornfield/internal/owner/lease"
-	"hawthornfield.org/hawthornfield/internal/owner/seat"
+	"hawthornfield.org/hawthornfield/internal/owner/lessor"
 	"hawthornfield.org/hawthornfield/internal/owner/table"
 )
 
 // Who owns which key. A [Table] is the agreed assignment, kept in the store; a
-// [Seat] is the authority over one server's leases, held by one VM at a time.
+// [Lessor] is the authority over one server's leases, held by one VM at a time.
 type (
 	// Table is the agreed ownership of one service at one revision.
 	Table = table.Table
@@ -21,72 +21,72 @@
 	// worked out on.
 	Edit = table.Edit
 
-	// Seat is the decision module of one seat on one VM.
-	Seat = seat.Seat
-	// SeatConfig says which seat it is and how its servers behave.
-	SeatConfig = seat.Config
+	// Lessor is the decision module of one seat on one VM.
+	Lessor = lessor.Lessor
+	// LessorConfig says which seat it is and how its servers behave.
+	LessorConfig = lessor.Config
 	// LeaseTimes are the periods of leases, heartbeats and terms.
 	LeaseTimes = lease.Times
 	// Guard limits until when an effect may be carried out.
-	Guard = seat.Guard
+	Guard = lessor.Guard
 )
 
 // Messages to a seat. The rest come back from its own commands.
 type (
-	// PlanMsg says what the roster of live VMs wants of this VM.
-	PlanMsg = seat.PlanMsg
+	// RoleMsg says what the roster of live VMs wants of this VM.
+	RoleMsg = lessor.RoleMsg
 	// SuspectMsg says that a VM seems lost; it can be wrong.
-	SuspectMsg = seat.SuspectMsg
-	// GoneMsg says that the platform lists a VM as gone for good.
-	GoneMsg = seat.GoneMsg
+	SuspectMsg = lessor.SuspectMsg
+	// VMGoneMsg says that the platform lists a VM as gone for good.
+	VMGoneMsg = lessor.VMGoneMsg
 	// MoveMsg asks the holder to give keys away.
-	MoveMsg = seat.MoveMsg
+	MoveMsg = lessor.MoveMsg
 	// DrainMsg says that the backend server is leaving.
-	DrainMsg = seat.DrainMsg
+	DrainMsg = lessor.DrainMsg
 	// LeaveMsg says that this VM shuts down.
-	LeaveMsg = seat.LeaveMsg
+	LeaveMsg = lessor.LeaveMsg
 	// RecordMsg answers a ReadRecordCmd.
-	RecordMsg = seat.RecordMsg
+	RecordMsg = lessor.RecordMsg
 	// RecordPutMsg answers a PutRecordCmd.
-	RecordPutMsg = seat.RecordPutMsg
+	RecordPutMsg = lessor.RecordPutMsg
 	// TableMsg answers a ReadTableCmd, or brings a newer table.
-	TableMsg = seat.TableMsg
+	TableMsg = lessor.TableMsg
 	// TablePutMsg answers a PutTableCmd.
-	TablePutMsg = seat.TablePutMsg
+	TablePutMsg = lessor.TablePutMsg
 	// ReplyMsg answers an OrderCmd or a ReadServerCmd.
-	ReplyMsg = seat.ReplyMsg
+	ReplyMsg = lessor.ReplyMsg
 )
 
 // Commands of a seat, for the embedder's Runner.
 type (
 	// ReadRecordCmd reads the seat's record from the store.
-	ReadRecordCmd = seat.ReadRecordCmd
+	ReadRecordCmd = lessor.ReadRecordCmd
 	// PutRecordCmd writes it by conditional update.
-	PutRecordCmd = seat.PutRecordCmd
+	PutRecordCmd = lessor.PutRecordCmd
 	// ReadTableCmd reads the service's table.
-	ReadTableCmd = seat.ReadTableCmd
+	ReadTableCmd = lessor.ReadTableCmd
 	// PutTableCmd writes it by conditional update.
-	PutTableCmd = seat.PutTableCmd
+	PutTableCmd = lessor.PutTableCmd
 	// OrderCmd sends an order to the backend server.
-	OrderCmd = seat.OrderCmd
+	OrderCmd = lessor.OrderCmd
 	// ReadServerCmd asks the backend server what it holds.
-	ReadServerCmd = seat.ReadServerCmd
+	ReadServerCmd = lessor.ReadServerCmd
 	// SendCmd sends a message to the same seat on another VM.
-	SendCmd = seat.SendCmd
-	// SeatPlanCmd asks the planner where a server's keys should go.
-	SeatPlanCmd = seat.PlanCmd
+	SendCmd = lessor.SendCmd
+	// LessorPlanCmd asks the planner where a server's keys should go.
+	LessorPlanCmd = lessor.PlanCmd
 	// MovedCmd reports an acknowledged move.
-	MovedCmd = seat.MovedCmd
-	// HeldCmd reports that this VM took the seat.
-	HeldCmd = seat.HeldCmd
-	// StoodCmd reports that it no longer holds it.
-	StoodCmd = seat.StoodCmd
+	MovedCmd = lessor.MovedCmd
+	// AcquiredCmd reports that this VM took the seat.
+	AcquiredCmd = lessor.AcquiredCmd
+	// SteppedDownCmd reports that it no longer holds it.
+	SteppedDownCmd = lessor.SteppedDownCmd
 	// LeftCmd answers LeaveMsg.
-	LeftCmd = seat.LeftCmd
+	LeftCmd = lessor.LeftCmd
 )
 
-// NewSeat makes the seat of cfg. It does nothing until its first message.
-func NewSeat(cfg SeatConfig) Seat { return seat.New(cfg) }
+// NewLessor makes the seat of cfg. It does nothing until its first message.
+func NewLessor(cfg LessorConfig) Lessor { return lessor.New(cfg) }
 
 // DefaultTimes are the periods that docs/design/ownership.md gives grounds for:
 // a lease of 700 ms, so that a key is served again within a second of a loss.
