--- a/internal/fake/world/world.go
+++ b/internal/fake/world/world.go
@@ -119,7 +119,7 @@
 
 var start = time.Date(2026, 9, 21, 6, 0, 0, 0, time.UTC)
 
-// NewLessor makes a world and starts its VMs.
+// New makes a world and starts its VMs.
 func New(o Options) *World {
 	o = o.withDefaults()
 	w := &World{
--- a/internal/load/pick/pick.go
+++ b/internal/load/pick/pick.go
@@ -185,7 +185,7 @@
 	}
 }
 
-// BetterFactor empties the set.
+// Clear empties the set.
 func (s *Set) Clear() {
 	s.open = s.open[:0]
 	clear(s.at)
--- a/internal/owner/assign/msg.go
+++ b/internal/owner/assign/msg.go
@@ -75,7 +75,7 @@
 	Token   string
 }
 
-// Results is what became of an order. Sent is the time right before it was sent, Waited how
+// OrderResult is what became of an order. Sent is the time right before it was sent, Waited how
 // long it waited for others in this VM's own queue.
 type OrderResult struct {
 	Order
--- a/internal/owner/outage/trial.go
+++ b/internal/owner/outage/trial.go
@@ -1,4 +1,4 @@
-// Package perf measures what faults cost: for each fault of the design note it
+// Package outage measures what faults cost: for each fault of the design note it
 // runs the seats in the stand-in world under many seeds, and reports how long a
 // key had no server that served it.
 //
