--- a/internal/load/gate/bench_test.go
+++ b/internal/load/gate/bench_test.go
@@ -60,7 +60,7 @@
 			running = append(running, k)
 		}
 		for _, r := range c.Ready() {
-			if r.state == started {
+			if r.state == stateStarted {
 				running = append(running, r)
 			}
 		}
@@ -68,7 +68,7 @@
 			c.Done(now, running[0], Outcome{Latency: 8 * time.Millisecond})
 			running = append(running[:0], running[1:]...)
 			for _, r := range c.Ready() {
-				if r.state == started {
+				if r.state == stateStarted {
 					running = append(running, r)
 				}
 			}
@@ -99,9 +99,9 @@
 // BenchmarkPick500 is the start and end of a request over 500 servers.
 func BenchmarkPick500(b *testing.B) {
 	c := benchCore(500)
-	c.scoreAt = begin
+	c.scoreTime = begin
 	b.ReportAllocs()
 	for b.Loop() {
-		c.open.Choose(c.rng, -1, c.score)
+		c.available.Choose(c.rng, -1, c.score)
 	}
 }
--- a/internal/load/gate/near_test.go
+++ b/internal/load/gate/choose_test.go
@@ -13,7 +13,7 @@
 // Uploads of sixty kilobytes go to whichever server is next in turn. Two of three
 // then cross between data centres, and that is paid for by the byte; a busy moment at
 // the near server costs its caller a few milliseconds.
-func TestNearServersArePreferredAsLongAsTheyAreWell(t *testing.T) {
+func TestLocalServersArePreferredWhileHealthy(t *testing.T) {
 	now := time.Unix(1000, 0)
 	c := NewCore(Config{Seed: 1, Centre: "here"})
 	c.SetServers(now, []ServerInfo{
@@ -38,21 +38,21 @@
 			c.Done(now, tk, Outcome{Latency: took})
 		}
 	}
-	warm(c, &now)
+	warmUpServers(c, &now)
 	serve(0, "")
 	assert.Equal(t, went["b"]+went["d"], 0, "equal servers: all stay near")
 	clear(went)
 	serve(0, "here")
 	assert.Assert(t, went["b"]+went["d"] > 100, "near ones that take over twice as long are left alone: %v", went)
 	clear(went)
-	serve(bulk, "here")
+	serve(bulkBytes, "here")
 	assert.Assert(t, went["a"]+went["c"] > 150, "for a large body they are still the better choice: %v", went)
 }
 
 // A lookup is wanted within 200 ms. The near servers take 60 ms and the far ones 25: each
 // byte that crosses is paid for, and no caller is better off for it. Then callers move
 // here, the near servers take 400 ms, and only the far ones still answer in time.
-func TestAFarServerIsTakenWhereItSavesMoreThanTheAim(t *testing.T) {
+func TestRemoteServerIsChosenWhenItSavesMoreThanLatencyTarget(t *testing.T) {
 	for _, one := range []struct {
 		near   time.Duration
 		leaves bool
@@ -66,7 +66,7 @@
 			{Name: "d", Centre: "there", Slots: 4, Conns: 100},
 		})
 		c.SetShare(now, 1, 0)
-		warm(c, &now)
+		warmUpServers(c, &now)
 		far := 0
 		for range 200 {
 			now = now.Add(20 * time.Millisecond)
@@ -88,8 +88,8 @@
 	}
 }
 
-// warm fills all servers at once, so that something is known of each.
-func warm(c *Core, now *time.Time) {
+// warmUpServers fills all servers at once, so that something is known of each.
+func warmUpServers(c *Core, now *time.Time) {
 	for range 10 {
 		var all []*Ticket
 		for range 12 {
@@ -107,7 +107,7 @@
 
 // A server has ended and one of another service has its address. Whoever is sent there
 // is turned away, until its entry lapses seconds later.
-func TestAServerWhoseAddressAnswersForAnotherIsLeftAlone(t *testing.T) {
+func TestServerAnsweringForAnotherServiceIsAvoided(t *testing.T) {
 	now := time.Unix(1000, 0)
 	c := NewCore(Config{Seed: 1})
 	c.SetServers(now, []ServerInfo{{Name: "a", Slots: 4, Conns: 100}, {Name: "b", Slots: 4, Conns: 100}})
--- a/internal/load/gate/cold_test.go
+++ b/internal/load/gate/coldstart_test.go
@@ -12,11 +12,11 @@
 	"hawthornfield.org/hawthornfield/internal/load/health"
 )
 
-// burst plays a VM that has just started and gets 200 requests of 2 s at once
+// floodNewVM plays a VM that has just started and gets 200 requests of 2 s at once
 // for one owner of four slots, whose work takes 200 ms. It counts who was answered
 // in time, who was sent and had no answer by then, and who was refused more than
 // half a second after the first answers.
-func burst(t *testing.T) (answered, unknown, late int) {
+func floodNewVM(t *testing.T) (answered, unknown, late int) {
 	const work, slots = 200 * time.Millisecond, 4
 	c := NewCore(Config{Seed: 1})
 	c.SetServers(begin, []ServerInfo{{Name: "a", Slots: slots, Conns: 100}, {Name: "b", Slots: slots, Conns: 100}})
@@ -53,7 +53,7 @@
 		for k, at := range ends {
 			if !at.After(now) {
 				delete(ends, k)
-				c.Done(now, k, Outcome{Latency: at.Sub(k.at)})
+				c.Done(now, k, Outcome{Latency: at.Sub(k.startedAt)})
 				if at.After(k.Job.Deadline) {
 					unknown++
 				} else {
@@ -62,7 +62,7 @@
 			}
 		}
 		for _, k := range c.Ready() {
-			if k.state == started {
+			if k.state == stateStarted {
 				run(now, k)
 				continue
 			}
@@ -82,8 +82,8 @@
 // callers read "unknown" in place of a refusal. And the owner's silence of 100 ms
 // looked like a freeze, so it got one request at a time. The first answers show
 // what the others can expect, and they must hear it then, not at their deadlines.
-func TestAFloodBeforeTheFirstAnswerEndsInNoUnknown(t *testing.T) {
-	answered, unknown, late := burst(t)
+func TestFloodBeforeFirstAnswerLeavesNoUnknownOutcome(t *testing.T) {
+	answered, unknown, late := floodNewVM(t)
 	assert.Equal(t, unknown, 0)
 	assert.Assert(t, late <= 5, "%d of 200 refused late", late)
 	assert.Assert(t, answered >= 30, "%d answered", answered) // 40 fit into 2 s
--- a/internal/load/gate/core.go
+++ b/internal/load/gate/core.go
@@ -68,41 +68,41 @@
 	seed   maphash.Seed
 	closed bool
 
-	servers []*server
-	byName  map[ident.Server]*server
-	open    pick.Set
-	near    pick.Set // those of open in this VM's data centre
-	warm    pick.Set // those of open, near if any are, that were used a moment ago
-	panel   health.Monitor
-	checked []*health.Server // argument of panel.Judge, kept for reuse
-	score   func(int) float64
-	scoreAt time.Time
+	servers        []*server
+	byName         map[ident.Server]*server
+	available      pick.Set
+	availableLocal pick.Set // those of open in this VM's data centre
+	availableWarm  pick.Set // those of open, near if any are, that were used a moment ago
+	monitor        health.Monitor
+	healthScratch  []*health.Server // argument of panel.Judge, kept for reuse
+	score          func(int) float64
+	scoreTime      time.Time
 
-	any     lanes // requests that may go to any server
-	pace    [sizes.Kinds]float64
-	seen    [sizes.Kinds]int // answers of each kind
-	width   [sizes.Kinds]float64
-	holds   holds
-	spaced  spacings                      // keys for which their owner was crowded
-	owner   func(ident.Key) (Owner, bool) // nil when owners are not followed
-	askAt   time.Time                     // when a request that is held goes and asks
-	mix     sizes.Classifier
-	share   sizes.Share
-	budget  retry.Budget
-	press   float64 // recent share of requests refused
-	soonest time.Time
-	thinkAt time.Time // when waits are estimated again
-	judgeAt time.Time
+	shared        lanePair // requests that may go to any server
+	avgLatency    [sizes.Kinds]float64
+	answers       [sizes.Kinds]int // answers of each kind
+	concurrency   [sizes.Kinds]float64
+	moveQueues    moveQueueSet
+	keyPaces      keyPaceSet                    // keys for which their owner was crowded
+	ownerLookup   func(ident.Key) (Owner, bool) // nil when owners are not followed
+	probeAt       time.Time                     // when a request that is held goes and asks
+	classifier    sizes.Classifier
+	share         sizes.Share
+	retryBudget   retry.Budget
+	refusalRate   float64 // recent share of requests refused
+	nextExpiry    time.Time
+	reestimateAt  time.Time // when waits are estimated again
+	healthCheckAt time.Time
 
-	calledAt time.Time // the last call that something happened
-	paused   pause     // the last one
-	running  int
-	waiting  int
-	sent     float64 // requests sent lately, as of sentAt; see recent
-	sentAt   time.Time
+	lastEvent    time.Time // the last call that something happened
+	lastPause    vmPause   // the last one
+	running      int
+	waiting      int
+	startCount   float64 // requests sent lately, as of sentAt; see recent
+	startCountAt time.Time
 
-	ready []*Ticket
-	stats Stats
+	decided []*Ticket
+	stats   Stats
 }
 
 // NewCore makes a core without servers.
@@ -117,89 +117,89 @@
 		cfg.Seed = rand.Uint64()
 	}
 	c := &Core{
-		cfg:    cfg,
-		rng:    rand.New(rand.NewPCG(cfg.Seed, cfg.Seed)),
-		seed:   maphash.MakeSeed(),
-		byName: map[ident.Server]*server{},
-		share:  sizes.Share{VMs: 1},
-		budget: retry.New(),
-		stats:  Stats{Refused: map[kinds.Kind]uint64{}},
+		cfg:         cfg,
+		rng:         rand.New(rand.NewPCG(cfg.Seed, cfg.Seed)),
+		seed:        maphash.MakeSeed(),
+		byName:      map[ident.Server]*server{},
+		share:       sizes.Share{VMs: 1},
+		retryBudget: retry.New(),
+		stats:       Stats{Refused: map[kinds.Kind]uint64{}},
 	}
 	c.score = func(i int) float64 {
-		return c.servers[i].load.Score(c.scoreAt, c.pace[sizes.Short])
+		return c.servers[i].load.Score(c.scoreTime, c.avgLatency[sizes.Short])
 	}
-	c.any.init(cfg.Queue)
+	c.shared.init(cfg.Queue)
 	return c
 }
 
 // Offer takes in a request and decides at once whether it starts, waits or is
 // refused.
 func (c *Core) Offer(now time.Time, t *Ticket) Verdict {
-	c.accept(now, t)
+	c.prepare(now, t)
 	switch {
 	case c.closed:
 		return c.refuse(t, kinds.Closing, time.Second)
 	case len(c.servers) == 0:
-		return c.refuse(t, kinds.NoServer, c.hint(0))
+		return c.refuse(t, kinds.NoServer, c.retryAfter(0))
 	}
-	if h := c.holds.find(&t.Job); h != nil {
-		return c.meet(now, h, t)
+	if h := c.moveQueues.find(&t.Job); h != nil {
+		return c.joinMove(now, h, t)
 	}
 	return c.route(now, t)
 }
 
-// accept notes what is known of a request at its arrival.
-func (c *Core) accept(now time.Time, t *Ticket) {
-	c.rouse(now)
-	c.earn(t)
+// prepare notes what is known of a request at its arrival.
+func (c *Core) prepare(now time.Time, t *Ticket) {
+	c.detectPause(now)
+	c.updateRetryBudget(t)
 	if t.Job.Deadline.IsZero() {
 		t.Job.Deadline = now.Add(c.cfg.Deadline)
 	}
-	if t.Job.asked.IsZero() {
-		t.Job.asked = now
+	if t.Job.arrivedAt.IsZero() {
+		t.Job.arrivedAt = now
 	}
-	t.long = c.mix.Kind(t.Job.Size, uint8(t.Job.Class))
-	c.mix.Seen(now, t.long)
+	t.sizeKind = c.classifier.Kind(t.Job.Size, uint8(t.Job.Class))
+	c.classifier.Seen(now, t.sizeKind)
 }
 
-func (c *Core) earn(t *Ticket) {
+func (c *Core) updateRetryBudget(t *Ticket) {
 	switch {
-	case t.Job.again:
+	case t.Job.extraAttempt:
 	case t.Job.Repeat:
-		c.budget.ChargeRepeat()
+		c.retryBudget.ChargeRepeat()
 	default:
-		c.budget.Earn()
+		c.retryBudget.Earn()
 	}
 }
 
 // route sends a request to the lane of its owner, or to the common one.
 func (c *Core) route(now time.Time, t *Ticket) Verdict {
-	if t.Job.Server == "" && c.width[sizes.Short] == 0 {
-		return c.refuse(t, kinds.NoServer, c.hint(0))
+	if t.Job.Server == "" && c.concurrency[sizes.Short] == 0 {
+		return c.refuse(t, kinds.NoServer, c.retryAfter(0))
 	}
 	if t.Job.Server == "" {
-		return c.enter(now, &c.any, nil, t)
+		return c.enterLane(now, &c.shared, nil, t)
 	}
 	s := c.byName[t.Job.Server]
 	if s == nil {
-		return c.refuse(t, kinds.NoOwner, c.hint(0))
+		return c.refuse(t, kinds.NoOwner, c.retryAfter(0))
 	}
-	return c.enter(now, s.lanes(c.cfg.Queue), s, t)
+	return c.enterLane(now, s.lanes(c.cfg.Queue), s, t)
 }
 
-// enter starts the request if there is room and nobody waits before it, and
+// enterLane starts the request if there is room and nobody waits before it, and
 // else admits it to the queue or refuses it. A hot flow is refused while the
 // queue is standing, even if a place happens to be free: half of those who ask
 // at that moment are the hot one, and it would get half of the service. Only when
 // there is nobody else whom that could harm does it get a free place.
-func (c *Core) enter(now time.Time, ls *lanes, owner *server, t *Ticket) Verdict {
-	t.in = ls
-	l := &ls.by[t.long]
-	t.caller, t.key = c.flow(string(t.Job.Caller)), c.flow(string(t.Job.Key))
+func (c *Core) enterLane(now time.Time, ls *lanePair, owner *server, t *Ticket) Verdict {
+	t.lanes = ls
+	l := &ls.bySize[t.sizeKind]
+	t.callerFlow, t.keyFlow = c.flowOf(string(t.Job.Caller)), c.flowOf(string(t.Job.Key))
 	// A request's own failed attempt must not delay its retry.
 	if owner != nil && t.Job.avoid != owner.info.Name {
-		if closed := c.spaced.closed(now, t.key); closed > 0 {
-			return c.refuse(t, kinds.Busy, c.hint(closed))
+		if closed := c.keyPaces.delay(now, t.keyFlow); closed > 0 {
+			return c.refuse(t, kinds.Busy, c.retryAfter(closed))
 		}
 	}
 	debt := 0.0
@@ -207,14 +207,14 @@
 		debt = l.debt(now, t)
 	}
 	if l.q.Standing() {
-		l.see(debt)
+		l.observeArrival(debt)
 	}
-	if l.q.Standing() && debt > fair.HotDebt && !c.spare(now, l, owner) {
-		l.heldOff(now)
-		return c.refuse(t, kinds.Busy, c.hint(l.callers.Delay(debt)))
+	if l.q.Standing() && debt > fair.HotDebt && !c.hasSpareRoom(now, l, owner) {
+		l.noteOverShare(now)
+		return c.refuse(t, kinds.Busy, c.retryAfter(l.callerDebts.Delay(debt)))
 	}
 	if l.q.Len() == 0 && t.Job.Deadline.After(now) {
-		if s := c.place(now, owner, t); s != nil {
+		if s := c.chooseServer(now, owner, t); s != nil {
 			l.charge(now, t)
 			c.start(now, t, s)
 			return Start
@@ -223,51 +223,51 @@
 	return c.admit(now, l, owner, t, debt)
 }
 
-// spare reports whether a place is free that nobody within a share would want:
+// hasSpareRoom reports whether a place is free that nobody within a share would want:
 // nobody waits, and hardly anybody comes who owes nothing.
-func (c *Core) spare(now time.Time, l *lane, owner *server) bool {
+func (c *Core) hasSpareRoom(now time.Time, l *lane, owner *server) bool {
 	switch {
-	case l.q.Len() > 0 || l.modest >= fewModest:
+	case l.q.Len() > 0 || l.debtFreeShare >= minDebtFreeShare:
 		return false
 	case owner != nil:
-		return owner.roomKeyed(now)
+		return owner.hasRoomKeyed(now)
 	default:
-		return c.open.Len() > 0
+		return c.available.Len() > 0
 	}
 }
 
 func (c *Core) start(now time.Time, t *Ticket, s *server) {
-	t.state, t.srv, t.at = started, s, now
-	if t.long == sizes.Long && t.Job.Server != "" {
-		c.useTurn(now, s)
+	t.state, t.srv, t.startedAt = stateStarted, s, now
+	if t.sizeKind == sizes.Long && t.Job.Server != "" {
+		c.useToken(now, s)
 	}
-	c.sent, c.sentAt = c.recent(now)+1, now
-	s.start(now, t.long, c.expected(t.long))
-	c.spaced.started(now, t.key)
+	c.startCount, c.startCountAt = c.recentStarts(now)+1, now
+	s.start(now, t.sizeKind, c.expectedLatency(t.sizeKind))
+	c.keyPaces.noteStart(now, t.keyFlow)
 	c.running++
 	c.stats.Started++
-	c.press -= c.press * pressFollow
-	c.setOpen(now, s)
-	if c.judgeAt.IsZero() {
-		c.judgeAt = now.Add(health.CheckInterval)
+	c.refusalRate -= c.refusalRate * refusalRateSmoothing
+	c.updateAvailable(now, s)
+	if c.healthCheckAt.IsZero() {
+		c.healthCheckAt = now.Add(health.CheckInterval)
 	}
 }
 
 // Done gives a started request's place back and starts whoever can follow.
 func (c *Core) Done(now time.Time, t *Ticket, o Outcome) {
-	if t.state != started {
+	if t.state != stateStarted {
 		return
 	}
-	c.rouse(now)
+	c.detectPause(now)
 	s := t.srv
-	t.state = idle
+	t.state = stateIdle
 	c.running--
-	c.learn(now, t, o)
-	c.taken(now, t, o)
-	if s.gone {
+	c.observe(now, t, o)
+	c.endMove(now, t, o)
+	if s.removed {
 		return
 	}
-	c.setOpen(now, s)
+	c.updateAvailable(now, s)
 	c.dispatch(now, s)
 }
 
@@ -275,61 +275,61 @@
 func (c *Core) Abandon(now time.Time, t *Ticket) {
 	c.stats.Canceled++
 	switch t.state {
-	case started:
+	case stateStarted:
 		c.Done(now, t, Cancel())
-	case waiting:
-		c.unqueue(t)
-	case held:
-		c.holds.remove(t)
+	case stateQueued:
+		c.dequeue(t)
+	case stateHeld:
+		c.moveQueues.remove(t)
 	default:
 	}
-	t.state = idle
+	t.state = stateIdle
 }
 
 // dispatch starts the requests that may follow on a server that has room: the
 // keys it owns first, then those that may go anywhere.
 func (c *Core) dispatch(now time.Time, s *server) {
-	for s.own != nil && s.roomKeyed(now) {
-		if !c.next(now, s.own, s, c.longRoom(now, s)) {
+	for s.ownLanes != nil && s.hasRoomKeyed(now) {
+		if !c.startNext(now, s.ownLanes, s, c.mayStartLongKeyed(now, s)) {
 			break
 		}
 	}
-	for c.any.len() > 0 && s.room(now) {
-		if !c.next(now, &c.any, s, c.ownsLong(now, s)) {
+	for c.shared.len() > 0 && s.hasRoom(now) {
+		if !c.startNext(now, &c.shared, s, c.mayStartLongShared(now, s)) {
 			return
 		}
 	}
 }
 
-// next starts one waiting request of the lanes on the server. One that has too
+// startNext starts one waiting request of the lanes on the server. One that has too
 // little time left by what is known now is refused: it was let in when answers
 // were taken to be quicker, as by a VM that has seen none yet, and sent now it
 // would end as unknown at its deadline and hold the place until then.
-func (c *Core) next(now time.Time, ls *lanes, s *server, long bool) bool {
-	kind, ok := ls.turn(long)
+func (c *Core) startNext(now time.Time, ls *lanePair, s *server, long bool) bool {
+	kind, ok := ls.nextKind(long)
 	if !ok {
 		return false
 	}
-	l := &ls.by[kind]
+	l := &ls.bySize[kind]
 	t := l.q.Pop(now).Value
-	l.popped(now)
+	l.observeStart(now)
 	c.waiting--
-	if t.Job.Deadline.Sub(now) < margin*c.typical(kind) {
+	if t.Job.Deadline.Sub(now) < deadlineMargin*c.typicalLatency(kind) {
 		l.q.MarkFull(now)
 		l.refund(t)
-		c.decide(t, kinds.DeadlineMissed, c.hint(c.each(now, owned(ls, s), kind)))
+		c.refuseWaiting(t, kinds.DeadlineMissed, c.retryAfter(c.startInterval(now, ownerOf(ls, s), kind)))
 		return true
 	}
-	s.limit[s.kind].MarkLimited() // it waited for a place here
-	ls.spend(kind, c.typical(kind).Seconds())
+	s.limit[s.limitKind].MarkLimited() // it waited for a place here
+	ls.chargeSlotTime(kind, c.typicalLatency(kind).Seconds())
 	c.start(now, t, s)
-	c.ready = append(c.ready, t)
+	c.decided = append(c.decided, t)
 	return true
 }
 
-// owned returns the server if the lanes are those of its own keys.
-func owned(ls *lanes, s *server) *server {
-	if ls == s.own {
+// ownerOf returns the server if the lanes are those of its own keys.
+func ownerOf(ls *lanePair, s *server) *server {
+	if ls == s.ownLanes {
 		return s
 	}
 	return nil
@@ -338,15 +338,15 @@
 // Ready returns the tickets decided since the last call, started or refused.
 // The slice is valid until the next call into the core.
 func (c *Core) Ready() []*Ticket {
-	done := c.ready
-	c.ready = c.ready[:0]
+	done := c.decided
+	c.decided = c.decided[:0]
 	return done
 }
 
 // Next is when Tick has something to do; zero means nothing is pending.
 func (c *Core) Next() time.Time {
 	var next time.Time
-	for _, at := range [...]time.Time{c.soonest, c.judgeAt, c.askAt, c.thinkAt} {
+	for _, at := range [...]time.Time{c.nextExpiry, c.healthCheckAt, c.probeAt, c.reestimateAt} {
 		if next.IsZero() || !at.IsZero() && at.Before(next) {
 			next = at
 		}
@@ -357,28 +357,28 @@
 // Close refuses all who wait, and all who come later.
 func (c *Core) Close(now time.Time) {
 	c.closed = true
-	c.eachLanes(func(ls *lanes) {
-		for k := range ls.by {
-			l := &ls.by[k]
+	c.forEachLanes(func(ls *lanePair) {
+		for k := range ls.bySize {
+			l := &ls.bySize[k]
 			for it := l.q.Pop(now); it != nil; it = l.q.Pop(now) {
 				c.waiting--
-				c.decide(it.Value, kinds.Closing, time.Second)
+				c.refuseWaiting(it.Value, kinds.Closing, time.Second)
 			}
 		}
 	})
-	c.holds.each(func(h *hold) bool {
-		for _, t := range c.empty(h) {
-			c.decide(t, kinds.Closing, time.Second)
+	c.moveQueues.retain(func(h *moveQueue) bool {
+		for _, t := range c.takeAll(h) {
+			c.refuseWaiting(t, kinds.Closing, time.Second)
 		}
 		return false
 	})
 }
 
-func (c *Core) eachLanes(do func(*lanes)) {
-	do(&c.any)
+func (c *Core) forEachLanes(do func(*lanePair)) {
+	do(&c.shared)
 	for _, s := range c.servers {
-		if s.own != nil {
-			do(s.own)
+		if s.ownLanes != nil {
+			do(s.ownLanes)
 		}
 	}
 }
--- a/internal/load/gate/core_test.go
+++ b/internal/load/gate/core_test.go
@@ -19,31 +19,31 @@
 // machine drives a core with anything that can happen, and keeps its own
 // account of every request.
 type machine struct {
-	core    *Core
-	now     time.Time
-	n       int
-	decided map[*Ticket]int
-	running []*Ticket
-	waiting map[*Ticket]bool
-	drain   map[ident.Server]bool
-	bound   map[ident.Server]int
-	owners  map[ident.Key]ident.Server
+	core       *Core
+	now        time.Time
+	n          int
+	decided    map[*Ticket]int
+	running    []*Ticket
+	waiting    map[*Ticket]bool
+	draining   map[ident.Server]bool
+	maxRunning map[ident.Server]int
+	owners     map[ident.Key]ident.Server
 }
 
-const servers = 3
+const serverCount = 3
 
 func newMachine(t *rapid.T) *machine {
 	m := &machine{
 		core: NewCore(Config{Seed: 7, Queue: 6, MaxHeld: 4}), now: begin,
 		decided: map[*Ticket]int{}, waiting: map[*Ticket]bool{}, owners: map[ident.Key]ident.Server{},
 	}
-	m.core.Follow(m.now, m.place)
+	m.core.SetOwnerLookup(m.now, m.lookupOwner)
 	m.Servers(t)
 	return m
 }
 
-// place looks the owner of a key up; the keys k0 and k1 share a slice.
-func (m *machine) place(k ident.Key) (Owner, bool) {
+// lookupOwner looks the owner of a key up; the keys k0 and k1 share a slice.
+func (m *machine) lookupOwner(k ident.Key) (Owner, bool) {
 	s, ok := m.owners[k]
 	return Owner{Server: s, Slice: sliceOf(k)}, ok
 }
@@ -55,20 +55,20 @@
 	return 2
 }
 
-func name(i int) ident.Server { return ident.Server("s" + strconv.Itoa(i)) }
+func serverName(i int) ident.Server { return ident.Server("s" + strconv.Itoa(i)) }
 
 // Servers replaces the list: other slots, drains, one server more or less.
 func (m *machine) Servers(t *rapid.T) {
-	m.drain, m.bound = map[ident.Server]bool{}, map[ident.Server]int{}
+	m.draining, m.maxRunning = map[ident.Server]bool{}, map[ident.Server]int{}
 	var list []ServerInfo
-	for i := range rapid.IntRange(1, servers).Draw(t, "servers") {
+	for i := range rapid.IntRange(1, serverCount).Draw(t, "servers") {
 		info := ServerInfo{
-			Name: name(i), Slots: rapid.IntRange(1, 4).Draw(t, "slots"), Conns: 100,
+			Name: serverName(i), Slots: rapid.IntRange(1, 4).Draw(t, "slots"), Conns: 100,
 			Drain: rapid.IntRange(0, 5).Draw(t, "drain") == 0,
 			Cold:  rapid.IntRange(0, 5).Draw(t, "cold") == 0,
 		}
-		m.drain[info.Name] = info.Drain
-		m.bound[info.Name] = info.Slots + 1
+		m.draining[info.Name] = info.Drain
+		m.maxRunning[info.Name] = info.Slots + 1
 		list = append(list, info)
 	}
 	m.core.SetServers(m.now, list)
@@ -94,13 +94,13 @@
 		j.Key = "k" + ident.Key(strconv.Itoa(m.n%4))
 		j.Slice, j.HotKey = sliceOf(j.Key), j.Key == "k3"
 		j.MaxOwnerWait = time.Duration(rapid.IntRange(0, 300).Draw(t, "patience")) * time.Millisecond
-		j.Server = name(rapid.IntRange(0, servers-1).Draw(t, "owner")) // the caller's table may be old
+		j.Server = serverName(rapid.IntRange(0, serverCount-1).Draw(t, "owner")) // the caller's table may be old
 	}
 	k := &Ticket{Job: j}
-	m.take(t, k, m.core.Offer(m.now, k))
+	m.record(t, k, m.core.Offer(m.now, k))
 }
 
-func (m *machine) take(t *rapid.T, k *Ticket, v Verdict) {
+func (m *machine) record(t *rapid.T, k *Ticket, v Verdict) {
 	switch v {
 	case Wait:
 		m.waiting[k] = true
@@ -123,22 +123,22 @@
 		again := &Ticket{Job: k.Job.NextAttempt("")}
 		m.core.Done(m.now, k, Outcome{Kind: kinds.Misrouted, Refused: true})
 		m.collect(t)
-		m.take(t, again, m.core.Await(m.now, again))
+		m.record(t, again, m.core.WaitOwner(m.now, again))
 		return
 	}
 	t.Skip("no key's request runs")
 }
 
-// Crowd is a hot caller's burst and, in the same moment, others who have had
+// HotBurst is a hot caller's burst and, in the same moment, others who have had
 // less and go before it.
-func (m *machine) Crowd(t *rapid.T) {
+func (m *machine) HotBurst(t *rapid.T) {
 	for i := range 12 {
 		j := Job{Caller: "hot", Deadline: m.now.Add(time.Second)}
 		if i > 8 {
 			j.Caller = ident.Caller("cool" + strconv.Itoa(i))
 		}
 		k := &Ticket{Job: j}
-		m.take(t, k, m.core.Offer(m.now, k))
+		m.record(t, k, m.core.Offer(m.now, k))
 	}
 }
 
@@ -151,18 +151,18 @@
 	if k.Job.Server != "" {
 		assert.Equal(t, s, k.Job.Server, "a key's request left its owner")
 	} else {
-		assert.Assert(t, !m.drain[s], "new work for a draining server")
+		assert.Assert(t, !m.draining[s], "new work for a draining server")
 	}
 	srv := m.core.byName[s]
-	if srv.kind == sizes.Short {
-		assert.Assert(t, srv.running-srv.long <= m.bound[s], "more than slots+1 short ones at once")
+	if srv.limitKind == sizes.Short {
+		assert.Assert(t, srv.running-srv.runningLong <= m.maxRunning[s], "more than slots+1 short ones at once")
 	} else {
-		assert.Assert(t, srv.running <= m.bound[s], "more than slots+1 at once")
+		assert.Assert(t, srv.running <= m.maxRunning[s], "more than slots+1 at once")
 	}
-	if k.long == sizes.Long && m.core.mix.Mixed(m.now) {
-		assert.Assert(t, k.Job.Server == "" || srv.long <= max(srv.info.Slots/2, 1), "uploads on more than half the slots")
+	if k.sizeKind == sizes.Long && m.core.classifier.Mixed(m.now) {
+		assert.Assert(t, k.Job.Server == "" || srv.runningLong <= max(srv.info.Slots/2, 1), "uploads on more than half the slots")
 	}
-	assert.Assert(t, srv.running <= srv.pool.Max(m.now), "more than the connections")
+	assert.Assert(t, srv.running <= srv.connPool.Max(m.now), "more than the connections")
 }
 
 func (m *machine) Done(t *rapid.T) {
@@ -192,15 +192,15 @@
 }
 
 func (m *machine) Move(t *rapid.T) {
-	to := name(rapid.IntRange(0, servers-1).Draw(t, "to"))
+	to := serverName(rapid.IntRange(0, serverCount-1).Draw(t, "to"))
 	keys := rapid.SampledFrom([][]ident.Key{{"k0", "k1"}, {"k2"}, {"k3"}}).Draw(t, "keys")
 	for _, k := range keys {
 		m.owners[k] = to
 	}
-	m.core.Moved(m.now)
+	m.core.OwnersChanged(m.now)
 	m.collect(t)
 	for k := range m.waiting {
-		if k.state == waiting && k.Job.Server != "" {
+		if k.state == stateQueued && k.Job.Server != "" {
 			owner, ok := m.owners[k.Job.Key]
 			assert.Assert(t, !ok || k.Job.Server == owner, "queues for a former owner after the news")
 		}
@@ -208,17 +208,17 @@
 }
 
 func (m *machine) Report(t *rapid.T) {
-	s := name(rapid.IntRange(0, servers-1).Draw(t, "server"))
+	s := serverName(rapid.IntRange(0, serverCount-1).Draw(t, "server"))
 	m.core.Report(m.now, s, rapid.IntRange(0, 50).Draw(t, "load"), time.Second/10)
 	m.collect(t)
 }
 
 func (m *machine) Time(t *rapid.T) {
 	until := m.now.Add(time.Duration(rapid.IntRange(0, 200).Draw(t, "ms")) * time.Millisecond)
-	m.pass(t, until)
+	m.advance(t, until)
 }
 
-func (m *machine) pass(t *rapid.T, until time.Time) {
+func (m *machine) advance(t *rapid.T, until time.Time) {
 	for next := m.core.Next(); !next.IsZero() && !next.After(until); next = m.core.Next() {
 		if next.After(m.now) {
 			m.now = next
@@ -233,7 +233,7 @@
 	for _, k := range m.core.Ready() {
 		assert.Assert(t, m.waiting[k], "decided without waiting")
 		delete(m.waiting, k)
-		if k.state == started {
+		if k.state == stateStarted {
 			m.started(t, k)
 			continue
 		}
@@ -254,12 +254,12 @@
 		assert.Equal(t, n, 1, "decided twice")
 		assert.Assert(t, !m.waiting[k])
 	}
-	if m.core.any.by[0].q.Len() > 0 {
-		assert.Equal(t, m.core.open.Len(), 0, "a free place and a waiting request")
+	if m.core.shared.bySize[0].q.Len() > 0 {
+		assert.Equal(t, m.core.available.Len(), 0, "a free place and a waiting request")
 	}
 	for _, s := range m.core.servers {
-		if s.own != nil && s.own.by[0].q.Len() > 0 {
-			assert.Assert(t, !s.roomKeyed(m.now), "a free place at the owner and a waiting request")
+		if s.ownLanes != nil && s.ownLanes.bySize[0].q.Len() > 0 {
+			assert.Assert(t, !s.hasRoomKeyed(m.now), "a free place at the owner and a waiting request")
 		}
 	}
 }
@@ -273,11 +273,11 @@
 		m := newMachine(t)
 		t.Repeat(map[string]func(*rapid.T){
 			"": m.Check, "servers": m.Servers, "share": m.Share, "offer": m.Offer, "offer2": m.Offer,
-			"offer3": m.Offer, "done": m.Done, "done2": m.Done, "abandon": m.Abandon, "crowd": m.Crowd, "move": m.Move,
+			"offer3": m.Offer, "done": m.Done, "done2": m.Done, "abandon": m.Abandon, "crowd": m.HotBurst, "move": m.Move,
 			"misrouted": m.Misrouted, "misrouted2": m.Misrouted,
 			"report": m.Report, "time": m.Time,
 		})
-		m.pass(t, m.now.Add(time.Second))
+		m.advance(t, m.now.Add(time.Second))
 		assert.Equal(t, len(m.waiting), 0, "someone still waits past every deadline")
 	})
 }
@@ -316,7 +316,7 @@
 // A server is lost with requests waiting for the keys it owned. They must be
 // refused as not run at once; their callers would otherwise wait in vain until
 // their deadline.
-func TestWaitingForAServerThatIsGone(t *testing.T) {
+func TestRemovedServerRefusesItsQueue(t *testing.T) {
 	c := NewCore(Config{Seed: 1})
 	c.SetServers(begin, []ServerInfo{{Name: "a", Slots: 1, Conns: 10}, {Name: "b", Slots: 1, Conns: 10}})
 	var waiting []*Ticket
--- a/internal/load/gate/grey_test.go
+++ b/internal/load/gate/flaky_test.go
@@ -11,24 +11,24 @@
 	"hawthornfield.org/hawthornfield/internal/core/kinds"
 )
 
-// askGrey asks owners of which a part of all attempts ends so, and sends again what the
+// runFlakyOwners asks owners of which a part of all attempts ends so, and sends again what the
 // gate lets through. An owner says that so many run there as it refuses, and nothing as it
 // breaks off. It returns how many were served and how many attempts that took.
-func askGrey(ends Outcome, load int) (served, sent int) {
+func runFlakyOwners(ends Outcome, load int) (served, sent int) {
 	const (
 		greyPart = 0.45
 		owners   = 100
 	)
-	c := NewCore(Config{Seed: 1, RetryBudget: RetryBudget{Share: greyShare, Burst: greyBurst * fleet}})
+	c := NewCore(Config{Seed: 1, RetryBudget: RetryBudget{Share: retryShare, Burst: retryBurst * vmCount}})
 	now := time.Unix(1000, 0)
 	var list []ServerInfo
 	for i := range owners {
 		list = append(list, ServerInfo{Name: ident.Server(rune('a' + i)), Slots: 4, Conns: 1000})
 	}
 	c.SetServers(now, list)
-	c.SetShare(now, fleet, 0)
+	c.SetShare(now, vmCount, 0)
 	rng := rand.New(rand.NewPCG(1, 1))
-	for i := range greyRequests {
+	for i := range flakyRequests {
 		now = now.Add(100 * time.Millisecond)
 		job := Job{Key: ident.Key(rune(i)), Server: list[i%owners].Name, Idempotent: true, Deadline: now.Add(6 * time.Second)}
 		for again := true; again; {
@@ -58,24 +58,24 @@
 }
 
 const (
-	greyRequests = 2000
-	greyShare    = 0.16          // of the requests may be sent again
-	greyBurst    = 340.0 / fleet // and so many beside
+	flakyRequests = 2000
+	retryShare    = 0.16            // of the requests may be sent again
+	retryBurst    = 340.0 / vmCount // and so many beside
 )
 
 // Guards against callers refused for good by an owner that has room and refuses now and then.
 func TestAnOwnerThatRefusesWithRoomIsAskedAgain(t *testing.T) {
 	full := Outcome{Kind: kinds.Busy, Refused: true}
-	served, sent := askGrey(full, 1)
-	assert.Check(t, served > greyRequests*60/100, "served %d of %d", served, greyRequests)
-	assert.Check(t, float64(sent) <= greyRequests*(1+greyShare)+greyBurst, "%d attempts", sent)
-	_, sent = askGrey(full, 20)
-	assert.Check(t, sent <= greyRequests, "%d attempts at owners that are full", sent)
+	served, sent := runFlakyOwners(full, 1)
+	assert.Check(t, served > flakyRequests*60/100, "served %d of %d", served, flakyRequests)
+	assert.Check(t, float64(sent) <= flakyRequests*(1+retryShare)+retryBurst, "%d attempts", sent)
+	_, sent = runFlakyOwners(full, 20)
+	assert.Check(t, sent <= flakyRequests, "%d attempts at owners that are full", sent)
 }
 
 // Guards against lookups that fail because their own broken connection made their key look hot.
-func TestALookupThatAnOwnerBrokeOffIsAskedAgain(t *testing.T) {
-	served, sent := askGrey(Outcome{Kind: kinds.Unknown}, 1)
-	assert.Check(t, served > greyRequests*60/100, "served %d of %d", served, greyRequests)
-	assert.Check(t, float64(sent) <= greyRequests*(1+greyShare)+greyBurst, "%d attempts", sent)
+func TestLookupIsRetriedAfterBrokenConnection(t *testing.T) {
+	served, sent := runFlakyOwners(Outcome{Kind: kinds.Unknown}, 1)
+	assert.Check(t, served > flakyRequests*60/100, "served %d of %d", served, flakyRequests)
+	assert.Check(t, float64(sent) <= flakyRequests*(1+retryShare)+retryBurst, "%d attempts", sent)
 }
--- a/internal/load/gate/gate.go
+++ b/internal/load/gate/gate.go
@@ -39,19 +39,19 @@
 // may be called from any goroutine.
 type Gate struct {
 	group group.Group
-	kick  chan struct{}
+	rearm chan struct{}
 
-	mu     sync.Mutex
-	core   *Core
-	armed  time.Time
-	free   []*Ticket
-	closed bool
+	mu          sync.Mutex
+	core        *Core
+	nextTick    time.Time
+	freeTickets []*Ticket
+	closed      bool
 }
 
 // New makes a gate without backend servers: until [Gate.SetServers] every
 // request is refused with kind NoServer.
 func New(cfg Config) *Gate {
-	g := &Gate{core: NewCore(cfg), kick: make(chan struct{}, 1)}
+	g := &Gate{core: NewCore(cfg), rearm: make(chan struct{}, 1)}
 	g.group.Go(g.run)
 	return g
 }
@@ -62,7 +62,7 @@
 	g.mu.Lock()
 	g.closed = true
 	g.core.Close(time.Now())
-	g.wake()
+	g.notifyDecided()
 	g.mu.Unlock()
 	return g.group.Close()
 }
@@ -82,34 +82,34 @@
 // asked before, until the key's owner takes requests or the deadline or the
 // patience of the job can no longer be kept (kind Moving).
 func (g *Gate) WaitOwner(ctx context.Context, j Job) (Permit, error) {
-	return g.enter(ctx, j, g.core.Await)
+	return g.enter(ctx, j, g.core.WaitOwner)
 }
 
 func (g *Gate) enter(ctx context.Context, j Job, offer func(time.Time, *Ticket) Verdict) (Permit, error) {
 	g.mu.Lock()
-	t := g.ticket(j)
+	t := g.newTicket(j)
 	gen := t.gen
 	verdict := offer(time.Now(), t)
-	g.wake()
-	g.arm()
+	g.notifyDecided()
+	g.scheduleTick()
 	if verdict != Wait {
-		return g.settle(t, gen)
+		return g.finish(t, gen)
 	}
 	g.mu.Unlock()
-	return g.await(ctx, t, gen)
+	return g.awaitDecision(ctx, t, gen)
 }
 
-// await waits until the core has decided, or the caller goes away.
-func (g *Gate) await(ctx context.Context, t *Ticket, gen uint64) (Permit, error) {
+// awaitDecision waits until the core has decided, or the caller goes away.
+func (g *Gate) awaitDecision(ctx context.Context, t *Ticket, gen uint64) (Permit, error) {
 	select {
 	case <-t.wake:
 		g.mu.Lock()
-		return g.settle(t, gen)
+		return g.finish(t, gen)
 	case <-ctx.Done():
 	}
 	g.mu.Lock()
 	g.core.Abandon(time.Now(), t)
-	g.wake()
+	g.notifyDecided()
 	select {
 	case <-t.wake: // decided in the same moment: the ticket is reused, its signal is not
 	default:
@@ -122,14 +122,14 @@
 	return Permit{}, refusal(kinds.Canceled, 0)
 }
 
-// settle turns a decided ticket into the answer for the caller. It is called
+// finish turns a decided ticket into the answer for the caller. It is called
 // with the lock held and releases it.
-func (g *Gate) settle(t *Ticket, gen uint64) (Permit, error) {
+func (g *Gate) finish(t *Ticket, gen uint64) (Permit, error) {
 	defer g.mu.Unlock()
-	if t.state == started {
+	if t.state == stateStarted {
 		return Permit{g: g, t: t, gen: gen, server: t.Server()}, nil
 	}
-	err := refusal(t.kind, t.after)
+	err := refusal(t.refusalKind, t.retryAfter)
 	g.recycle(t)
 	return Permit{}, err
 }
@@ -137,31 +137,31 @@
 // SetServers replaces the list of backend servers. A server that is no longer
 // listed, or drains, is given nothing new; what runs there keeps its place.
 func (g *Gate) SetServers(list []ServerInfo) {
-	g.change(func(now time.Time) { g.core.SetServers(now, list) })
+	g.update(func(now time.Time) { g.core.SetServers(now, list) })
 }
 
 // SetShare says how many entry VMs share the backend servers, and which of them
 // this is, from zero. Connections and long jobs are divided by it.
 func (g *Gate) SetShare(n, index int) {
-	g.change(func(now time.Time) { g.core.SetShare(now, n, index) })
+	g.update(func(now time.Time) { g.core.SetShare(now, n, index) })
 }
 
 // Report notes a backend server's own word on its load: the requests it runs
 // and queues, as of age ago. It can lag or mislead, so it only ever tips the
 // choice between servers that look alike.
 func (g *Gate) Report(s ident.Server, load int, age time.Duration) {
-	g.change(func(now time.Time) { g.core.Report(now, s, load, age) })
+	g.update(func(now time.Time) { g.core.Report(now, s, load, age) })
 }
 
 // SetOwnerLookup sets how the owner of a key is looked up, which must be quick and must
 // not call the gate. Call [Gate.OwnersChanged] whenever its answers have changed.
 func (g *Gate) SetOwnerLookup(owner func(ident.Key) (Owner, bool)) {
-	g.change(func(now time.Time) { g.core.Follow(now, owner) })
+	g.update(func(now time.Time) { g.core.SetOwnerLookup(now, owner) })
 }
 
 // OwnersChanged says that owners have changed: requests whose key has another one now
 // go there at once.
-func (g *Gate) OwnersChanged() { g.change(g.core.Moved) }
+func (g *Gate) OwnersChanged() { g.update(g.core.OwnersChanged) }
 
 // Conns returns how many connections this entry VM may hold open to a server,
 // and how many of them to keep warm while idle.
@@ -196,7 +196,7 @@
 func (g *Gate) Inspect(s ident.Server) Snapshot {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.core.Look(time.Now(), s)
+	return g.core.Inspect(time.Now(), s)
 }
 
 // Stats returns the gate's counters and gauges.
@@ -206,12 +206,12 @@
 	return g.core.Stats(time.Now())
 }
 
-func (g *Gate) change(do func(now time.Time)) {
+func (g *Gate) update(do func(now time.Time)) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	do(time.Now())
-	g.wake()
-	g.arm()
+	g.notifyDecided()
+	g.scheduleTick()
 }
 
 // run is the gate's timer: it refuses those whose deadline can no longer be
@@ -223,7 +223,7 @@
 		select {
 		case <-ctx.Done():
 			return nil
-		case <-g.kick:
+		case <-g.rearm:
 		case <-timer.C:
 		}
 		timer.Reset(g.tick())
@@ -235,45 +235,45 @@
 	defer g.mu.Unlock()
 	now := time.Now()
 	g.core.Tick(now)
-	g.wake()
+	g.notifyDecided()
 	next := g.core.Next()
 	if next.IsZero() {
-		g.armed = time.Time{}
+		g.nextTick = time.Time{}
 		return time.Hour
 	}
-	g.armed = next
+	g.nextTick = next
 	return max(next.Sub(now), 0)
 }
 
-// arm wakes the timer when the core now wants an earlier tick than it was set
+// scheduleTick wakes the timer when the core now wants an earlier tick than it was set
 // for. It is called with the lock held.
-func (g *Gate) arm() {
+func (g *Gate) scheduleTick() {
 	next := g.core.Next()
-	if next.IsZero() || (!g.armed.IsZero() && !next.Before(g.armed)) {
+	if next.IsZero() || (!g.nextTick.IsZero() && !next.Before(g.nextTick)) {
 		return
 	}
-	g.armed = next
+	g.nextTick = next
 	select {
-	case g.kick <- struct{}{}:
+	case g.rearm <- struct{}{}:
 	default:
 	}
 }
 
-// wake tells the waiting callers whose tickets were decided.
-func (g *Gate) wake() {
+// notifyDecided tells the waiting callers whose tickets were decided.
+func (g *Gate) notifyDecided() {
 	for _, t := range g.core.Ready() {
 		t.wake <- struct{}{}
 	}
 }
 
-// maxFree bounds the tickets kept for reuse; more than this are only in use at
+// maxFreeTickets bounds the tickets kept for reuse; more than this are only in use at
 // once during a burst, and the garbage collector takes them after it.
-const maxFree = 4096
+const maxFreeTickets = 4096
 
-func (g *Gate) ticket(j Job) *Ticket {
-	if n := len(g.free); n > 0 {
-		t := g.free[n-1]
-		g.free = g.free[:n-1]
+func (g *Gate) newTicket(j Job) *Ticket {
+	if n := len(g.freeTickets); n > 0 {
+		t := g.freeTickets[n-1]
+		g.freeTickets = g.freeTickets[:n-1]
 		t.Job = j
 		return t
 	}
@@ -284,7 +284,7 @@
 // more after Done finds nothing to release twice.
 func (g *Gate) recycle(t *Ticket) {
 	t.reset()
-	if len(g.free) < maxFree {
-		g.free = append(g.free, t)
+	if len(g.freeTickets) < maxFreeTickets {
+		g.freeTickets = append(g.freeTickets, t)
 	}
 }
--- /dev/null
+++ b/internal/load/gate/hotkey_test.go
@@ -0,0 +1,146 @@
+package gate
+
+import (
+	"fmt"
+	"testing"
+	"time"
+
+	"gotest.tools/v3/assert"
+
+	"hawthornfield.org/hawthornfield/internal/core/ident"
+)
+
+// The load: one owner with four slots among 195 VMs. One key of it is hot for hotFor,
+// its other keys are asked for all the time, five a second through all VMs together.
+const (
+	vmCount         = 195
+	hotDuration     = 5 * time.Second
+	hotIntervalMS   = 2   // milliseconds
+	otherIntervalMS = 200 // milliseconds
+	cooledDuration  = 20 * time.Second
+)
+
+// hotKeySim is what became of the requests of one such play.
+type hotKeySim struct {
+	ownerSim
+	otherKeys []*issuedRequest
+}
+
+// finishAll lets time pass until the owner has answered all that it has.
+func (h *hotKeySim) finishAll() {
+	for len(h.running)+len(h.queue) > 0 {
+		h.step()
+	}
+}
+
+type issuedRequest struct {
+	at     time.Time
+	ticket *Ticket
+}
+
+func (h *hotKeySim) offerKey(c *Core, key ident.Key) *issuedRequest { return h.offerKeyTo(c, key, "s") }
+
+func (h *hotKeySim) offerKeyTo(c *Core, key ident.Key, owner ident.Server) *issuedRequest {
+	a := &issuedRequest{at: h.now}
+	a.ticket = &Ticket{Job: Job{Key: key, Server: owner, Idempotent: true, Deadline: h.now.Add(6 * time.Second)}, wake: make(chan struct{}, 1)}
+	if c.Offer(h.now, a.ticket) == Start {
+		h.arrive(c, a.ticket)
+	}
+	return a
+}
+
+// warmUp lets a VM see how long answers of the service take.
+func (h *hotKeySim) warmUp(c *Core) {
+	for range minLatencySamples {
+		tk := &Ticket{Job: Job{Key: "k", Server: "other", Idempotent: true, Deadline: h.now.Add(6 * time.Second)}, wake: make(chan struct{}, 1)}
+		c.Offer(h.now, tk)
+		c.Done(h.now, tk, Outcome{Latency: h.work})
+	}
+}
+
+func newHotKeySim() *hotKeySim {
+	h := &hotKeySim{ownerSim: ownerSim{now: time.Unix(1000, 0), slots: 4, queueCap: 16, work: 460 * time.Millisecond}}
+	for i := range vmCount {
+		c := NewCore(Config{Seed: uint64(i + 1)})
+		c.SetServers(h.now, []ServerInfo{{Name: "s", Slots: h.slots, Conns: 1000}, {Name: "other", Slots: h.slots, Conns: 1000}})
+		c.SetShare(h.now, vmCount, i)
+		h.warmUp(c)
+		h.cores = append(h.cores, c)
+	}
+	return h
+}
+
+func runHotKeySim() *hotKeySim {
+	h := newHotKeySim()
+	from := h.now
+	for ms := 0; h.now.Sub(from) < hotDuration+cooledDuration; ms++ {
+		if ms%hotIntervalMS == 0 && h.now.Sub(from) < hotDuration {
+			h.offerKey(h.cores[(ms/hotIntervalMS*7)%vmCount], "hot")
+		}
+		if ms%otherIntervalMS == 0 {
+			h.otherKeys = append(h.otherKeys, h.offerKey(h.cores[(ms/otherIntervalMS*31)%vmCount], ident.Key(fmt.Sprint(ms))))
+		}
+		h.step()
+	}
+	return h
+}
+
+// refusedOtherKeys counts, of the requests for the owner's other keys in a span of the play,
+// those that were not started.
+func (h *hotKeySim) refusedOtherKeys(from, to time.Duration) (n, of int) {
+	for _, a := range h.otherKeys {
+		if at := a.at.Sub(time.Unix(1000, 0)); at >= from && at < to {
+			of++
+			if a.ticket.state == stateRefused {
+				n++
+			}
+		}
+	}
+	return n, of
+}
+
+// Guards against callers of an owner's other keys refused for half a minute because of a hot one.
+func TestHotKeyDoesNotBlockOtherKeysOfItsOwner(t *testing.T) {
+	h := runHotKeySim()
+	n, of := h.refusedOtherKeys(0, hotDuration)
+	assert.Check(t, n*20 <= of, "%d of %d refused while one key is hot", n, of)
+	n, of = h.refusedOtherKeys(hotDuration, hotDuration+cooledDuration)
+	assert.Check(t, n*100 <= of, "%d of %d refused after it has cooled down", n, of)
+	assert.Check(t, h.refused < 2*vmCount, "%d turned away by the owner", h.refused)
+}
+
+// Guards against an owner left idle because each VM keeps back what others have no use for.
+func TestAnOwnerOfManyBusyKeysIsKeptBusy(t *testing.T) {
+	const lasts = 20 * time.Second
+	for _, every := range []int{20, 5} { // milliseconds; the owner serves one in 115
+		h := newHotKeySim()
+		from := h.now
+		for ms := 0; h.now.Sub(from) < lasts; ms++ {
+			if ms%every == 0 {
+				h.offerKey(h.cores[(ms/every*31)%vmCount], ident.Key(fmt.Sprint(ms)))
+			}
+			h.step()
+		}
+		most := h.slots * int(lasts/h.work)
+		assert.Check(t, h.served > most*95/100, "served %d of %d, one asked for each %d ms", h.served, most, every)
+	}
+}
+
+// Guards against an owner overrun by all VMs at once because a hot key has moved to it.
+func TestHotKeyStaysPacedAtItsNextOwner(t *testing.T) {
+	h := newHotKeySim()
+	ask := func(owner ident.Server) (over int) {
+		for ms := range 1000 {
+			if ms%hotIntervalMS == 0 {
+				h.offerKeyTo(h.cores[(ms/hotIntervalMS*7)%vmCount], "hot", owner)
+			}
+			h.step()
+		}
+		over, h.refused = h.refused, 0
+		h.finishAll()
+		return over
+	}
+	ask("s")
+	over := ask("other")
+	assert.Assert(t, over < vmCount/10, "%d turned away by the next owner", over)
+}
--- a/internal/load/gate/pace_test.go
+++ b/internal/load/gate/keypace_test.go
@@ -7,28 +7,28 @@
 	"gotest.tools/v3/assert"
 )
 
-// crowd is one owner of a hot key with a queue, and the VMs that share it.
-type crowd struct {
-	cores   []*Core
-	now     time.Time
-	running []*visit
-	queue   []*visit
-	slots   int
-	room    int
-	work    time.Duration
+// ownerSim is one owner of a hot key with a queue, and the VMs that share it.
+type ownerSim struct {
+	cores    []*Core
+	now      time.Time
+	running  []*serverRequest
+	queue    []*serverRequest
+	slots    int
+	queueCap int
+	work     time.Duration
 
-	served, over int
+	served, refused int
 }
 
-type visit struct {
-	core *Core
-	tk   *Ticket
-	ends time.Time
-	from time.Time
+type serverRequest struct {
+	core      *Core
+	ticket    *Ticket
+	endsAt    time.Time
+	arrivedAt time.Time
 }
 
 // offer lets a VM ask for the key.
-func (w *crowd) offer(c *Core) {
+func (w *ownerSim) offer(c *Core) {
 	tk := &Ticket{Job: Job{Key: "hot", Server: "s", Idempotent: true, Deadline: w.now.Add(time.Second)}, wake: make(chan struct{}, 1)}
 	if c.Offer(w.now, tk) == Start {
 		w.arrive(c, tk)
@@ -36,23 +36,23 @@
 }
 
 // arrive takes a request in, or refuses it when the queue is full.
-func (w *crowd) arrive(c *Core, tk *Ticket) {
-	v := &visit{core: c, tk: tk, from: w.now}
+func (w *ownerSim) arrive(c *Core, tk *Ticket) {
+	v := &serverRequest{core: c, ticket: tk, arrivedAt: w.now}
 	switch {
 	case len(w.running) < w.slots:
-		v.ends = w.now.Add(w.work)
+		v.endsAt = w.now.Add(w.work)
 		w.running = append(w.running, v)
-	case len(w.queue) < w.room:
+	case len(w.queue) < w.queueCap:
 		w.queue = append(w.queue, v)
 	default:
-		w.over++
+		w.refused++
 		c.Done(w.now, tk, Outcome{Refused: true, Kind: 0})
-		w.started(c)
+		w.collectStarted(c)
 	}
 }
 
-// started lets requests that a core began meanwhile arrive.
-func (w *crowd) started(c *Core) {
+// collectStarted lets requests that a core began meanwhile arrive.
+func (w *ownerSim) collectStarted(c *Core) {
 	for _, tk := range c.Ready() {
 		if tk.Server() != "" {
 			w.arrive(c, tk)
@@ -61,12 +61,12 @@
 }
 
 // step passes a millisecond.
-func (w *crowd) step() {
+func (w *ownerSim) step() {
 	w.now = w.now.Add(time.Millisecond)
 	kept := w.running[:0]
-	var done []*visit
+	var done []*serverRequest
 	for _, v := range w.running {
-		if v.ends.After(w.now) {
+		if v.endsAt.After(w.now) {
 			kept = append(kept, v)
 			continue
 		}
@@ -77,26 +77,26 @@
 		if len(w.queue) > 0 {
 			v := w.queue[0]
 			w.queue = w.queue[1:]
-			v.ends = w.now.Add(w.work)
+			v.endsAt = w.now.Add(w.work)
 			w.running = append(w.running, v)
 		}
 	}
 	for _, v := range done {
 		w.served++
 		v.core.Report(w.now, "s", len(w.running)+len(w.queue), 0)
-		v.core.Done(w.now, v.tk, Outcome{Latency: w.now.Sub(v.from)})
-		w.started(v.core)
+		v.core.Done(w.now, v.ticket, Outcome{Latency: w.now.Sub(v.arrivedAt)})
+		w.collectStarted(v.core)
 	}
 	for _, c := range w.cores {
 		if next := c.Next(); !next.IsZero() && !next.After(w.now) {
 			c.Tick(w.now)
-			w.started(c)
+			w.collectStarted(c)
 		}
 	}
 }
 
-func play(vms, seconds int) *crowd {
-	w := &crowd{now: time.Unix(1000, 0), slots: 2, room: 8, work: 100 * time.Millisecond}
+func runOwnerSim(vms, seconds int) *ownerSim {
+	w := &ownerSim{now: time.Unix(1000, 0), slots: 2, queueCap: 8, work: 100 * time.Millisecond}
 	for i := range vms {
 		c := NewCore(Config{Seed: uint64(i + 1)})
 		c.SetServers(w.now, []ServerInfo{{Name: "s", Slots: w.slots, Conns: 1000}})
@@ -118,9 +118,9 @@
 // Callers see connections that break, and nobody knows what ran.
 func TestManyVMsDoNotOverrunTheOwnerOfAHotKey(t *testing.T) {
 	const seconds = 10
-	w := play(40, seconds)
+	w := runOwnerSim(40, seconds)
 	most := seconds * 2 * 10 // two slots, ten requests a second each
 	assert.Assert(t, w.served > most*85/100, "served %d of %d: the owner was left idle", w.served, most)
 	// Without spacing five are turned away for each one served.
-	assert.Assert(t, w.over < w.served*5/4, "%d turned away, %d served", w.over, w.served)
+	assert.Assert(t, w.refused < w.served*5/4, "%d turned away, %d served", w.refused, w.served)
 }
--- a/internal/load/gate/lost_test.go
+++ b/internal/load/gate/lostowner_test.go
@@ -11,44 +11,44 @@
 	"hawthornfield.org/hawthornfield/internal/core/kinds"
 )
 
-// loss plays an owner that is lost, with keys in several slices. As the front
+// lostOwnerSim plays an owner that is lost, with keys in several slices. As the front
 // end does, it lets those wait for the next owner whom the gate or the owner
 // could not serve.
-type loss struct {
-	*mover
+type lostOwnerSim struct {
+	*moveSim
 	t      *testing.T
 	failed int
 }
 
-func (l *loss) ask(slice int) {
+func (l *lostOwnerSim) offerSlice(slice int) {
 	j := l.job(ident.Caller("caller-"+strconv.Itoa(slice)), 3*time.Second)
 	j.Slice, j.Key, j.MaxOwnerWait = ident.Slice(slice), ident.Key(strconv.Itoa(slice)), 2*time.Second
 	k := &Ticket{Job: j}
 	switch l.core.Offer(l.now, k) {
 	case Start:
-		l.fail(k)
+		l.failAttempt(k)
 	case Refuse:
 		kind, _ := k.Refusal()
 		assert.Equal(l.t, kind, kinds.NoServer)
 		again := &Ticket{Job: k.Job.NextAttempt("")}
-		assert.Equal(l.t, l.core.Await(l.now, again), Wait)
+		assert.Equal(l.t, l.core.WaitOwner(l.now, again), Wait)
 	default:
 	}
 }
 
-// fail ends an attempt at the lost owner 5 ms later.
-func (l *loss) fail(k *Ticket) {
+// failAttempt ends an attempt at the lost owner 5 ms later.
+func (l *lostOwnerSim) failAttempt(k *Ticket) {
 	l.failed++
-	l.settle(l.pass(5 * time.Millisecond))
+	l.failStarted(l.advance(5 * time.Millisecond))
 	l.core.Done(l.now, k, Outcome{Kind: kinds.NoServer})
-	l.core.Await(l.now, &Ticket{Job: k.Job.NextAttempt("")})
+	l.core.WaitOwner(l.now, &Ticket{Job: k.Job.NextAttempt("")})
 }
 
-func (l *loss) settle(decided []*Ticket) {
+func (l *lostOwnerSim) failStarted(decided []*Ticket) {
 	for _, k := range decided {
 		kind, _ := k.Refusal()
 		assert.Equal(l.t, kind, kinds.None, "refused at %v", l.now.Sub(begin))
-		l.fail(k)
+		l.failAttempt(k)
 	}
 }
 
@@ -57,10 +57,10 @@
 // is back. One who found another one asking at that moment was refused, although
 // the others who waited with it were served a moment later: the caller read "no
 // backend server is available" in place of an answer after half a second.
-func TestThoseWhoWaitForALostOwnersKeysAreNotTurnedAway(t *testing.T) {
+func TestWaitersForLostOwnerAreNotRefused(t *testing.T) {
 	const slices = 8
-	l := &loss{mover: newMover(0), t: t}
-	l.core.Follow(begin, func(k ident.Key) (Owner, bool) {
+	l := &lostOwnerSim{moveSim: newMoveSim(0), t: t}
+	l.core.SetOwnerLookup(begin, func(k ident.Key) (Owner, bool) {
 		x, err := strconv.Atoi(string(k))
 		p := l.owner
 		p.Slice = ident.Slice(x)
@@ -68,16 +68,16 @@
 	})
 	n := 0
 	for l.now.Sub(begin) < 700*time.Millisecond {
-		l.ask(n % slices)
+		l.offerSlice(n % slices)
 		n++
-		l.settle(l.pass(10 * time.Millisecond))
+		l.failStarted(l.advance(10 * time.Millisecond))
 	}
 	assert.Assert(t, l.failed > slices)
 	l.owner = Owner{Server: "b", Epoch: 2}
-	l.core.Moved(l.now)
+	l.core.OwnersChanged(l.now)
 	served := 0
 	for until := l.now.Add(2 * time.Second); l.now.Before(until); {
-		for _, k := range append(l.core.Ready(), l.pass(time.Millisecond)...) {
+		for _, k := range append(l.core.Ready(), l.advance(time.Millisecond)...) {
 			kind, _ := k.Refusal()
 			assert.Equal(t, kind, kinds.None)
 			assert.Equal(t, k.Server(), ident.Server("b"))
--- a/internal/load/gate/hold_test.go
+++ b/internal/load/gate/move_test.go
@@ -15,41 +15,41 @@
 	"hawthornfield.org/hawthornfield/internal/fake/seeds"
 )
 
-// mover is a core whose one slice moves from a to b.
-type mover struct {
+// moveSim is a core whose one slice moves from a to b.
+type moveSim struct {
 	core  *Core
 	owner Owner
 	known bool
 	now   time.Time
 }
 
-func newMover(held int) *mover {
-	m := &mover{core: NewCore(Config{Seed: 1, MaxHeld: held}), owner: Owner{Server: "a", Slice: 1, Epoch: 1}, known: true, now: begin}
+func newMoveSim(held int) *moveSim {
+	m := &moveSim{core: NewCore(Config{Seed: 1, MaxHeld: held}), owner: Owner{Server: "a", Slice: 1, Epoch: 1}, known: true, now: begin}
 	m.core.SetServers(begin, []ServerInfo{{Name: "a", Slots: 4, Conns: 10}, {Name: "b", Slots: 1, Conns: 1}})
-	m.core.Follow(begin, func(ident.Key) (Owner, bool) { return m.owner, m.known })
+	m.core.SetOwnerLookup(begin, func(ident.Key) (Owner, bool) { return m.owner, m.known })
 	return m
 }
 
-func (m *mover) job(c ident.Caller, left time.Duration) Job {
+func (m *moveSim) job(c ident.Caller, left time.Duration) Job {
 	return Job{
 		Caller: c, Key: "scale-7", Slice: 1, Epoch: m.owner.Epoch, Server: m.owner.Server,
 		Size: 1, Deadline: m.now.Add(left),
 	}
 }
 
-// refused is a request that the owner of the table turned away.
-func (m *mover) refused(c ident.Caller, left time.Duration) (*Ticket, Verdict) {
+// offerMisrouted is a request that the owner of the table turned away.
+func (m *moveSim) offerMisrouted(c ident.Caller, left time.Duration) (*Ticket, Verdict) {
 	t := &Ticket{Job: m.job(c, left).NextAttempt("")}
-	return t, m.core.Await(m.now, t)
+	return t, m.core.WaitOwner(m.now, t)
 }
 
-func (m *mover) offer(c ident.Caller, left time.Duration) (*Ticket, Verdict) {
+func (m *moveSim) offer(c ident.Caller, left time.Duration) (*Ticket, Verdict) {
 	t := &Ticket{Job: m.job(c, left)}
 	return t, m.core.Offer(m.now, t)
 }
 
-// pass lets time go by and returns who was decided meanwhile.
-func (m *mover) pass(d time.Duration) []*Ticket {
+// advance lets time go by and returns who was decided meanwhile.
+func (m *moveSim) advance(d time.Duration) []*Ticket {
 	var all []*Ticket
 	until := m.now.Add(d)
 	for next := m.core.Next(); !next.IsZero() && !next.After(until); next = m.core.Next() {
@@ -61,17 +61,17 @@
 	return all
 }
 
-// turnedAway lets time go by while the owner refuses whoever asks it.
-func (m *mover) turnedAway(t *testing.T, d time.Duration) (asked int) {
+// refuseProbes lets time go by while the owner refuses whoever asks it.
+func (m *moveSim) refuseProbes(t *testing.T, d time.Duration) (asked int) {
 	t.Helper()
 	for until := m.now.Add(d); m.now.Before(until); {
-		for _, k := range m.pass(time.Millisecond) {
+		for _, k := range m.advance(time.Millisecond) {
 			if kind, _ := k.Refusal(); kind != kinds.None {
 				continue
 			}
 			asked++
 			m.core.Done(m.now, k, Outcome{Kind: kinds.Misrouted, Refused: true})
-			m.core.Await(m.now, &Ticket{Job: k.Job.NextAttempt("")})
+			m.core.WaitOwner(m.now, &Ticket{Job: k.Job.NextAttempt("")})
 		}
 	}
 	return asked
@@ -79,7 +79,7 @@
 
 // A key moves from one owner to another. Requests that come in between must
 // reach the new owner, and only it; a caller would otherwise see its request
-// refused, or two owners serve the key.
+// offerMisrouted, or two owners serve the key.
 func TestMovingKeyWaitsForItsNewOwner(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := New(Config{Seed: 1})
@@ -110,14 +110,14 @@
 // there in the order in which they were asked, each once. A caller who came
 // later would otherwise overtake, and a driver at the scale see the load of the
 // lorry behind.
-func TestThoseWhoWaitedLeaveInOrder(t *testing.T) {
+func TestWaitingRequestsRunInArrivalOrderAfterMove(t *testing.T) {
 	seeds.Check(t, func(t *rapid.T) {
-		m := newMover(100)
+		m := newMoveSim(100)
 		var asked []*Ticket
 		for i := range rapid.IntRange(1, 20).Draw(t, "requests") {
 			m.now = m.now.Add(time.Millisecond / 4)
 			c := ident.Caller("c" + strconv.Itoa(i))
-			k, v := m.refused(c, time.Hour)
+			k, v := m.offerMisrouted(c, time.Hour)
 			if i > 0 && rapid.Bool().Draw(t, "new") {
 				m.core.Abandon(m.now, k)
 				k, v = m.offer(c, time.Hour)
@@ -126,7 +126,7 @@
 			asked = append(asked, k)
 		}
 		m.owner = Owner{Server: "b", Slice: 1, Epoch: 2}
-		m.core.Moved(m.now)
+		m.core.OwnersChanged(m.now)
 		var ran []*Ticket
 		for len(ran) < len(asked) {
 			got := m.core.Ready()
@@ -154,19 +154,19 @@
 // The news of the next owner comes before its lease. Each request asking for
 // itself until then would be a storm on a server that has just been given more
 // to do; one at a time goes, and the first that is taken brings the others.
-func TestOneAsksForAll(t *testing.T) {
-	m := newMover(100)
+func TestOneProbeAtATimePerMovingSlice(t *testing.T) {
+	m := newMoveSim(100)
 	for i := range 50 {
 		m.now = m.now.Add(time.Microsecond)
-		_, v := m.refused(ident.Caller(strconv.Itoa(i)), time.Hour)
+		_, v := m.offerMisrouted(ident.Caller(strconv.Itoa(i)), time.Hour)
 		assert.Equal(t, v, Wait)
 	}
-	asked := m.turnedAway(t, 10*lastAsk)
+	asked := m.refuseProbes(t, 10*maxProbeDelay)
 	assert.Assert(t, asked >= 10 && asked <= 12, "%d asked", asked)
 	assert.Equal(t, m.core.Stats(m.now).Held, 50)
 	var got []*Ticket
 	for len(got) == 0 {
-		got = m.pass(time.Millisecond)
+		got = m.advance(time.Millisecond)
 	}
 	assert.Equal(t, got[0].Job.Caller, ident.Caller("0"), "the oldest asks first")
 	m.now = m.now.Add(time.Millisecond)
@@ -179,10 +179,10 @@
 // waits for less must hear at once that it was not run; its caller would
 // otherwise hold a screen, and memory here, for an answer that cannot come.
 func TestAMoveThatLastsTooLongRefusesAtOnce(t *testing.T) {
-	m := newMover(100)
-	_, v := m.refused("first", 250*time.Millisecond)
+	m := newMoveSim(100)
+	_, v := m.offerMisrouted("first", 250*time.Millisecond)
 	assert.Equal(t, v, Wait, "a planned move would end in time")
-	m.turnedAway(t, brief)
+	m.refuseProbes(t, maxPlannedMove)
 	late, v := m.offer("late", 250*time.Millisecond)
 	assert.Equal(t, v, Refuse)
 	kind, after := late.Refusal()
@@ -192,20 +192,20 @@
 	patient, v := m.offer("patient", 10*time.Second)
 	assert.Equal(t, v, Wait)
 	m.core.Abandon(m.now, patient)
-	m.turnedAway(t, time.Second)
+	m.refuseProbes(t, time.Second)
 	assert.Equal(t, m.core.Stats(m.now).Held, 0)
 }
 
 // A rule lets its requests wait for an owner for 300 ms at most, however often
 // they go and ask meanwhile.
-func TestPatienceCountsFromTheFirstMeeting(t *testing.T) {
-	m := newMover(100)
+func TestMaxOwnerWaitCountsFromFirstMiss(t *testing.T) {
+	m := newMoveSim(100)
 	j := m.job("c", time.Hour)
 	j.MaxOwnerWait = 300 * time.Millisecond
 	k := &Ticket{Job: j.NextAttempt("")}
-	assert.Equal(t, m.core.Await(m.now, k), Wait)
+	assert.Equal(t, m.core.WaitOwner(m.now, k), Wait)
 	for {
-		got := m.pass(time.Millisecond)
+		got := m.advance(time.Millisecond)
 		if len(got) == 0 {
 			continue
 		}
@@ -215,7 +215,7 @@
 		}
 		m.core.Done(m.now, got[0], Outcome{Kind: kinds.Misrouted, Refused: true})
 		k = &Ticket{Job: got[0].Job.NextAttempt("")}
-		if m.core.Await(m.now, k) == Refuse {
+		if m.core.WaitOwner(m.now, k) == Refuse {
 			break
 		}
 	}
@@ -226,18 +226,18 @@
 // One caller sends all it has while a key moves. It must not take all places:
 // the others' requests would be refused for a move that they could have waited
 // out.
-func TestAHotCallerLeavesPlacesInAMove(t *testing.T) {
+func TestHotCallerLeavesRoomInMoveQueue(t *testing.T) {
 	seeds.Check(t, func(t *rapid.T) {
 		limit := rapid.IntRange(2, 40).Draw(t, "limit")
-		m := newMover(limit)
+		m := newMoveSim(limit)
 		hot := 0
 		for range 2 * limit {
-			if _, v := m.refused("hot", time.Hour); v == Wait {
+			if _, v := m.offerMisrouted("hot", time.Hour); v == Wait {
 				hot++
 			}
 		}
 		assert.Assert(t, hot <= (limit+1)/2, "%d of %d", hot, limit)
-		_, v := m.refused("other", time.Hour)
+		_, v := m.offerMisrouted("other", time.Hour)
 		assert.Equal(t, v, Wait)
 		assert.Assert(t, m.core.Stats(m.now).Held <= limit)
 	})
@@ -246,24 +246,24 @@
 // All places are taken by requests that were asked before. One that went to ask
 // and comes back must not be squeezed in beyond the bound: each held request
 // costs memory of the VM and a connection of a caller.
-func TestOneThatComesBackStaysWithinTheBound(t *testing.T) {
-	m := newMover(4)
+func TestReturningProbeStaysWithinMaxHeld(t *testing.T) {
+	m := newMoveSim(4)
 	young, v := m.offer("young", time.Hour)
 	assert.Equal(t, v, Start)
 	for i := range 4 {
 		k := &Ticket{Job: m.job(ident.Caller(strconv.Itoa(i)), time.Hour).NextAttempt("")}
-		k.Job.asked, k.Job.met = begin.Add(-time.Second), begin
-		assert.Equal(t, m.core.Await(m.now, k), Wait)
+		k.Job.arrivedAt, k.Job.ownerMissingSince = begin.Add(-time.Second), begin
+		assert.Equal(t, m.core.WaitOwner(m.now, k), Wait)
 	}
 	m.now = m.now.Add(time.Millisecond)
 	back := &Ticket{Job: young.Job.NextAttempt("")}
-	back.Job.met = m.now
+	back.Job.ownerMissingSince = m.now
 	m.core.Done(m.now, young, Outcome{Kind: kinds.Misrouted, Refused: true})
-	assert.Equal(t, m.core.Await(m.now, back), Refuse)
+	assert.Equal(t, m.core.WaitOwner(m.now, back), Refuse)
 	assert.Equal(t, m.core.Stats(m.now).Held, 4)
 	old := &Ticket{Job: m.job("old", time.Hour).NextAttempt("")}
-	old.Job.asked, old.Job.met = begin.Add(-2*time.Second), begin
-	assert.Equal(t, m.core.Await(m.now, old), Wait, "older than all: the newest gives way")
+	old.Job.arrivedAt, old.Job.ownerMissingSince = begin.Add(-2*time.Second), begin
+	assert.Equal(t, m.core.WaitOwner(m.now, old), Wait, "older than all: the newest gives way")
 	assert.Equal(t, m.core.Stats(m.now).Held, 4)
 	assert.Equal(t, len(m.core.Ready()), 1)
 }
@@ -271,13 +271,13 @@
 // An owner answers one request that it had taken before its lease ended, and
 // refuses those that came after. The late answer must not send everybody who
 // waits to a server that will refuse them.
-func TestALateAnswerOfTheFormerOwnerEndsNoHold(t *testing.T) {
-	m := newMover(100)
+func TestLateAnswerOfFormerOwnerDoesNotEndMove(t *testing.T) {
+	m := newMoveSim(100)
 	early, v := m.offer("early", time.Hour)
 	assert.Equal(t, v, Start)
 	m.now = m.now.Add(time.Millisecond)
 	for i := range 5 {
-		_, v = m.refused(ident.Caller(strconv.Itoa(i)), time.Hour)
+		_, v = m.offerMisrouted(ident.Caller(strconv.Itoa(i)), time.Hour)
 		assert.Equal(t, v, Wait)
 	}
 	m.now = m.now.Add(time.Millisecond)
@@ -288,12 +288,12 @@
 
 // A key owned apart from its slice moves. Requests for the other keys of the
 // slice have their owner and must not wait.
-func TestAHotKeysMoveHoldsNobodyElse(t *testing.T) {
-	m := newMover(100)
+func TestHotKeyMoveDoesNotDelayItsSlice(t *testing.T) {
+	m := newMoveSim(100)
 	j := m.job("c", time.Hour)
 	j.HotKey = true
 	hot := &Ticket{Job: j.NextAttempt("")}
-	assert.Equal(t, m.core.Await(m.now, hot), Wait)
+	assert.Equal(t, m.core.WaitOwner(m.now, hot), Wait)
 	_, v := m.offer("other", time.Hour)
 	assert.Equal(t, v, Start)
 	j.Deadline = m.now.Add(time.Hour)
@@ -302,12 +302,12 @@
 }
 
 // Each slice of a server without a lease sent it a request every 40 ms.
-func TestOneAsksForAllSlicesOfAServer(t *testing.T) {
+func TestOneProbeAtATimePerServer(t *testing.T) {
 	const slices = 64
-	m := newMover(4 * slices)
+	m := newMoveSim(4 * slices)
 	m.known = false
 	await := func(j Job) {
-		m.core.Await(m.now, &Ticket{Job: j.NextAttempt("")})
+		m.core.WaitOwner(m.now, &Ticket{Job: j.NextAttempt("")})
 	}
 	for i := range slices {
 		j := m.job("weighbridge", time.Hour)
@@ -315,8 +315,8 @@
 		await(j)
 	}
 	asked := 0
-	for until := m.now.Add(20 * lastAsk); m.now.Before(until); {
-		for _, k := range m.pass(time.Millisecond) {
+	for until := m.now.Add(20 * maxProbeDelay); m.now.Before(until); {
+		for _, k := range m.advance(time.Millisecond) {
 			asked++
 			m.core.Done(m.now, k, Outcome{Kind: kinds.Misrouted, Refused: true})
 			await(k.Job)
@@ -326,7 +326,7 @@
 
 	var got []*Ticket
 	for len(got) == 0 {
-		got = m.pass(time.Millisecond)
+		got = m.advance(time.Millisecond)
 	}
 	m.core.Done(m.now, got[0], Outcome{Latency: time.Millisecond})
 	assert.Assert(t, len(m.core.Ready()) > 1, "the other slices do not ask the server that answers again")
--- a/internal/load/gate/pass.go
+++ b/internal/load/gate/permit.go
@@ -28,12 +28,12 @@
 	}
 	p.g.mu.Lock()
 	defer p.g.mu.Unlock()
-	if !p.live() {
+	if !p.active() {
 		return
 	}
 	p.g.core.Done(time.Now(), p.t, o)
 	p.g.recycle(p.t)
-	p.g.wake()
+	p.g.notifyDecided()
 }
 
 // Retry ends this attempt with its outcome and asks for another. It succeeds
@@ -49,7 +49,7 @@
 		return Permit{}, false
 	}
 	p.g.mu.Lock()
-	if !p.live() {
+	if !p.active() {
 		p.g.mu.Unlock()
 		return Permit{}, false
 	}
@@ -58,12 +58,12 @@
 	ok := p.g.core.MayRetry(now, p.t, o)
 	p.g.core.Done(now, p.t, o)
 	p.g.recycle(p.t)
-	p.g.wake()
+	p.g.notifyDecided()
 	p.g.mu.Unlock()
 	if !ok {
 		return Permit{}, false
 	}
-	job.again = true
+	job.extraAttempt = true
 	job.avoid = p.server
 	next, err := p.g.Enter(ctx, job)
 	return next, err == nil
@@ -77,15 +77,15 @@
 		return Permit{}, refusal(kinds.NoOwner, 0)
 	}
 	p.g.mu.Lock()
-	if !p.live() {
+	if !p.active() {
 		p.g.mu.Unlock()
 		return Permit{}, refusal(kinds.NoOwner, 0)
 	}
 	job := p.t.Job
-	job.again = true
+	job.extraAttempt = true
 	p.g.core.Done(time.Now(), p.t, o)
 	p.g.recycle(p.t)
-	p.g.wake()
+	p.g.notifyDecided()
 	p.g.mu.Unlock()
 	return p.g.WaitOwner(ctx, job)
 }
@@ -102,13 +102,13 @@
 	g := p.g
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if !p.live() {
+	if !p.active() {
 		return Permit{}, false
 	}
 	job := p.t.Job
-	job.again = true
+	job.extraAttempt = true
 	job.avoid = p.server
-	t := g.ticket(job)
+	t := g.newTicket(job)
 	if !g.core.Hedge(time.Now(), t) {
 		g.recycle(t)
 		return Permit{}, false
@@ -116,8 +116,8 @@
 	return Permit{g: g, t: t, gen: t.gen, server: t.Server()}, true
 }
 
-// live reports whether the pass still holds its place.
-func (p Permit) live() bool { return p.t.gen == p.gen && p.t.state == started }
+// active reports whether the pass still holds its place.
+func (p Permit) active() bool { return p.t.gen == p.gen && p.t.state == stateStarted }
 
 // Cancel is the outcome of an attempt whose answer is no longer wanted.
 func Cancel() Outcome { return Outcome{Kind: kinds.Canceled} }
--- a/internal/load/gate/rethink_test.go
+++ b/internal/load/gate/reestimate_test.go
@@ -11,14 +11,14 @@
 	"hawthornfield.org/hawthornfield/internal/core/kinds"
 )
 
-// keyed is a core with owners of one slot each, a and b, warmed up so that
+// newKeyedCore is a core with owners of one slot each, a and b, warmed up so that
 // answers of 8 ms are usual.
-func keyed() (*Core, time.Time) {
+func newKeyedCore() (*Core, time.Time) {
 	c := NewCore(Config{Seed: 1})
 	c.SetServers(begin, []ServerInfo{{Name: "a", Slots: 1, Conns: 1}, {Name: "b", Slots: 1, Conns: 1}})
 	now := begin
 	for i := range 200 {
-		k := ask(ident.Server([]string{"a", "b"}[i%2]), now, time.Second)
+		k := keyTicket(ident.Server([]string{"a", "b"}[i%2]), now, time.Second)
 		if c.Offer(now, k) != Start {
 			panic("not idle")
 		}
@@ -28,7 +28,7 @@
 	return c, now
 }
 
-func ask(s ident.Server, now time.Time, left time.Duration) *Ticket {
+func keyTicket(s ident.Server, now time.Time, left time.Duration) *Ticket {
 	return &Ticket{Job: Job{Caller: ident.Caller(strconv.FormatInt(now.UnixNano(), 36)), Key: "k", Server: s, Size: 1, Deadline: now.Add(left)}}
 }
 
@@ -36,13 +36,13 @@
 // its turn within 8 ms and has 250 ms; once the owner has been silent for half
 // of that, it cannot be expected to answer in time. Its caller must hear so
 // then, and not at the deadline.
-func TestThoseWhoWaitForAFrozenOwnerHearSoon(t *testing.T) {
-	c, now := keyed()
+func TestWaitersForFrozenOwnerAreRefusedEarly(t *testing.T) {
+	c, now := newKeyedCore()
 	froze := now
-	assert.Equal(t, c.Offer(now, ask("a", now, 250*time.Millisecond)), Start)
+	assert.Equal(t, c.Offer(now, keyTicket("a", now, 250*time.Millisecond)), Start)
 	var waiting []*Ticket
 	for range 4 {
-		k := ask("a", now, 250*time.Millisecond)
+		k := keyTicket("a", now, 250*time.Millisecond)
 		assert.Equal(t, c.Offer(now, k), Wait)
 		waiting = append(waiting, k)
 	}
@@ -59,22 +59,22 @@
 	}
 	assert.Equal(t, len(at), len(waiting))
 	for i, k := range waiting {
-		known := (250*time.Millisecond - time.Duration(margin+i+1)*8*time.Millisecond) / 2
-		assert.Assert(t, at[k] <= known+rethinkEvery+3*time.Millisecond, "%d heard after %v, known after %v", i, at[k], known)
+		known := (250*time.Millisecond - time.Duration(deadlineMargin+i+1)*8*time.Millisecond) / 2
+		assert.Assert(t, at[k] <= known+reestimateInterval+3*time.Millisecond, "%d heard after %v, known after %v", i, at[k], known)
 		assert.Assert(t, at[k] >= known/2, "%d given up after %v", i, at[k])
 	}
-	late := ask("a", now, 250*time.Millisecond)
+	late := keyTicket("a", now, 250*time.Millisecond)
 	assert.Equal(t, c.Offer(now, late), Refuse, "a newcomer")
 }
 
 // An owner is slow for one answer and then goes on. Nobody who could be served
 // in time may have been turned away for it.
-func TestOneSlowAnswerTurnsNobodyAway(t *testing.T) {
-	c, now := keyed()
-	first := ask("a", now, 250*time.Millisecond)
+func TestOneSlowAnswerRefusesNoRequest(t *testing.T) {
+	c, now := newKeyedCore()
+	first := keyTicket("a", now, 250*time.Millisecond)
 	assert.Equal(t, c.Offer(now, first), Start)
 	for range 4 {
-		assert.Equal(t, c.Offer(now, ask("a", now, 250*time.Millisecond)), Wait)
+		assert.Equal(t, c.Offer(now, keyTicket("a", now, 250*time.Millisecond)), Wait)
 	}
 	for range 40 {
 		now = now.Add(time.Millisecond)
@@ -101,22 +101,22 @@
 	for want, out := range map[kinds.Kind]Outcome{
 		kinds.Busy: {Kind: kinds.Busy, Refused: true}, kinds.NoServer: {Kind: kinds.NoServer},
 	} {
-		t.Run(want.String(), func(t *testing.T) { failingOwner(t, out, want) })
+		t.Run(want.String(), func(t *testing.T) { testFailingOwner(t, out, want) })
 	}
 }
 
-func failingOwner(t *testing.T, out Outcome, want kinds.Kind) {
-	c, now := keyed()
+func testFailingOwner(t *testing.T, out Outcome, want kinds.Kind) {
+	c, now := newKeyedCore()
 	for range 10 {
-		k := ask("a", now, 250*time.Millisecond)
+		k := keyTicket("a", now, 250*time.Millisecond)
 		if c.Offer(now, k) == Start {
 			c.Done(now, k, out)
 		}
 		now = now.Add(time.Millisecond)
 	}
-	first := ask("a", now, 250*time.Millisecond)
+	first := keyTicket("a", now, 250*time.Millisecond)
 	assert.Equal(t, c.Offer(now, first), Start)
-	second := ask("a", now, 250*time.Millisecond)
+	second := keyTicket("a", now, 250*time.Millisecond)
 	assert.Equal(t, c.Offer(now, second), Refuse)
 	kind, _ := second.Refusal()
 	assert.Equal(t, kind, want)
@@ -124,10 +124,10 @@
 	for range 20 {
 		now = now.Add(8 * time.Millisecond)
 		c.Done(now, first, Outcome{Latency: 8 * time.Millisecond})
-		first = ask("a", now, 250*time.Millisecond)
+		first = keyTicket("a", now, 250*time.Millisecond)
 		assert.Equal(t, c.Offer(now, first), Start)
 	}
-	assert.Equal(t, c.Offer(now, ask("a", now, 250*time.Millisecond)), Wait, "it answers again")
+	assert.Equal(t, c.Offer(now, keyTicket("a", now, 250*time.Millisecond)), Wait, "it answers again")
 }
 
 // A VM has an upload of seconds on an owner, where it has but one place. Its
@@ -137,7 +137,7 @@
 	c.SetServers(begin, []ServerInfo{{Name: "a", Slots: 4, Conns: 100}})
 	c.SetShare(begin, 10, 0)
 	now := begin
-	lookup := func() *Ticket { return ask("a", now, 250*time.Millisecond) }
+	lookup := func() *Ticket { return keyTicket("a", now, 250*time.Millisecond) }
 	for range 3 {
 		c.Report(now, "a", 20, 0) // crowded: one place is left
 	}
@@ -149,7 +149,7 @@
 	upload := lookup()
 	upload.Job.Size, upload.Job.Deadline = 1<<20, now.Add(10*time.Second)
 	if c.Offer(now, upload) == Wait {
-		for upload.state != started {
+		for upload.state != stateStarted {
 			now = now.Add(time.Millisecond)
 			c.Tick(now)
 		}
@@ -166,20 +166,20 @@
 	c.SetServers(begin, []ServerInfo{{Name: "a", Slots: 4, Conns: 100}})
 	c.SetShare(begin, 10, 0)
 	now := begin
-	k := ask("a", now, time.Second)
+	k := keyTicket("a", now, time.Second)
 	assert.Equal(t, c.Offer(now, k), Start)
 	c.Done(now, k, Outcome{Latency: 8 * time.Millisecond})
 	c.Report(now, "a", 9, 0)
-	upload := ask("a", now, time.Minute)
+	upload := keyTicket("a", now, time.Minute)
 	upload.Job.Size = 1 << 20
-	round := c.token(c.byName["a"]).Period()
+	round := c.longToken(c.byName["a"]).Period()
 	assert.Equal(t, c.Offer(now, upload), Wait)
-	for upload.state != started {
+	for upload.state != stateStarted {
 		now = now.Add(5 * time.Millisecond)
 		c.Report(now, "a", 9, 0)
-		c.mix.Seen(now, 0)
+		c.classifier.Seen(now, 0)
 		c.Tick(now)
-		assert.Assert(t, now.Sub(begin) <= (passes+2)*round, "still waits after %v", now.Sub(begin))
+		assert.Assert(t, now.Sub(begin) <= (maxSkippedWindows+2)*round, "still waits after %v", now.Sub(begin))
 	}
-	assert.Assert(t, now.Sub(begin) >= (passes-1)*round, "did not yield to the lookups: %v", now.Sub(begin))
+	assert.Assert(t, now.Sub(begin) >= (maxSkippedWindows-1)*round, "did not yield to the lookups: %v", now.Sub(begin))
 }
--- a/internal/load/gate/ticket.go
+++ b/internal/load/gate/ticket.go
@@ -13,32 +13,32 @@
 type state uint8
 
 const (
-	idle state = iota
-	waiting
-	held
-	started
-	refused
+	stateIdle state = iota
+	stateQueued
+	stateHeld
+	stateStarted
+	stateRefused
 )
 
 // Ticket is one request inside the core.
 type Ticket struct {
 	Job Job
 
-	wake  chan struct{}
-	gen   uint64
-	state state
-	long  sizes.Kind
-	srv   *server
-	at    time.Time // when it was started
-	kind  kinds.Kind
-	after time.Duration
-
-	in     *lanes
-	item   queue.Item[*Ticket]
-	caller fair.Flow
-	key    fair.Flow
-	guess  bool // let in before it was known how long answers take
-	hold   *hold
+	wake        chan struct{}
+	gen         uint64
+	state       state
+	sizeKind    sizes.Kind
+	srv         *server
+	startedAt   time.Time // when it was started
+	refusalKind kinds.Kind
+	retryAfter  time.Duration
+
+	lanes          *lanePair
+	item           queue.Item[*Ticket]
+	callerFlow     fair.Flow
+	keyFlow        fair.Flow
+	latencyUnknown bool // let in before it was known how long answers take
+	moveQueue      *moveQueue
 }
 
 // Server returns where the request was started.
@@ -51,7 +51,7 @@
 
 // Refusal returns why it was refused, and when to come back; None when it was
 // started.
-func (t *Ticket) Refusal() (kinds.Kind, time.Duration) { return t.kind, t.after }
+func (t *Ticket) Refusal() (kinds.Kind, time.Duration) { return t.refusalKind, t.retryAfter }
 
 func (t *Ticket) reset() {
 	*t = Ticket{wake: t.wake, gen: t.gen + 1}
--- a/internal/load/gate/types.go
+++ b/internal/load/gate/types.go
@@ -49,15 +49,15 @@
 	// counted once over all layers.
 	Repeat bool
 
-	asked time.Time    // when it first came
-	met   time.Time    // when it first found its key without an owner
-	again bool         // a retry or a hedge of the gate's own
-	avoid ident.Server // the server of the attempt before
+	arrivedAt         time.Time    // when it first came
+	ownerMissingSince time.Time    // when it first found its key without an owner
+	extraAttempt      bool         // a retry or a hedge of the gate's own
+	avoid             ident.Server // the server of the attempt before
 }
 
-func (j *Job) place() Owner { return Owner{j.Server, j.Slice, j.Epoch} }
+func (j *Job) owner() Owner { return Owner{j.Server, j.Slice, j.Epoch} }
 
-func (j *Job) settle(p Owner) { j.Server, j.Slice, j.Epoch = p.Server, p.Slice, p.Epoch }
+func (j *Job) setOwner(p Owner) { j.Server, j.Slice, j.Epoch = p.Server, p.Slice, p.Epoch }
 
 // Outcome is what became of an attempt.
 type Outcome struct {
@@ -110,19 +110,19 @@
 // Refusals are made once, in steps of the hint: refusing is what the gate does
 // most under overload, and must cost no memory then.
 const (
-	hintStep  = 100 * time.Millisecond
-	hintSteps = 101
+	retryAfterStep  = 100 * time.Millisecond
+	retryAfterSteps = 101
 )
 
 var refusalKinds = [...]kinds.Kind{
 	kinds.Busy, kinds.DeadlineMissed, kinds.Moving, kinds.NoServer, kinds.NoOwner, kinds.Closing, kinds.Canceled,
 }
 
-var refusals = func() (all [len(refusalKinds)][hintSteps]Refusal) {
+var refusals = func() (all [len(refusalKinds)][retryAfterSteps]Refusal) {
 	for i, k := range refusalKinds {
 		err := kinds.New(k, k.Answer().Text)
 		for n := range all[i] {
-			all[i][n] = Refusal{Kind: k, After: time.Duration(n) * hintStep, err: err}
+			all[i][n] = Refusal{Kind: k, After: time.Duration(n) * retryAfterStep, err: err}
 		}
 	}
 	return all
@@ -130,7 +130,7 @@
 
 // refusal returns the shared error for a kind, the hint rounded up to a step.
 func refusal(k kinds.Kind, after time.Duration) *Refusal {
-	n := min(max(int((after+hintStep-1)/hintStep), 0), hintSteps-1)
+	n := min(max(int((after+retryAfterStep-1)/retryAfterStep), 0), retryAfterSteps-1)
 	for i, known := range refusalKinds {
 		if known == k {
 			return &refusals[i][n]
@@ -170,6 +170,6 @@
 // the server of the attempt before. [Pass.Retry] and [Pass.Hedge] do this
 // themselves; use it with a [Core].
 func (j Job) NextAttempt(avoid ident.Server) Job {
-	j.again, j.avoid = true, avoid
+	j.extraAttempt, j.avoid = true, avoid
 	return j
 }
--- a/internal/load/gate/pause_test.go
+++ b/internal/load/gate/vmpause_test.go
@@ -14,7 +14,7 @@
 // one waits. All who asked meanwhile are heard at once when it goes on. The server
 // is idle again, and nobody asks for more than it can do; drivers who are told that
 // the service is full would come back a second later for nothing.
-func TestAPauseTurnsNobodyAway(t *testing.T) {
+func TestVMPauseRefusesNoRequest(t *testing.T) {
 	const vms, slots, during = 4, 2, 8
 	c, now := NewCore(Config{Seed: 7}), begin
 	c.SetServers(now, []ServerInfo{{Name: "a", Slots: slots, Conns: 45}})
@@ -26,7 +26,7 @@
 		case Start:
 			running = append(running, k)
 		case Refuse:
-			t.Errorf("refused as %s", k.kind)
+			t.Errorf("refused as %s", k.refusalKind)
 		default:
 		}
 	}
@@ -66,27 +66,27 @@
 // answered long ago. What the VM does first when it goes on, reading the answers or
 // judging its servers, is chance. A server that is ejected for that serves one
 // request at a time for a second, and drivers who ask for its keys are turned away.
-func TestAPauseEjectsNobody(t *testing.T) {
+func TestVMPauseEjectsNoServer(t *testing.T) {
 	for order, readFirst := range map[string]bool{"answers first": true, "judgement first": false} {
 		t.Run(order, func(t *testing.T) {
 			c, now := NewCore(Config{Seed: 7}), begin
 			var list []ServerInfo
-			for i := range servers {
-				list = append(list, ServerInfo{Name: name(i), Slots: 2, Conns: 45})
+			for i := range serverCount {
+				list = append(list, ServerInfo{Name: serverName(i), Slots: 2, Conns: 45})
 			}
 			c.SetServers(now, list)
 			serve := func(i int, took time.Duration) {
-				k := &Ticket{Job: Job{Server: name(i), Key: "k"}}
+				k := &Ticket{Job: Job{Server: serverName(i), Key: "k"}}
 				assert.Equal(t, c.Offer(now, k), Start)
 				now = now.Add(took)
-				if took > Early && !readFirst {
+				if took > DisplaceWindow && !readFirst {
 					c.Tick(now)
 				}
 				c.Done(now, k, Outcome{Kind: kinds.None})
 				c.Tick(now)
 			}
 			for i := range 300 {
-				serve(i%servers, 6*time.Millisecond)
+				serve(i%serverCount, 6*time.Millisecond)
 			}
 			serve(0, 300*time.Millisecond)
 			for range 3 {
@@ -101,7 +101,7 @@
 
 // A server answers nothing while this VM is awake. It must be left alone as soon as
 // ever, also when the VM was paused just before.
-func TestAPauseHidesNoFrozenServer(t *testing.T) {
+func TestVMPauseHidesNoFrozenServer(t *testing.T) {
 	c, now := NewCore(Config{Seed: 7}), begin
 	c.SetServers(now, []ServerInfo{{Name: "a", Slots: 2, Conns: 45}, {Name: "b", Slots: 2, Conns: 45}, {Name: "c", Slots: 2, Conns: 45}})
 	for range 100 {
--- a/internal/load/gate/warm.go
+++ b/internal/load/gate/warm.go
@@ -21,27 +21,27 @@
 	// keep an idle connection for whole seconds, and the relay uses none that was idle
 	// for longer than 4 s where they do not say; the rest is for the request's way.
 	warmFor = 3 * time.Second
-	// warmGain is how much worse a warm server may look and still be taken. What a VM
+	// warmPreference is how much worse a warm server may look and still be taken. What a VM
 	// knows of equal servers differs by up to that by chance, see pick.Clear.
-	warmGain = pick.BetterFactor
+	warmPreference = pick.BetterFactor
 )
 
-// warmer returns i, or a warm server to be taken in its place.
-func (c *Core) warmer(now time.Time, i, skip int) int {
-	choice := c.near.Len()
+// preferWarm returns i, or a warm server to be taken in its place.
+func (c *Core) preferWarm(now time.Time, i, skip int) int {
+	choice := c.availableLocal.Len()
 	if c.cfg.Centre == "" {
-		choice = c.open.Len()
+		choice = c.available.Len()
 	}
-	if !c.isCold(now, i) || c.recent(now) >= float64(choice) {
+	if !c.isCold(now, i) || c.recentStarts(now) >= float64(choice) {
 		return i
 	}
-	for c.warm.Len() > 0 {
-		w := c.warm.Choose(c.rng, skip, c.score)
+	for c.availableWarm.Len() > 0 {
+		w := c.availableWarm.Choose(c.rng, skip, c.score)
 		if c.isCold(now, w) {
-			c.warm.Put(w, false)
+			c.availableWarm.Put(w, false)
 			continue
 		}
-		if w != skip && c.score(w) <= c.score(i)*warmGain {
+		if w != skip && c.score(w) <= c.score(i)*warmPreference {
 			return w
 		}
 		break
@@ -49,16 +49,16 @@
 	return i
 }
 
-// recent is how many requests were sent lately, older ones for less: at a steady rate as
+// recentStarts is how many requests were sent lately, older ones for less: at a steady rate as
 // many as in warmFor.
-func (c *Core) recent(now time.Time) float64 {
-	return c.sent * math.Exp(-now.Sub(c.sentAt).Seconds()/warmFor.Seconds())
+func (c *Core) recentStarts(now time.Time) float64 {
+	return c.startCount * math.Exp(-now.Sub(c.startCountAt).Seconds()/warmFor.Seconds())
 }
 
-func (c *Core) isCold(now time.Time, i int) bool { return now.Sub(c.servers[i].usedAt) > warmFor }
+func (c *Core) isCold(now time.Time, i int) bool { return now.Sub(c.servers[i].lastStart) > warmFor }
 
-// setWarm notes whether a server that may be preferred was used a moment ago.
-func (c *Core) setWarm(now time.Time, s *server, room bool) {
+// updateWarm notes whether a server that may be preferred was used a moment ago.
+func (c *Core) updateWarm(now time.Time, s *server, room bool) {
 	near := c.cfg.Centre == "" || s.info.Centre == c.cfg.Centre
-	c.warm.Put(s.idx, room && near && !c.isCold(now, s.idx))
+	c.availableWarm.Put(s.idx, room && near && !c.isCold(now, s.idx))
 }
--- a/internal/load/gate/warm_test.go
+++ b/internal/load/gate/warm_test.go
@@ -10,9 +10,9 @@
 	"hawthornfield.org/hawthornfield/internal/core/ident"
 )
 
-// few sends five requests a second to a hundred servers for a while, each of which
+// runLowTraffic sends five requests a second to a hundred servers for a while, each of which
 // takes a fifth of a second or what took says, and counts where they went.
-func few(t *testing.T, c *Core, now *time.Time, d time.Duration, took func(ident.Server) time.Duration) map[ident.Server]int {
+func runLowTraffic(t *testing.T, c *Core, now *time.Time, d time.Duration, took func(ident.Server) time.Duration) map[ident.Server]int {
 	went := map[ident.Server]int{}
 	var ends []time.Time
 	var running []*Ticket
@@ -30,7 +30,7 @@
 	return went
 }
 
-func hundred(now time.Time) *Core {
+func newHundredServerCore(now time.Time) *Core {
 	c := NewCore(Config{Seed: 1, Centre: "here"})
 	var list []ServerInfo
 	for i := range 100 {
@@ -44,31 +44,31 @@
 // A VM has a few requests a second for a hundred servers. Spread over all of them,
 // each would find that its connection has been idle for too long and been closed, and
 // callers pay for a new one with each request.
-func TestAQuietVMKeepsToServersThatItUsed(t *testing.T) {
+func TestQuietVMReusesWarmServers(t *testing.T) {
 	now := time.Unix(1000, 0)
-	c := hundred(now)
+	c := newHundredServerCore(now)
 	usual := func(ident.Server) time.Duration { return 450 * time.Millisecond }
-	few(t, c, &now, 10*time.Second, usual)
-	went := few(t, c, &now, time.Minute, usual)
+	runLowTraffic(t, c, &now, 10*time.Second, usual)
+	went := runLowTraffic(t, c, &now, time.Minute, usual)
 	assert.Assert(t, len(went) <= 20, "%d of a hundred servers", len(went))
 }
 
 // Some of the servers that a VM keeps to turn slow. Its callers must not wait for them
 // because they are warm.
-func TestAWarmServerThatIsSlowIsLeft(t *testing.T) {
+func TestSlowWarmServersAreAvoided(t *testing.T) {
 	now := time.Unix(1000, 0)
-	c := hundred(now)
+	c := newHundredServerCore(now)
 	usual := func(ident.Server) time.Duration { return 150 * time.Millisecond }
-	kept := few(t, c, &now, 10*time.Second, usual)
+	kept := runLowTraffic(t, c, &now, 10*time.Second, usual)
 	slow := func(s ident.Server) time.Duration {
 		if kept[s] > 0 {
 			return 600 * time.Millisecond
 		}
 		return 150 * time.Millisecond
 	}
-	few(t, c, &now, 10*time.Second, slow)
+	runLowTraffic(t, c, &now, 10*time.Second, slow)
 	stuck := 0
-	went := few(t, c, &now, 20*time.Second, slow)
+	went := runLowTraffic(t, c, &now, 20*time.Second, slow)
 	for s := range kept {
 		stuck += went[s]
 	}
