--- a/internal/load/gate/admit.go
+++ b/internal/load/gate/admit.go
@@ -10,49 +10,51 @@
 	"hawthornfield.org/hawthornfield/internal/load/sizes"
 )
 
-// Settings of admission.
+// Admission settings.
 const (
-	// DisplaceWindow bounds how long a request may have waited and still be displaced
-	// bySize one whose flow has had less: a refusal within 10 ms costs its caller
+	// DisplaceWindow is how long a request may have waited and still be displaced by
+	// one whose flow has had less service: a refusal within 10 ms costs the caller
 	// nothing, a later one has wasted its time.
 	DisplaceWindow = 8 * time.Millisecond
-	// deadlineMargin is how many typical answers must fit before the deadline when a
-	// request is started: service times vary as much as their mean.
+	// deadlineMargin is how many typical latencies must fit before the deadline when a
+	// request is started: service times vary by as much as their mean.
 	deadlineMargin = 2
-	// maxWaitFraction is the part of the time to spare that a request may wait: the
-	// estimate of the wait can be wrong by as much again when a burst begins,
-	// because the servers' own queues have not filled yet.
+	// maxWaitFraction is the part of the time to spare that a request may be expected
+	// to wait. At the start of a burst the actual wait can be twice the estimate, because
+	// the servers' own queues have not filled yet.
 	maxWaitFraction = 0.5
 	// startIntervalSmoothing averages about ten starts.
 	startIntervalSmoothing = 0.1
-	// refusalRateSmoothing spans about fifty requests, half a second of one VM's part.
+	// refusalRateSmoothing averages about fifty requests, which one VM gets in half a
+	// second.
 	refusalRateSmoothing = 0.02
-	// minDebtFreeShare is the share of requests without debt below which there is nobody
-	// to protect from hot flows: with one caller at twice the capacity, refusing it
-	// while a place was free left an eighth of the capacity unused. With a hot key
-	// that gets seven times what its owner can do, those for the other keys are 13
-	// in 100; with 12 as the bound 18 in 100 of them were refused, with 3 it is 6 to
-	// 7, as without it. modestFollow spans fifty of those who come.
+	// minDebtFreeShare is the share of arrivals without debt below which there is
+	// nobody to protect from hot flows. Without it, one caller at twice the capacity
+	// was refused while slots were free, and an eighth of the capacity stayed unused.
+	// With a hot key at seven times its owner's capacity, 13 in 100 arrivals are for
+	// other keys; a threshold of 0.12 refused 18 in 100 of them, 0.03 refuses 6 to 7,
+	// no more than without the rule. debtFreeSmoothing averages fifty arrivals.
 	minDebtFreeShare      = 0.03
 	debtFreeSmoothing     = 0.02
 	minRetryAfter         = 100 * time.Millisecond
 	maxRetryAfter         = 10 * time.Second
-	defaultLatencySeconds = 5e-3 // seconds, before any answer was seen
-	// requestCost is what one request adds to its caller's and key's tags.
+	defaultLatencySeconds = 5e-3 // until an answer was seen
+	// requestCost is what one request adds to the debts of its caller and key.
 	requestCost = 1
 )
 
-// lane is one queue, and who has had how much of it.
+// lane is one queue with the debts of its callers and keys.
 type lane struct {
 	q             queue.Queue[*Ticket]
 	callerDebts   fair.Debts
 	keyDebts      fair.Debts
-	debtFreeShare float64       // share of those who come while it stands and owe next to nothing
+	debtFreeShare float64       // share of arrivals with next to no debt while the queue is standing
 	startInterval time.Duration // average time between two starts while others wait
-	lastStart     time.Time     // the last start, while others wait
+	lastStart     time.Time     // the last start while others wait
 }
 
-// observeArrival notes who comes while the queue is standing.
+// observeArrival updates the share of arrivals without debt; it is called while the
+// queue is standing.
 func (l *lane) observeArrival(debt float64) {
 	l.debtFreeShare -= l.debtFreeShare * debtFreeSmoothing
 	if debt <= fair.FreeDebt/2 {
@@ -60,7 +62,7 @@
 	}
 }
 
-// observeStart notes a start from the queue.
+// observeStart updates the start interval after a start from the queue.
 func (l *lane) observeStart(now time.Time) {
 	if !l.lastStart.IsZero() {
 		l.startInterval += time.Duration(float64(now.Sub(l.lastStart)-l.startInterval) * startIntervalSmoothing)
@@ -71,8 +73,8 @@
 	}
 }
 
-// observedInterval is the time between two starts as observed, the present wait for one
-// included; zero when nothing waits.
+// observedInterval returns the observed time between two starts, including the current
+// wait for one; zero if the queue is empty.
 func (l *lane) observedInterval(now time.Time) time.Duration {
 	if l.q.Len() == 0 || l.lastStart.IsZero() {
 		return 0
@@ -80,7 +82,7 @@
 	return max(l.startInterval, now.Sub(l.lastStart))
 }
 
-// debt is how much the caller or the key owes, whichever is more.
+// debt returns the debt of the caller or of the key, whichever is larger.
 func (l *lane) debt(now time.Time, t *Ticket) float64 {
 	return max(l.callerDebts.Debt(now, t.callerFlow), l.keyDebts.Debt(now, t.keyFlow))
 }
@@ -97,29 +99,29 @@
 	l.keyDebts.Refund(t.keyFlow, requestCost)
 }
 
-// lowerShares lowers the fair shares, because the lane, which starts a request in
-// startInterval such time, had to refuse one that was within them.
-func (l *lane) lowerShares(now time.Time, each time.Duration) {
-	most := 1 / max(each.Seconds(), 1e-6)
+// lowerShares lowers the fair shares because the lane, which starts one request per
+// interval, had to refuse a request that was within them.
+func (l *lane) lowerShares(now time.Time, interval time.Duration) {
+	most := 1 / max(interval.Seconds(), 1e-6)
 	l.callerDebts.LowerRate(most)
 	l.keyDebts.LowerRate(most)
 	l.q.MarkFull(now)
 }
 
-// noteOverShare notes that a request was refused because its flow is over its share.
-// The queue stays standing, or the hot flow would flood it each time the others
-// had their room; the shares ease, or those that became small in an overload
-// would be held to them for long after it.
+// noteOverShare records that a request was refused because its flow is over its share.
+// The queue stays standing, or the hot flow would flood it each time the others had
+// found room. The shares rise again, or flows whose share became small in an overload
+// would be held to it long afterwards.
 func (l *lane) noteOverShare(now time.Time) {
 	l.q.MarkFull(now)
 	l.callerDebts.RaiseRate()
 	l.keyDebts.RaiseRate()
 }
 
-// lanePair is a pair of queues, short and long, that share servers.
+// lanePair holds the queues for short and long requests that share servers.
 type lanePair struct {
 	bySize   [sizes.Kinds]lane
-	slotTime [sizes.Kinds]float64 // slot time given to each, in seconds
+	slotTime [sizes.Kinds]float64 // slot time given to each kind, in seconds
 }
 
 func (ls *lanePair) init(limit int) {
@@ -130,9 +132,8 @@
 
 func (ls *lanePair) len() int { return ls.bySize[sizes.Short].q.Len() + ls.bySize[sizes.Long].q.Len() }
 
-// nextKind picks the kind that has had less slot time, among those that wait and
-// may start. Without it, whichever kind is always waiting would starve the
-// other.
+// nextKind picks the kind that has had less slot time, among those that are queued and
+// may start. Otherwise a kind that is always queued would starve the other.
 func (ls *lanePair) nextKind(long bool) (sizes.Kind, bool) {
 	short := ls.bySize[sizes.Short].q.Len() > 0
 	long = long && ls.bySize[sizes.Long].q.Len() > 0
@@ -146,7 +147,7 @@
 	}
 }
 
-// chargeSlotTime charges slot time to a kind. A kind with nothing waiting earns no
+// chargeSlotTime charges slot time to a kind. A kind with an empty queue earns no
 // credit meanwhile.
 func (ls *lanePair) chargeSlotTime(k sizes.Kind, seconds float64) {
 	ls.slotTime[k] += seconds
@@ -156,8 +157,8 @@
 	}
 }
 
-// typicalLatency is how long an answer of this kind takes, the server's own queue
-// included.
+// typicalLatency returns the average latency of answers of this kind, including the
+// time in the server's own queue.
 func (c *Core) typicalLatency(k sizes.Kind) time.Duration {
 	if c.avgLatency[k] == 0 {
 		return time.Duration(defaultLatencySeconds * float64(time.Second))
@@ -165,14 +166,13 @@
 	return time.Duration(c.avgLatency[k] * float64(time.Second))
 }
 
-// unknownLatency is what an answer is expected to take before any was seen: a server
-// then counts as frozen after a second, ten times as long. By typicalPace it
-// would after 100 ms, and a VM that starts would eject every server whose work
-// takes longer before it had answered once.
+// unknownLatency is the expected latency before any answer was seen. A server then
+// counts as frozen after ten times that, one second. With defaultLatencySeconds that
+// would be 100 ms, and a VM that starts would eject every slower server before its
+// first answer.
 const unknownLatency = 100 * time.Millisecond
 
-// expectedLatency is how long an answer of this kind may be thought to take when the
-// server's silence is judged.
+// expectedLatency returns the latency against which a server's silence is judged.
 func (c *Core) expectedLatency(k sizes.Kind) time.Duration {
 	if c.avgLatency[k] == 0 {
 		return unknownLatency
@@ -180,68 +180,69 @@
 	return c.typicalLatency(k)
 }
 
-// admit queues the request if it can be served in time, and refuses it now if
-// not.
+// admit queues the request if it can be served in time, and refuses it otherwise.
 func (c *Core) admit(now time.Time, l *lane, owner *server, t *Ticket, debt float64) Verdict {
-	each := max(c.startInterval(now, owner, t.sizeKind), l.observedInterval(now))
-	l.q.Target = max(queue.DefaultTarget, each)
+	interval := max(c.startInterval(now, owner, t.sizeKind), l.observedInterval(now))
+	l.q.Target = max(queue.DefaultTarget, interval)
 	t.item.Deadline = t.Job.Deadline.Add(-deadlineMargin * c.typicalLatency(t.sizeKind))
-	over := l.callerDebts.Delay(debt)
-	back := min(over, max(DisplaceWindow, queueWait(each, float64(l.q.Len()))))
-	t.item.Rank = now.Add(back)
-	wait := queueWait(each, l.q.Ahead(uint8(t.Job.Class), t.item.Rank)) + stalledFor(now, owner) + back
+	debtDelay := l.callerDebts.Delay(debt)
+	rankDelay := min(debtDelay, max(DisplaceWindow, queueWait(interval, float64(l.q.Len()))))
+	t.item.Rank = now.Add(rankDelay)
+	wait := queueWait(interval, l.q.Ahead(uint8(t.Job.Class), t.item.Rank)) + stalledFor(now, owner) + rankDelay
 	slack := t.item.Deadline.Sub(now)
 	switch {
 	case owner != nil && owner.health.Failing():
 		return c.refuseFailing(now, t, owner.lastFailure, wait)
-	case l.q.Standing() && over > 0:
+	case l.q.Standing() && debtDelay > 0:
 		l.noteOverShare(now)
-		return c.refuse(t, kinds.Busy, c.retryAfter(over))
+		return c.refuse(t, kinds.Busy, c.retryAfter(debtDelay))
 	case float64(wait) > float64(slack)*maxWaitFraction:
-		l.lowerShares(now, each)
+		l.lowerShares(now, interval)
 		return c.refuse(t, kinds.DeadlineMissed, c.retryAfter(wait-max(slack, 0)))
-	case l.q.Standing() && wait > maxStandingWait(each):
-		l.lowerShares(now, each)
+	case l.q.Standing() && wait > maxStandingWait(interval):
+		l.lowerShares(now, interval)
 		return c.refuse(t, kinds.Busy, c.retryAfter(wait))
 	case !l.q.Room() && !c.displace(now, l, t):
-		l.lowerShares(now, each)
+		l.lowerShares(now, interval)
 		return c.refuse(t, kinds.Busy, c.retryAfter(wait))
 	}
 	c.enqueue(now, l, owner, t)
-	c.trimStanding(now, l, each, t)
+	c.trimStanding(now, l, interval, t)
 	return Wait
 }
 
-// startInterval estimates the time between two starts on a lane's servers while they are
-// full, by Little's law: how long a place is held over the number of places.
+// startInterval estimates the time between two starts on a lane's servers while they
+// are full, by Little's law: the time that a request holds a slot over the number of
+// slots.
 func (c *Core) startInterval(now time.Time, owner *server, k sizes.Kind) time.Duration {
-	held := c.typicalLatency(k)
-	width := c.concurrency[k]
+	holdTime := c.typicalLatency(k)
+	slots := c.concurrency[k]
 	if owner != nil {
-		width = float64(owner.maxRunning(now))
+		slots = float64(owner.maxRunning(now))
 	}
 	if owner != nil && k == sizes.Short {
-		held = max(held, owner.load.Latency())
+		holdTime = max(holdTime, owner.load.Latency())
 	}
-	each := time.Duration(float64(held) / max(width, 1))
+	interval := time.Duration(float64(holdTime) / max(slots, 1))
 	if owner != nil && k == sizes.Long && c.classifier.Mixed(now) {
-		each = max(each, c.longToken(owner).Period())
+		interval = max(interval, c.longToken(owner).Period())
 	}
-	return each
+	return interval
 }
 
-// queueWait is the wait of a request with so many ahead of it.
-func queueWait(each time.Duration, ahead float64) time.Duration {
-	return time.Duration((ahead + 1) * float64(each))
+// queueWait returns the expected wait of a request with that many ahead of it.
+func queueWait(interval time.Duration, ahead float64) time.Duration {
+	return time.Duration((ahead + 1) * float64(interval))
 }
 
-// maxStandingWait is the longest wait that a standing queue takes in: at least one
-// nextKind, or a lane with a single place would never have a request ready for it.
-func maxStandingWait(each time.Duration) time.Duration {
-	return max(queue.DefaultTarget, each)
+// maxStandingWait is the longest expected wait with which a standing queue admits a
+// request. It is at least one start interval, or a lane with a single slot would never
+// have a request ready for it.
+func maxStandingWait(interval time.Duration) time.Duration {
+	return max(queue.DefaultTarget, interval)
 }
 
-// stalledFor is for how long an owner has been silent when it should not be.
+// stalledFor returns how long the owner has been silent beyond what is expected.
 func stalledFor(now time.Time, owner *server) time.Duration {
 	if owner == nil {
 		return 0
@@ -266,8 +267,8 @@
 	}
 }
 
-// displace makes room in a full queue for a request that goes before the worst
-// one there, if that one has not waited long.
+// displace makes room in a full queue by refusing its last request, if the new one
+// ranks before it and it has waited no longer than DisplaceWindow.
 func (c *Core) displace(now time.Time, l *lane, t *Ticket) bool {
 	l.q.MarkFull(now)
 	worst := l.q.Last()
@@ -278,13 +279,14 @@
 	return true
 }
 
-// trimStanding keeps a standing queue short after a request went in ahead of others:
-// those who would now wait too long are told so while it is still early.
-func (c *Core) trimStanding(now time.Time, l *lane, each time.Duration, t *Ticket) {
+// trimStanding shortens a standing queue after a request was inserted ahead of others:
+// those that would now wait too long are refused while they have waited no longer than
+// DisplaceWindow.
+func (c *Core) trimStanding(now time.Time, l *lane, interval time.Duration, t *Ticket) {
 	for l.q.Standing() {
-		wait := queueWait(each, float64(l.q.Len()-1))
+		wait := queueWait(interval, float64(l.q.Len()-1))
 		worst := l.q.Last()
-		if wait <= maxStandingWait(each) || worst == &t.item || now.Sub(worst.EnqueuedAt()) > DisplaceWindow {
+		if wait <= maxStandingWait(interval) || worst == &t.item || now.Sub(worst.EnqueuedAt()) > DisplaceWindow {
 			return
 		}
 		l.q.MarkFull(now)
@@ -292,7 +294,7 @@
 	}
 }
 
-// dropQueued refuses a request that waits.
+// dropQueued removes a queued request and refuses it.
 func (c *Core) dropQueued(l *lane, t *Ticket, k kinds.Kind, after time.Duration) {
 	l.q.Remove(&t.item)
 	l.refund(t)
@@ -300,7 +302,7 @@
 	c.refuseWaiting(t, k, after)
 }
 
-// dequeue takes a waiting request out without an answer.
+// dequeue removes a queued request without deciding it.
 func (c *Core) dequeue(t *Ticket) {
 	l := &t.lanes.bySize[t.sizeKind]
 	l.q.Remove(&t.item)
@@ -321,10 +323,10 @@
 	return Refuse
 }
 
-// retryAfter computes when a refused caller should come back: after the wait that was
-// too long, and the longer the more requests are refused now, so that those who
-// come back do not add to the overload. It varies by a quarter either way,
-// because callers refused together would otherwise return together.
+// retryAfter computes when a refused caller should retry. The time grows with the wait
+// that was too long and with the recent share of refusals, so that retries do not add
+// to the overload. It is randomized by a quarter either way, or callers refused
+// together would return together.
 func (c *Core) retryAfter(wait time.Duration) time.Duration {
 	spread := time.Duration(float64(time.Second) * c.refusalRate / (1.1 - c.refusalRate))
 	jitter := 0.75 + c.rng.Float64()/2
@@ -332,8 +334,8 @@
 	return min(max(after, minRetryAfter), maxRetryAfter)
 }
 
-// flowOf hashes a name, under a seed that callers cannot know: they could
-// otherwise choose names that collide with someone else's.
+// flowOf hashes a name with a seed that callers cannot know; otherwise they could
+// choose names that collide with someone else's.
 func (c *Core) flowOf(name string) fair.Flow {
 	if name == "" {
 		return 0
--- a/internal/load/gate/bench_test.go
+++ b/internal/load/gate/bench_test.go
@@ -20,7 +20,7 @@
 	return c
 }
 
-// BenchmarkAdmit is a request that starts at once, and its end.
+// BenchmarkAdmit starts and ends one request at a time.
 func BenchmarkAdmit(b *testing.B) {
 	c := benchCore(16)
 	now := begin
@@ -38,8 +38,8 @@
 	}
 }
 
-// BenchmarkAdmitOverload is a request at twice the capacity: half are started
-// after waiting, half refused; callers and keys differ.
+// BenchmarkAdmitOverload runs at twice the capacity: half of the requests start after
+// waiting, half are refused; callers and keys differ.
 func BenchmarkAdmitOverload(b *testing.B) {
 	c := benchCore(16)
 	names := make([]ident.Caller, 1000)
@@ -79,7 +79,8 @@
 	}
 }
 
-// BenchmarkEnter is the whole seam as the request path uses it, uncontended.
+// BenchmarkEnter runs Enter and Done on a Gate without contention, as the request path
+// does.
 func BenchmarkEnter(b *testing.B) {
 	g := New(Config{Seed: 1})
 	defer g.Close()
@@ -96,7 +97,7 @@
 	}
 }
 
-// BenchmarkPick500 is the start and end of a request over 500 servers.
+// BenchmarkPick500 chooses one of 500 servers.
 func BenchmarkPick500(b *testing.B) {
 	c := benchCore(500)
 	c.scoreTime = begin
--- a/internal/load/gate/choose.go
+++ b/internal/load/gate/choose.go
@@ -6,7 +6,8 @@
 	"hawthornfield.org/hawthornfield/internal/load/sizes"
 )
 
-// chooseServer returns a server with room for the request, nil if there is none.
+// chooseServer returns a server with room for the request, or nil if there is none. A
+// request with an owner can only go there.
 func (c *Core) chooseServer(now time.Time, owner *server, t *Ticket) *server {
 	switch {
 	case owner != nil && owner.hasRoomKeyed(now) && (t.sizeKind == sizes.Short || c.mayStartLongKeyed(now, owner)):
@@ -25,48 +26,52 @@
 	if i < 0 {
 		return nil
 	}
-	if n := c.availableLocal.Choose(c.rng, skip, c.score); n >= 0 && n != skip && c.preferLocal(t, n, i) {
-		i = n
+	if local := c.availableLocal.Choose(c.rng, skip, c.score); local >= 0 && local != skip && c.preferLocal(t, local, i) {
+		i = local
 	}
 	return c.servers[c.preferWarm(now, i, skip)]
 }
 
-// preferLocal reports whether a request goes to a server in this data centre, and not to the
-// one that is the best anywhere.
+// preferLocal reports whether the request goes to a server in this data centre rather
+// than to the best one anywhere.
 //
-// A way between data centres costs a request 3 ms, which nobody notices, and its bytes
-// are paid for: a lookup's answer of 5 KB costs its users a third of what it is worth to
-// them where bytes are dear. So what a far server saves its caller is measured by the
-// time within which the answer is wanted. Near servers that take twice as long, or are
-// busy for the moment, still serve in time; ones that are overrun, because callers moved
-// here or most servers of this data centre left, do not.
+// Crossing between data centres costs a request 3 ms, which nobody notices, and its
+// bytes are paid for: where bytes are expensive, a lookup's answer of 5 KB costs its
+// users a third of what it is worth to them. So the latency that a remote server saves
+// is compared with LatencyTarget. Local servers that take twice as long, or are busy
+// for the moment, still answer in time; overloaded ones, because callers moved to this
+// data centre or most of its servers left, do not.
 //
-// Gains 0.049 of a day's worth where bytes are dear (0.666 -> 0.715 over 18 days, nearGain
-// alone before).
-func (c *Core) preferLocal(t *Ticket, near, best int) bool {
-	n, b := &c.servers[near].load, &c.servers[best].load
-	if t.Job.LatencyTarget > 0 && n.FailureRate() <= maxLocalFailureRate && n.AnswerLatency()-b.AnswerLatency() <= t.Job.LatencyTarget {
+// Where bytes are expensive this raises the daily value to users by 0.049, from 0.666
+// to 0.715 over 18 days, compared with localPreference alone.
+func (c *Core) preferLocal(t *Ticket, local, best int) bool {
+	l, b := &c.servers[local].load, &c.servers[best].load
+	if t.Job.LatencyTarget > 0 && l.FailureRate() <= maxLocalFailureRate && l.AnswerLatency()-b.AnswerLatency() <= t.Job.LatencyTarget {
 		return true
 	}
-	return c.score(near) <= c.score(best)*localPreferenceFor(t.Job.Bytes)
+	return c.score(local) <= c.score(best)*localPreferenceFor(t.Job.Bytes)
 }
 
-// Preference for servers in the own data centre.
+// Preference for servers in this VM's data centre.
 const (
-	// localPreference is how much worse a near server may look and still be taken for a small
-	// request that nobody named an aim for. Half a step of queueing is some tens of
-	// milliseconds; a way between data centres costs 3 ms, and its bytes are paid for.
+	// localPreference is the factor by which a local server's score may be worse for a
+	// small request without a latency target. A short queue adds some tens of
+	// milliseconds; crossing between data centres costs 3 ms, and its bytes are paid
+	// for.
 	localPreference = 1.4
-	// localPreferenceBulk is the same for a request whose body is bulk bytes or more: sending it
-	// elsewhere costs as much as a fifth of what such an upload is worth to its users.
+	// localPreferenceBulk is the same for a request with a body of bulkBytes or more:
+	// sending it to another data centre costs as much as a fifth of what such an upload
+	// is worth to its users.
 	localPreferenceBulk = 3.0
 	bulkBytes           = 16 << 10
-	// maxLocalFailureRate is the share of a near server's attempts that may fail: beyond half of
-	// them, an answer's time says nothing of what a request there can expect.
+	// maxLocalFailureRate is the share of a local server's attempts that may fail: if
+	// more than half of them fail, the latency of its answers does not tell what a
+	// request there can expect.
 	maxLocalFailureRate = 0.5
 )
 
-// localPreferenceFor is how many times worse a near server may be than one elsewhere.
+// localPreferenceFor returns the factor by which a local server's score may be worse
+// than that of the best server, for a body of this size.
 func localPreferenceFor(bytes int64) float64 {
 	if bytes >= bulkBytes {
 		return localPreferenceBulk
@@ -74,7 +79,8 @@
 	return localPreference
 }
 
-// updateAvailable notes whether a server has room for a request that may go anywhere.
+// updateAvailable records whether a server has room for a request that may go to any
+// server.
 func (c *Core) updateAvailable(now time.Time, s *server) {
 	room := s.hasRoom(now)
 	c.available.Put(s.idx, room)
@@ -84,8 +90,8 @@
 	c.updateWarm(now, s, room)
 }
 
-// chooseForLong looks for a server where this VM owns a free long slot, from a
-// random one on.
+// chooseForLong returns the least busy server on which this VM has a free slot for a
+// long request, starting from a random one.
 func (c *Core) chooseForLong(now time.Time) *server {
 	n := len(c.servers)
 	from := c.rng.IntN(n)
@@ -102,7 +108,8 @@
 	return best
 }
 
-// mayStartLongShared reports whether another long request may run on the server.
+// mayStartLongShared reports whether this VM may run another long request on the
+// server, for requests that may go to any server.
 func (c *Core) mayStartLongShared(now time.Time, s *server) bool {
 	return !c.classifier.Mixed(now) || s.runningLong < c.share.Long(s.idx, len(c.servers), s.info.Slots)
 }
--- a/internal/load/gate/choose_test.go
+++ b/internal/load/gate/choose_test.go
@@ -10,9 +10,9 @@
 	"hawthornfield.org/hawthornfield/internal/core/kinds"
 )
 
-// Uploads of sixty kilobytes go to whichever server is next in turn. Two of three
-// then cross between data centres, and that is paid for by the byte; a busy moment at
-// the near server costs its caller a few milliseconds.
+// Guards against uploads of 60 KB that go to the next server in turn: two of three then
+// cross between data centres, which is paid for by the byte. A busy moment of the local
+// server costs the caller only a few milliseconds.
 func TestLocalServersArePreferredWhileHealthy(t *testing.T) {
 	now := time.Unix(1000, 0)
 	c := NewCore(Config{Seed: 1, Centre: "here"})
@@ -40,18 +40,18 @@
 	}
 	warmUpServers(c, &now)
 	serve(0, "")
-	assert.Equal(t, went["b"]+went["d"], 0, "equal servers: all stay near")
+	assert.Equal(t, went["b"]+went["d"], 0, "equal servers: all requests must stay local")
 	clear(went)
 	serve(0, "here")
-	assert.Assert(t, went["b"]+went["d"] > 100, "near ones that take over twice as long are left alone: %v", went)
+	assert.Assert(t, went["b"]+went["d"] > 100, "local servers with over twice the latency must be avoided: %v", went)
 	clear(went)
 	serve(bulkBytes, "here")
-	assert.Assert(t, went["a"]+went["c"] > 150, "for a large body they are still the better choice: %v", went)
+	assert.Assert(t, went["a"]+went["c"] > 150, "they must still be preferred for a large body: %v", went)
 }
 
-// A lookup is wanted within 200 ms. The near servers take 60 ms and the far ones 25: each
-// byte that crosses is paid for, and no caller is better off for it. Then callers move
-// here, the near servers take 400 ms, and only the far ones still answer in time.
+// Guards against lookups sent to remote servers without benefit. The answer is wanted
+// within 200 ms, local servers take 60 ms and remote ones 25 ms. Only when callers move
+// here and local servers take 400 ms do just the remote ones answer in time.
 func TestRemoteServerIsChosenWhenItSavesMoreThanLatencyTarget(t *testing.T) {
 	for _, one := range []struct {
 		near   time.Duration
@@ -81,14 +81,14 @@
 			c.Done(now, tk, Outcome{Latency: took})
 		}
 		if one.leaves {
-			assert.Assert(t, far > 150, "%v: %d far", one.near, far)
+			assert.Assert(t, far > 150, "local latency %v: %d remote", one.near, far)
 		} else {
-			assert.Assert(t, far < 10, "%v: %d far", one.near, far)
+			assert.Assert(t, far < 10, "local latency %v: %d remote", one.near, far)
 		}
 	}
 }
 
-// warmUpServers fills all servers at once, so that something is known of each.
+// warmUpServers sends requests to all servers, so that the latency of each is known.
 func warmUpServers(c *Core, now *time.Time) {
 	for range 10 {
 		var all []*Ticket
@@ -105,8 +105,9 @@
 	}
 }
 
-// A server has ended and one of another service has its address. Whoever is sent there
-// is turned away, until its entry lapses seconds later.
+// Guards against requests sent to the address of a server that has ended, where a
+// server of another service now answers. They are refused until the entry expires
+// seconds later.
 func TestServerAnsweringForAnotherServiceIsAvoided(t *testing.T) {
 	now := time.Unix(1000, 0)
 	c := NewCore(Config{Seed: 1})
--- a/internal/load/gate/coldstart_test.go
+++ b/internal/load/gate/coldstart_test.go
@@ -12,10 +12,10 @@
 	"hawthornfield.org/hawthornfield/internal/load/health"
 )
 
-// floodNewVM plays a VM that has just started and gets 200 requests of 2 s at once
-// for one owner of four slots, whose work takes 200 ms. It counts who was answered
-// in time, who was sent and had no answer by then, and who was refused more than
-// half a second after the first answers.
+// floodNewVM simulates a VM that has just started and gets 200 requests with deadlines
+// of 2 s within 100 ms for one owner of four slots, whose work takes 200 ms. It counts
+// the requests answered in time, those that were sent and had no answer by their
+// deadline, and those refused more than half a second after the first answers.
 func floodNewVM(t *testing.T) (answered, unknown, late int) {
 	const work, slots = 200 * time.Millisecond, 4
 	c := NewCore(Config{Seed: 1})
@@ -76,12 +76,12 @@
 	return answered, unknown, late
 }
 
-// A VM starts and is flooded before its first answer. It takes answers of 200 ms
-// for answers of 5 ms and lets in too many; those at the end of the queue were
-// sent a moment before their deadline, held a place for nothing, and their
-// callers read "unknown" in place of a refusal. And the owner's silence of 100 ms
-// looked like a freeze, so it got one request at a time. The first answers show
-// what the others can expect, and they must hear it then, not at their deadlines.
+// Guards against a flood before the first answer of a new VM. It expects answers of 5
+// ms where they take 200 ms and admits too many requests. Those at the end of the queue
+// were sent just before their deadline, held a slot for nothing and ended as "unknown"
+// instead of being refused; and the owner's silence of 100 ms was taken for a freeze,
+// so it got one request at a time. Excess requests must be refused when the first
+// answers arrive, not at their deadlines.
 func TestFloodBeforeFirstAnswerLeavesNoUnknownOutcome(t *testing.T) {
 	answered, unknown, late := floodNewVM(t)
 	assert.Equal(t, unknown, 0)
--- a/internal/load/gate/core.go
+++ b/internal/load/gate/core.go
@@ -14,54 +14,55 @@
 	"hawthornfield.org/hawthornfield/internal/load/sizes"
 )
 
-// Config holds a gate's settings. The zero value works.
+// Config holds a gate's settings. The zero value is valid.
 type Config struct {
 	Service  ident.Service
-	Deadline time.Duration // for jobs without one; zero is DefaultDeadline
-	Queue    int           // most requests waiting in one queue; zero is the queue's default
-	MaxHeld  int           // most requests waiting for moves; zero is DefaultHeld
-	Seed     uint64        // of the random choices; zero takes a fresh one
-	// RetryBudget bounds the attempts beyond the first of all VMs together: a share of the
-	// requests, and a burst that the VMs divide. Zero leaves it to package retry.
+	Deadline time.Duration // for jobs without one; zero means DefaultDeadline
+	Queue    int           // most requests in one queue; zero means the queue's default
+	MaxHeld  int           // most requests waiting for an owner; zero means DefaultHeld
+	Seed     uint64        // for random choices; zero means a random seed
+	// RetryBudget bounds the attempts beyond the first of all VMs together: a share of
+	// the requests, and a burst that the VMs divide among them. Zero means the defaults
+	// of package retry.
 	RetryBudget RetryBudget
-	// ProbeInterval is the pause between two requests that go and ask whether the owner of a
-	// key takes them yet. Zero suits backend servers that are asked for nothing, see
-	// firstAsk; where each attempt is counted and owners are told at once, more.
+	// ProbeInterval is the least time between two requests that probe whether the owner
+	// of a key accepts requests yet. Zero means firstProbeDelay, rising to maxProbeDelay;
+	// it suits services where an extra attempt costs nothing. Use a longer interval
+	// where each attempt is counted and changes of owners are announced at once.
 	ProbeInterval time.Duration
-	// Centre is this VM's data centre. A server there is preferred to others; empty
-	// means no preference.
+	// Centre is this VM's data centre. Servers there are preferred; empty means no
+	// preference.
 	Centre ident.Centre
 }
 
-// RetryBudget is a bound on attempts beyond the first.
+// RetryBudget bounds the attempts beyond the first: Share per request, plus Burst.
 type RetryBudget struct {
 	Share float64
 	Burst float64
 }
 
-// Defaults of Config.
+// Default settings.
 const (
-	// DefaultDeadline is for callers that name none: as long as a driver at the
-	// scale waits before trying again.
+	// DefaultDeadline is for callers that set none: as long as a driver at the
+	// weighbridge waits before trying again.
 	DefaultDeadline = 2 * time.Second
-	// DefaultHeld bounds the requests of keys between owners: 1 s of one
-	// server's throughput in lookups, the time a move may take.
+	// DefaultHeld is one second of one server's throughput in lookups; a move of a key
+	// may take that long.
 	DefaultHeld = 800
 )
 
-// Verdict is the answer to an offered request.
+// Verdict is the immediate result for an offered request.
 type Verdict uint8
 
-// The verdicts. Wait is followed by exactly one later decision, see
-// [Core.Ready].
+// The verdicts. Wait is followed by exactly one later decision, see [Core.Ready].
 const (
 	Wait Verdict = iota
 	Start
 	Refuse
 )
 
-// Core decides for one service. It is not safe for concurrent use and never
-// looks at a clock: every method is told the time, which must not go back.
+// Core makes the decisions for one service. It is not safe for concurrent use and never
+// reads a clock: every method is passed the time, which must not go back.
 type Core struct {
 	cfg    Config
 	rng    *rand.Rand
@@ -71,41 +72,41 @@
 	servers        []*server
 	byName         map[ident.Server]*server
 	available      pick.Set
-	availableLocal pick.Set // those of open in this VM's data centre
-	availableWarm  pick.Set // those of open, near if any are, that were used a moment ago
+	availableLocal pick.Set // servers of available in this VM's data centre
+	availableWarm  pick.Set // servers of available that were used recently; only local ones if Centre is set
 	monitor        health.Monitor
-	healthScratch  []*health.Server // argument of panel.Judge, kept for reuse
+	healthScratch  []*health.Server // argument of monitor.Evaluate, reused
 	score          func(int) float64
 	scoreTime      time.Time
 
 	shared        lanePair // requests that may go to any server
 	avgLatency    [sizes.Kinds]float64
-	answers       [sizes.Kinds]int // answers of each kind
+	answers       [sizes.Kinds]int // number of answers of each kind
 	concurrency   [sizes.Kinds]float64
 	moveQueues    moveQueueSet
-	keyPaces      keyPaceSet                    // keys for which their owner was crowded
-	ownerLookup   func(ident.Key) (Owner, bool) // nil when owners are not followed
-	probeAt       time.Time                     // when a request that is held goes and asks
+	keyPaces      keyPaceSet                    // paces of the keys whose owner was crowded
+	ownerLookup   func(ident.Key) (Owner, bool) // nil if owners are not known
+	probeAt       time.Time                     // next time that a waiting request probes an owner
 	classifier    sizes.Classifier
 	share         sizes.Share
 	retryBudget   retry.Budget
 	refusalRate   float64 // recent share of requests refused
 	nextExpiry    time.Time
-	reestimateAt  time.Time // when waits are estimated again
+	reestimateAt  time.Time // next time that queue waits are estimated again
 	healthCheckAt time.Time
 
-	lastEvent    time.Time // the last call that something happened
-	lastPause    vmPause   // the last one
+	lastEvent    time.Time // last call to detectPause
+	lastPause    vmPause   // the most recent pause
 	running      int
 	waiting      int
-	startCount   float64 // requests sent lately, as of sentAt; see recent
+	startCount   float64 // decaying count of requests sent, as of startCountAt; see recentStarts
 	startCountAt time.Time
 
 	decided []*Ticket
 	stats   Stats
 }
 
-// NewCore makes a core without servers.
+// NewCore returns a core without servers.
 func NewCore(cfg Config) *Core {
 	if cfg.Deadline <= 0 {
 		cfg.Deadline = DefaultDeadline
@@ -132,8 +133,7 @@
 	return c
 }
 
-// Offer takes in a request and decides at once whether it starts, waits or is
-// refused.
+// Offer handles a new request: it starts it, queues it or refuses it.
 func (c *Core) Offer(now time.Time, t *Ticket) Verdict {
 	c.prepare(now, t)
 	switch {
@@ -142,13 +142,13 @@
 	case len(c.servers) == 0:
 		return c.refuse(t, kinds.NoServer, c.retryAfter(0))
 	}
-	if h := c.moveQueues.find(&t.Job); h != nil {
-		return c.joinMove(now, h, t)
+	if q := c.moveQueues.find(&t.Job); q != nil {
+		return c.joinMove(now, q, t)
 	}
 	return c.route(now, t)
 }
 
-// prepare notes what is known of a request at its arrival.
+// prepare charges the retry budget and fills in the fields that later decisions use.
 func (c *Core) prepare(now time.Time, t *Ticket) {
 	c.detectPause(now)
 	c.updateRetryBudget(t)
@@ -172,7 +172,7 @@
 	}
 }
 
-// route sends a request to the lane of its owner, or to the common one.
+// route passes a request to the queues of its key's owner, or to the shared ones.
 func (c *Core) route(now time.Time, t *Ticket) Verdict {
 	if t.Job.Server == "" && c.concurrency[sizes.Short] == 0 {
 		return c.refuse(t, kinds.NoServer, c.retryAfter(0))
@@ -187,19 +187,19 @@
 	return c.enterLane(now, s.lanes(c.cfg.Queue), s, t)
 }
 
-// enterLane starts the request if there is room and nobody waits before it, and
-// else admits it to the queue or refuses it. A hot flow is refused while the
-// queue is standing, even if a place happens to be free: half of those who ask
-// at that moment are the hot one, and it would get half of the service. Only when
-// there is nobody else whom that could harm does it get a free place.
+// enterLane starts the request if there is room and nobody is queued before it;
+// otherwise it queues or refuses the request. A hot flow is refused while the queue is
+// standing, even if a slot happens to be free: half of the requests that arrive at such
+// a moment are of the hot flow, and it would get half of the service. It gets a free
+// slot only if there is hardly anyone else whom this could harm.
 func (c *Core) enterLane(now time.Time, ls *lanePair, owner *server, t *Ticket) Verdict {
 	t.lanes = ls
 	l := &ls.bySize[t.sizeKind]
 	t.callerFlow, t.keyFlow = c.flowOf(string(t.Job.Caller)), c.flowOf(string(t.Job.Key))
 	// A request's own failed attempt must not delay its retry.
 	if owner != nil && t.Job.avoid != owner.info.Name {
-		if closed := c.keyPaces.delay(now, t.keyFlow); closed > 0 {
-			return c.refuse(t, kinds.Busy, c.retryAfter(closed))
+		if delay := c.keyPaces.delay(now, t.keyFlow); delay > 0 {
+			return c.refuse(t, kinds.Busy, c.retryAfter(delay))
 		}
 	}
 	debt := 0.0
@@ -223,8 +223,8 @@
 	return c.admit(now, l, owner, t, debt)
 }
 
-// hasSpareRoom reports whether a place is free that nobody within a share would want:
-// nobody waits, and hardly anybody comes who owes nothing.
+// hasSpareRoom reports whether a slot is free that no flow within its fair share needs:
+// the queue is empty and hardly any arrivals are of flows without debt.
 func (c *Core) hasSpareRoom(now time.Time, l *lane, owner *server) bool {
 	switch {
 	case l.q.Len() > 0 || l.debtFreeShare >= minDebtFreeShare:
@@ -253,7 +253,7 @@
 	}
 }
 
-// Done gives a started request's place back and starts whoever can follow.
+// Done ends a started request, frees its slot and starts the requests that can follow.
 func (c *Core) Done(now time.Time, t *Ticket, o Outcome) {
 	if t.state != stateStarted {
 		return
@@ -271,7 +271,7 @@
 	c.dispatch(now, s)
 }
 
-// Abandon takes back a request whose caller went away, whatever its state.
+// Abandon removes a request whose caller went away, whatever its state.
 func (c *Core) Abandon(now time.Time, t *Ticket) {
 	c.stats.Canceled++
 	switch t.state {
@@ -286,8 +286,8 @@
 	t.state = stateIdle
 }
 
-// dispatch starts the requests that may follow on a server that has room: the
-// keys it owns first, then those that may go anywhere.
+// dispatch starts queued requests on a server that has room: those for keys it owns
+// first, then the shared ones.
 func (c *Core) dispatch(now time.Time, s *server) {
 	for s.ownLanes != nil && s.hasRoomKeyed(now) {
 		if !c.startNext(now, s.ownLanes, s, c.mayStartLongKeyed(now, s)) {
@@ -301,10 +301,10 @@
 	}
 }
 
-// startNext starts one waiting request of the lanes on the server. One that has too
-// little time left by what is known now is refused: it was let in when answers
-// were taken to be quicker, as by a VM that has seen none yet, and sent now it
-// would end as unknown at its deadline and hold the place until then.
+// startNext starts one queued request on the server. A request with too little time
+// left by the current latency estimate is refused: it was admitted when answers were
+// expected to be faster, for example by a VM that had seen none yet. Sent now, it would
+// end at its deadline with an unknown result and hold the slot until then.
 func (c *Core) startNext(now time.Time, ls *lanePair, s *server, long bool) bool {
 	kind, ok := ls.nextKind(long)
 	if !ok {
@@ -320,14 +320,14 @@
 		c.refuseWaiting(t, kinds.DeadlineMissed, c.retryAfter(c.startInterval(now, ownerOf(ls, s), kind)))
 		return true
 	}
-	s.limit[s.limitKind].MarkLimited() // it waited for a place here
+	s.limit[s.limitKind].MarkLimited() // the request had to queue for a slot here
 	ls.chargeSlotTime(kind, c.typicalLatency(kind).Seconds())
 	c.start(now, t, s)
 	c.decided = append(c.decided, t)
 	return true
 }
 
-// ownerOf returns the server if the lanes are those of its own keys.
+// ownerOf returns s if the lanes are those of its own keys, else nil.
 func ownerOf(ls *lanePair, s *server) *server {
 	if ls == s.ownLanes {
 		return s
@@ -335,15 +335,15 @@
 	return nil
 }
 
-// Ready returns the tickets decided since the last call, started or refused.
-// The slice is valid until the next call into the core.
+// Ready returns the tickets decided since the last call, started or refused. The slice
+// is valid until the next call into the core.
 func (c *Core) Ready() []*Ticket {
 	done := c.decided
 	c.decided = c.decided[:0]
 	return done
 }
 
-// Next is when Tick has something to do; zero means nothing is pending.
+// Next returns when Tick has work to do; zero means nothing is pending.
 func (c *Core) Next() time.Time {
 	var next time.Time
 	for _, at := range [...]time.Time{c.nextExpiry, c.healthCheckAt, c.probeAt, c.reestimateAt} {
@@ -354,7 +354,7 @@
 	return next
 }
 
-// Close refuses all who wait, and all who come later.
+// Close refuses all waiting requests, and all later ones.
 func (c *Core) Close(now time.Time) {
 	c.closed = true
 	c.forEachLanes(func(ls *lanePair) {
@@ -366,8 +366,8 @@
 			}
 		}
 	})
-	c.moveQueues.retain(func(h *moveQueue) bool {
-		for _, t := range c.takeAll(h) {
+	c.moveQueues.retain(func(q *moveQueue) bool {
+		for _, t := range c.takeAll(q) {
 			c.refuseWaiting(t, kinds.Closing, time.Second)
 		}
 		return false
--- a/internal/load/gate/core_test.go
+++ b/internal/load/gate/core_test.go
@@ -16,8 +16,7 @@
 
 var begin = time.Unix(1000, 0)
 
-// machine drives a core with anything that can happen, and keeps its own
-// account of every request.
+// machine drives a core with random events and keeps its own account of every request.
 type machine struct {
 	core       *Core
 	now        time.Time
@@ -42,7 +41,7 @@
 	return m
 }
 
-// lookupOwner looks the owner of a key up; the keys k0 and k1 share a slice.
+// lookupOwner returns the owner of a key; the keys k0 and k1 share a slice.
 func (m *machine) lookupOwner(k ident.Key) (Owner, bool) {
 	s, ok := m.owners[k]
 	return Owner{Server: s, Slice: sliceOf(k)}, ok
@@ -57,7 +56,7 @@
 
 func serverName(i int) ident.Server { return ident.Server("s" + strconv.Itoa(i)) }
 
-// Servers replaces the list: other slots, drains, one server more or less.
+// Servers replaces the list of servers with random slots, draining and length.
 func (m *machine) Servers(t *rapid.T) {
 	m.draining, m.maxRunning = map[ident.Server]bool{}, map[ident.Server]int{}
 	var list []ServerInfo
@@ -94,7 +93,7 @@
 		j.Key = "k" + ident.Key(strconv.Itoa(m.n%4))
 		j.Slice, j.HotKey = sliceOf(j.Key), j.Key == "k3"
 		j.MaxOwnerWait = time.Duration(rapid.IntRange(0, 300).Draw(t, "patience")) * time.Millisecond
-		j.Server = serverName(rapid.IntRange(0, serverCount-1).Draw(t, "owner")) // the caller's table may be old
+		j.Server = serverName(rapid.IntRange(0, serverCount-1).Draw(t, "owner")) // the caller's table may be stale
 	}
 	k := &Ticket{Job: j}
 	m.record(t, k, m.core.Offer(m.now, k))
@@ -112,8 +111,8 @@
 	m.collect(t)
 }
 
-// Misrouted is a server that refuses a key's request because it is not, or not
-// yet, its owner; the request waits for the owner.
+// Misrouted has a server refuse a key's request because it is not, or not yet, the
+// key's owner; the request then waits for the owner.
 func (m *machine) Misrouted(t *rapid.T) {
 	for i, k := range m.running {
 		if k.Job.Key == "" {
@@ -126,11 +125,11 @@
 		m.record(t, again, m.core.WaitOwner(m.now, again))
 		return
 	}
-	t.Skip("no key's request runs")
+	t.Skip("no request with a key is running")
 }
 
-// HotBurst is a hot caller's burst and, in the same moment, others who have had
-// less and go before it.
+// HotBurst offers a burst of one caller and, at the same time, requests of callers
+// without debt, which rank before it.
 func (m *machine) HotBurst(t *rapid.T) {
 	for i := range 12 {
 		j := Job{Caller: "hot", Deadline: m.now.Add(time.Second)}
@@ -142,32 +141,32 @@
 	}
 }
 
-// started holds the promises about where and when a request may start.
+// started checks the rules on where and when a request may start.
 func (m *machine) started(t *rapid.T, k *Ticket) {
 	m.decided[k]++
 	m.running = append(m.running, k)
 	s := k.Server()
 	assert.Assert(t, k.Job.Deadline.After(m.now), "started after its deadline")
 	if k.Job.Server != "" {
-		assert.Equal(t, s, k.Job.Server, "a key's request left its owner")
+		assert.Equal(t, s, k.Job.Server, "a key's request was sent to another server than its owner")
 	} else {
-		assert.Assert(t, !m.draining[s], "new work for a draining server")
+		assert.Assert(t, !m.draining[s], "new request sent to a draining server")
 	}
 	srv := m.core.byName[s]
 	if srv.limitKind == sizes.Short {
-		assert.Assert(t, srv.running-srv.runningLong <= m.maxRunning[s], "more than slots+1 short ones at once")
+		assert.Assert(t, srv.running-srv.runningLong <= m.maxRunning[s], "more than slots+1 short requests running")
 	} else {
-		assert.Assert(t, srv.running <= m.maxRunning[s], "more than slots+1 at once")
+		assert.Assert(t, srv.running <= m.maxRunning[s], "more than slots+1 requests running")
 	}
 	if k.sizeKind == sizes.Long && m.core.classifier.Mixed(m.now) {
-		assert.Assert(t, k.Job.Server == "" || srv.runningLong <= max(srv.info.Slots/2, 1), "uploads on more than half the slots")
+		assert.Assert(t, k.Job.Server == "" || srv.runningLong <= max(srv.info.Slots/2, 1), "long requests on more than half the slots")
 	}
-	assert.Assert(t, srv.running <= srv.connPool.Max(m.now), "more than the connections")
+	assert.Assert(t, srv.running <= srv.connPool.Max(m.now), "more requests than connections")
 }
 
 func (m *machine) Done(t *rapid.T) {
 	if len(m.running) == 0 {
-		t.Skip("nothing runs")
+		t.Skip("no request is running")
 	}
 	i := rapid.IntRange(0, len(m.running)-1).Draw(t, "which")
 	k := m.running[i]
@@ -176,7 +175,7 @@
 		{}, {}, {Kind: kinds.Unknown}, {Kind: kinds.Busy, Refused: true}, Cancel(),
 	}).Draw(t, "outcome")
 	m.core.Done(m.now, k, out)
-	m.core.Done(m.now, k, out) // a second time must change nothing
+	m.core.Done(m.now, k, out) // the second call must change nothing
 	m.collect(t)
 }
 
@@ -188,7 +187,7 @@
 		m.collect(t)
 		return
 	}
-	t.Skip("nobody waits")
+	t.Skip("no request is waiting")
 }
 
 func (m *machine) Move(t *rapid.T) {
@@ -202,7 +201,7 @@
 	for k := range m.waiting {
 		if k.state == stateQueued && k.Job.Server != "" {
 			owner, ok := m.owners[k.Job.Key]
-			assert.Assert(t, !ok || k.Job.Server == owner, "queues for a former owner after the news")
+			assert.Assert(t, !ok || k.Job.Server == owner, "still queued for a former owner")
 		}
 	}
 }
@@ -240,12 +239,12 @@
 		m.decided[k]++
 		kind, after := k.Refusal()
 		assert.Assert(t, kind.Answer().Ran == kinds.RanNo, "refused as %v", kind)
-		assert.Assert(t, after > 0, "no hint when to come back")
+		assert.Assert(t, after > 0, "refused without a retry time")
 	}
 }
 
-// Check holds after every step: the account agrees, and no place stays free
-// while a request that may take it waits.
+// Check runs after every step: the counts agree, and no slot is free while a request
+// that may take it waits.
 func (m *machine) Check(t *rapid.T) {
 	st := m.core.Stats(m.now)
 	assert.Equal(t, st.Waiting+st.Held, len(m.waiting))
@@ -255,19 +254,19 @@
 		assert.Assert(t, !m.waiting[k])
 	}
 	if m.core.shared.bySize[0].q.Len() > 0 {
-		assert.Equal(t, m.core.available.Len(), 0, "a free place and a waiting request")
+		assert.Equal(t, m.core.available.Len(), 0, "a free slot while a request is queued")
 	}
 	for _, s := range m.core.servers {
 		if s.ownLanes != nil && s.ownLanes.bySize[0].q.Len() > 0 {
-			assert.Assert(t, !s.hasRoomKeyed(m.now), "a free place at the owner and a waiting request")
+			assert.Assert(t, !s.hasRoomKeyed(m.now), "a free slot at the owner and a waiting request")
 		}
 	}
 }
 
-// Anything can happen to requests: servers come, go and drain, keys move,
-// callers leave, answers fail, reports lie. Each request must be decided exactly
-// once, by its deadline, and never be sent where it must not go. A caller would
-// otherwise wait for ever, or see its request run twice.
+// Guards against requests that are decided never or twice, late, or sent where they
+// must not go, whatever happens: servers come, go and drain, keys move, callers leave,
+// answers fail, reports are wrong. A caller would wait for ever, or its request would
+// run twice.
 func TestEveryRequestIsDecidedOnce(t *testing.T) {
 	seeds.Check(t, func(t *rapid.T) {
 		m := newMachine(t)
@@ -278,12 +277,12 @@
 			"report": m.Report, "time": m.Time,
 		})
 		m.advance(t, m.now.Add(time.Second))
-		assert.Equal(t, len(m.waiting), 0, "someone still waits past every deadline")
+		assert.Equal(t, len(m.waiting), 0, "a request still waits after all deadlines")
 	})
 }
 
-// One server, one caller, one class, no overload: nothing that the policies
-// weigh differs, so the order must be that of a plain queue.
+// Guards against reordering where no policy applies: with one server, one caller, one
+// class and no overload, the order must be that of a plain queue.
 func TestPlainCaseIsFirstComeFirstServed(t *testing.T) {
 	seeds.Check(t, func(t *rapid.T) {
 		c := NewCore(Config{Seed: 1})
@@ -313,9 +312,8 @@
 	})
 }
 
-// A server is lost with requests waiting for the keys it owned. They must be
-// refused as not run at once; their callers would otherwise wait in vain until
-// their deadline.
+// Guards against callers who wait until their deadline for a server that was removed.
+// Requests queued for it must be refused as not run at once.
 func TestRemovedServerRefusesItsQueue(t *testing.T) {
 	c := NewCore(Config{Seed: 1})
 	c.SetServers(begin, []ServerInfo{{Name: "a", Slots: 1, Conns: 10}, {Name: "b", Slots: 1, Conns: 10}})
@@ -337,8 +335,8 @@
 	}
 }
 
-// A backend server turns everything away, and the budget is spent. Retries must
-// stop: they would otherwise double the load for as long as the fault lasts.
+// Guards against retries without bound. While a server refuses everything they would
+// otherwise double the load.
 func TestRetriesStayWithinTheirBudget(t *testing.T) {
 	c := NewCore(Config{Seed: 1})
 	c.SetServers(begin, []ServerInfo{{Name: "a", Slots: 4, Conns: 10}})
--- a/internal/load/gate/fairness_test.go
+++ b/internal/load/gate/fairness_test.go
@@ -12,19 +12,19 @@
 	"hawthornfield.org/hawthornfield/internal/fake/seeds"
 )
 
-// stream is one stream of requests into a mill.
+// stream is one stream of requests to a serverSim.
 type stream struct {
 	job         Job
-	rate        float64 // requests a millisecond
+	rate        float64 // requests per millisecond
 	serviceTime time.Duration
-	timeLimit   time.Duration // deadline
+	timeLimit   time.Duration // time from arrival to deadline
 	offered     int
 	served      int
 	servedTime  time.Duration
 }
 
-// serverSim is one server behind a core. Each millisecond, flows ask at random and
-// the server ends what is done.
+// serverSim is one server behind a core. Each millisecond, streams send requests at
+// random and the server ends those that are done.
 type serverSim struct {
 	core     *Core
 	now      time.Time
@@ -32,7 +32,7 @@
 	rng      *rand.Rand
 	streamOf map[*Ticket]*stream
 	endsAt   map[*Ticket]time.Time
-	queue    []*Ticket // in the server, beyond its slots
+	queue    []*Ticket // started by the core and waiting for a slot of the server
 	busyTime time.Duration
 }
 
@@ -128,9 +128,9 @@
 	return m.busyTime.Seconds() / (measureTime.Seconds() * float64(m.slots))
 }
 
-// A hot caller asks for one to five times what the server can do, beside a
-// caller who asks for less than half of it. The modest one must be served nearly
-// as if it were alone, and most of what it leaves must go to the hot one.
+// Guards against a hot caller, at one to five times the capacity, that crowds out a
+// modest one at less than half of it. The modest caller must be served nearly as if it
+// were alone, and the hot one must get most of the rest.
 func TestAModestCallerIsServedBesideAHotOne(t *testing.T) {
 	seeds.Check(t, func(t *rapid.T) {
 		slots := rapid.IntRange(2, 4).Draw(t, "slots")
@@ -150,8 +150,8 @@
 	})
 }
 
-// Callers of all three classes each ask for more than the server can do. The
-// higher class must get more, and the lowest must go on being served.
+// Guards against a starved class. Callers of all three classes each ask for more than
+// the capacity; each class must be served a minimum.
 func TestNoClassStarves(t *testing.T) {
 	seeds.Check(t, func(t *rapid.T) {
 		slots := rapid.IntRange(2, 4).Draw(t, "slots")
@@ -172,8 +172,8 @@
 	})
 }
 
-// Lookups and uploads both ask for more than the server can do. Neither may
-// starve the other, whichever holds the slots at first.
+// Guards against long requests that starve short ones or the reverse, whichever holds
+// the slots first, when both ask for more than the capacity.
 func TestNeitherLongNorShortStarves(t *testing.T) {
 	seeds.Check(t, func(t *rapid.T) {
 		slots := rapid.IntRange(2, 4).Draw(t, "slots")
@@ -198,8 +198,8 @@
 	})
 }
 
-// Bounds of what was measured over 600 histories and more, with room below: the
-// modest one got 0.84 at least, the server was 0.72 busy.
+// Lower bounds with some room below the minima over 600 random histories, in which the
+// modest caller got at least 0.84 and the server was at least 0.72 busy.
 const (
 	minModestShare = 0.75
 	minBusyShare   = 0.65
--- a/internal/load/gate/flaky_test.go
+++ b/internal/load/gate/flaky_test.go
@@ -11,9 +11,10 @@
 	"hawthornfield.org/hawthornfield/internal/core/kinds"
 )
 
-// runFlakyOwners asks owners of which a part of all attempts ends so, and sends again what the
-// gate lets through. An owner says that so many run there as it refuses, and nothing as it
-// breaks off. It returns how many were served and how many attempts that took.
+// runFlakyOwners sends requests to owners at which a random 45 in 100 attempts end with
+// the given outcome, and repeats those for which the gate allows it. An owner reports
+// the given load with an answer or a refusal, and nothing when it breaks off. It
+// returns the numbers of served requests and of attempts.
 func runFlakyOwners(ends Outcome, load int) (served, sent int) {
 	const (
 		greyPart = 0.45
@@ -59,11 +60,12 @@
 
 const (
 	flakyRequests = 2000
-	retryShare    = 0.16            // of the requests may be sent again
-	retryBurst    = 340.0 / vmCount // and so many beside
+	retryShare    = 0.16            // retries earned per request
+	retryBurst    = 340.0 / vmCount // retries beyond that
 )
 
-// Guards against callers refused for good by an owner that has room and refuses now and then.
+// Guards against requests that fail for good because their owner, which has room,
+// refuses now and then.
 func TestAnOwnerThatRefusesWithRoomIsAskedAgain(t *testing.T) {
 	full := Outcome{Kind: kinds.Busy, Refused: true}
 	served, sent := runFlakyOwners(full, 1)
@@ -73,7 +75,8 @@
 	assert.Check(t, sent <= flakyRequests, "%d attempts at owners that are full", sent)
 }
 
-// Guards against lookups that fail because their own broken connection made their key look hot.
+// Guards against lookups that fail because the broken connection of their own first
+// attempt made their key count as hot.
 func TestLookupIsRetriedAfterBrokenConnection(t *testing.T) {
 	served, sent := runFlakyOwners(Outcome{Kind: kinds.Unknown}, 1)
 	assert.Check(t, served > flakyRequests*60/100, "served %d of %d", served, flakyRequests)
--- a/internal/load/gate/gate.go
+++ b/internal/load/gate/gate.go
@@ -1,27 +1,26 @@
-// Package gate is the admission point of one service on one entry VM: every
-// request enters here, is started on a backend server at once, waits in a
-// bounded queue, or is refused with the time at which to come back.
+// Package gate is the admission control of one service on one entry VM: every
+// request is started on a backend server at once, waits in a bounded queue, or is
+// refused with the time after which to retry.
 //
-// The load pattern it answers is a service that is asked for more than its few
-// slots can do, by callers who are not equally polite, on servers that are not
-// equally fast. Without it, requests pile up on the backend servers until every
-// answer comes after its caller has gone: the servers stay busy and nobody is
-// served.
+// It protects a service that gets more requests than its few slots can process, from
+// callers of very different rates, on servers of different speed. Without admission
+// control, requests pile up on the backend servers until every answer comes after its
+// caller has gone: the servers stay busy and nobody is served.
 //
-// [Core] decides. It is a single-threaded state machine that is told the time,
-// and composes the pure modules limit, queue, fair, pick, retry, health, sizes
-// and conns. [Gate] is the goroutine-safe shell around it: it locks, waits on
-// the runtime's clock and notices callers who go away.
+// [Core] makes the decisions. It is a single-threaded state machine that is passed the
+// time, and is composed of the packages limit, queue, fair, pick, retry, health, sizes
+// and conns. [Gate] makes it safe for concurrent use: it locks, runs the timer and
+// handles callers that go away.
 //
 //	g := gate.New(gate.Config{Service: "lookup"})
 //	defer g.Close()
 //	g.SetServers([]gate.ServerInfo{{Name: "a", Slots: 4, Conns: 100}})
-//	pass, err := g.Enter(ctx, gate.Job{Caller: "weighbridge", Deadline: by})
+//	permit, err := g.Enter(ctx, gate.Job{Caller: "weighbridge", Deadline: by})
 //	if err != nil {
 //		return err // kinds.Of(err), gate.RetryAfter(err)
 //	}
-//	outcome := forward(pass.Server())
-//	pass.Done(outcome)
+//	outcome := forward(permit.Server())
+//	permit.Done(outcome)
 package gate
 
 import (
@@ -35,8 +34,8 @@
 	"hawthornfield.org/hawthornfield/internal/core/kinds"
 )
 
-// Gate admits the requests of one service. Make one with [New]; all methods
-// may be called from any goroutine.
+// Gate admits the requests of one service. Create one with [New]; its methods are safe
+// for concurrent use.
 type Gate struct {
 	group group.Group
 	rearm chan struct{}
@@ -48,7 +47,7 @@
 	closed      bool
 }
 
-// New makes a gate without backend servers: until [Gate.SetServers] every
+// New returns a gate without backend servers: until [Gate.SetServers] is called every
 // request is refused with kind NoServer.
 func New(cfg Config) *Gate {
 	g := &Gate{core: NewCore(cfg), rearm: make(chan struct{}, 1)}
@@ -56,8 +55,8 @@
 	return g
 }
 
-// Close refuses whoever waits with kind Closing and waits for the gate's
-// timer. Requests that were started keep their place until Done.
+// Close refuses all waiting requests with kind Closing and waits for the timer
+// goroutine to end. Started requests keep their permits until Done.
 func (g *Gate) Close() error {
 	g.mu.Lock()
 	g.closed = true
@@ -67,20 +66,21 @@
 	return g.group.Close()
 }
 
-// Enter asks for a place on a backend server and waits for it within the job's
-// deadline. The error is a [*Refusal]: kind Busy (full or over a fair share),
-// Late (the deadline cannot be met), Moving (the key is between owners),
-// NoServer, Closing, or Canceled when ctx ended first. In each case nothing was
-// sent. A caller that goes away frees its place at once.
+// Enter requests a permit for a backend server and waits for it within the job's
+// deadline. The error is a [*Refusal] of one of the kinds Busy (full, or over a fair
+// share), DeadlineMissed (the deadline cannot be met), Moving (the key is changing
+// owners), NoOwner (the key's owner is not a listed server), NoServer, Closing, or
+// Canceled if ctx ended first. In each case nothing was sent. A caller that goes away
+// gives up its place in the queue at once.
 func (g *Gate) Enter(ctx context.Context, j Job) (Permit, error) {
 	return g.enter(ctx, j, g.core.Offer)
 }
 
-// WaitOwner asks for a place like [Gate.Enter], for a request whose key is between
-// owners: the server of the job said that it is not the owner, or could not be
-// reached, or none is known. It waits, bounded, behind those of the key who were
-// asked before, until the key's owner takes requests or the deadline or the
-// patience of the job can no longer be kept (kind Moving).
+// WaitOwner requests a permit like [Gate.Enter], for a request whose key is between
+// owners: the job's server said that it is not the owner, could not be reached, or is
+// unknown. The request waits, behind earlier requests for the same key, until the key's
+// owner accepts requests. It is refused with kind Moving once the deadline or
+// MaxOwnerWait of the job can no longer be met.
 func (g *Gate) WaitOwner(ctx context.Context, j Job) (Permit, error) {
 	return g.enter(ctx, j, g.core.WaitOwner)
 }
@@ -99,7 +99,7 @@
 	return g.awaitDecision(ctx, t, gen)
 }
 
-// awaitDecision waits until the core has decided, or the caller goes away.
+// awaitDecision waits until the core has decided or ctx ends.
 func (g *Gate) awaitDecision(ctx context.Context, t *Ticket, gen uint64) (Permit, error) {
 	select {
 	case <-t.wake:
@@ -111,7 +111,7 @@
 	g.core.Abandon(time.Now(), t)
 	g.notifyDecided()
 	select {
-	case <-t.wake: // decided in the same moment: the ticket is reused, its signal is not
+	case <-t.wake: // the decision raced with ctx: drain the signal before the ticket is reused
 	default:
 	}
 	g.recycle(t)
@@ -122,8 +122,8 @@
 	return Permit{}, refusal(kinds.Canceled, 0)
 }
 
-// finish turns a decided ticket into the answer for the caller. It is called
-// with the lock held and releases it.
+// finish converts a decided ticket into the caller's result. It is called with g.mu
+// held and releases it.
 func (g *Gate) finish(t *Ticket, gen uint64) (Permit, error) {
 	defer g.mu.Unlock()
 	if t.state == stateStarted {
@@ -134,65 +134,65 @@
 	return Permit{}, err
 }
 
-// SetServers replaces the list of backend servers. A server that is no longer
-// listed, or drains, is given nothing new; what runs there keeps its place.
+// SetServers replaces the list of backend servers. A server that is no longer listed,
+// or drains, gets no new requests; those it is running go on.
 func (g *Gate) SetServers(list []ServerInfo) {
 	g.update(func(now time.Time) { g.core.SetServers(now, list) })
 }
 
-// SetShare says how many entry VMs share the backend servers, and which of them
-// this is, from zero. Connections and long jobs are divided by it.
+// SetShare sets how many entry VMs share the backend servers and the index of this one,
+// from zero. The VMs divide connections and the slots for long requests accordingly.
 func (g *Gate) SetShare(n, index int) {
 	g.update(func(now time.Time) { g.core.SetShare(now, n, index) })
 }
 
-// Report notes a backend server's own word on its load: the requests it runs
-// and queues, as of age ago. It can lag or mislead, so it only ever tips the
-// choice between servers that look alike.
+// Report records the load that a backend server reports: the requests it runs and
+// queues, as of age ago. Reports can lag or mislead, so between servers they only break
+// near ties.
 func (g *Gate) Report(s ident.Server, load int, age time.Duration) {
 	g.update(func(now time.Time) { g.core.Report(now, s, load, age) })
 }
 
-// SetOwnerLookup sets how the owner of a key is looked up, which must be quick and must
-// not call the gate. Call [Gate.OwnersChanged] whenever its answers have changed.
+// SetOwnerLookup sets the function that returns the owner of a key. It must be fast and
+// must not call the gate. Call [Gate.OwnersChanged] whenever its results have changed.
 func (g *Gate) SetOwnerLookup(owner func(ident.Key) (Owner, bool)) {
 	g.update(func(now time.Time) { g.core.SetOwnerLookup(now, owner) })
 }
 
-// OwnersChanged says that owners have changed: requests whose key has another one now
-// go there at once.
+// OwnersChanged tells the gate that owners have changed: waiting requests whose key has
+// a new owner are sent there at once.
 func (g *Gate) OwnersChanged() { g.update(g.core.OwnersChanged) }
 
-// Conns returns how many connections this entry VM may hold open to a server,
-// and how many of them to keep warm while idle.
+// Conns returns how many connections this entry VM may hold open to a server, and how
+// many of them to keep open while idle.
 func (g *Gate) Conns(s ident.Server) (most, warm int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.core.Conns(time.Now(), s)
 }
 
-// HedgeAfter is how long to wait for an answer before [Pass.Hedge] is worth
-// trying, from the latencies seen lately. Zero means not at all.
+// HedgeAfter returns how long to wait for an answer before trying [Permit.Hedge],
+// derived from recent latencies. Zero means not to hedge.
 func (g *Gate) HedgeAfter() time.Duration {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.core.HedgeAfter()
 }
 
-// Snapshot is what the gate sees of where a request was to go: of its key's owner, or of
-// all servers together.
+// Snapshot is the state of a request's destination as the gate sees it: of its key's
+// owner, or of all servers together.
 type Snapshot struct {
-	Running int           // requests of this VM there
-	Limit   int           // as many may run there
-	Waiting int           // requests of this VM that wait for a place there
-	Load    int           // the server's last word on requests running and waiting there
-	LoadAge time.Duration // of that word; zero if there was none
+	Running int           // requests of this VM running there
+	Limit   int           // most requests of this VM that may run there
+	Waiting int           // requests of this VM queued for it
+	Load    int           // requests running and queued there as last reported by the server
+	LoadAge time.Duration // age of that report; zero if there was none
 	Remote  bool          // it is in another data centre
-	Slots   int           // requests that it works on at once
+	Slots   int           // requests that it processes concurrently
 }
 
-// Inspect returns what decides about requests for a server's keys now, or, for the empty
-// name, about those that may go anywhere.
+// Inspect returns the current state of the named server, or of all servers together for
+// the empty name.
 func (g *Gate) Inspect(s ident.Server) Snapshot {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -206,16 +206,16 @@
 	return g.core.Stats(time.Now())
 }
 
-func (g *Gate) update(do func(now time.Time)) {
+func (g *Gate) update(fn func(now time.Time)) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	do(time.Now())
+	fn(time.Now())
 	g.notifyDecided()
 	g.scheduleTick()
 }
 
-// run is the gate's timer: it refuses those whose deadline can no longer be
-// met, and moves health and limits along while nothing else happens.
+// run is the gate's timer goroutine. It refuses requests whose deadline can no longer
+// be met, and updates health and limits while no calls come in.
 func (g *Gate) run(ctx context.Context) error {
 	timer := time.NewTimer(time.Hour)
 	defer timer.Stop()
@@ -245,8 +245,8 @@
 	return max(next.Sub(now), 0)
 }
 
-// scheduleTick wakes the timer when the core now wants an earlier tick than it was set
-// for. It is called with the lock held.
+// scheduleTick resets the timer if the core needs a tick earlier than the timer is set
+// for. It is called with g.mu held.
 func (g *Gate) scheduleTick() {
 	next := g.core.Next()
 	if next.IsZero() || (!g.nextTick.IsZero() && !next.Before(g.nextTick)) {
@@ -259,15 +259,15 @@
 	}
 }
 
-// notifyDecided tells the waiting callers whose tickets were decided.
+// notifyDecided signals the callers whose tickets were decided.
 func (g *Gate) notifyDecided() {
 	for _, t := range g.core.Ready() {
 		t.wake <- struct{}{}
 	}
 }
 
-// maxFreeTickets bounds the tickets kept for reuse; more than this are only in use at
-// once during a burst, and the garbage collector takes them after it.
+// maxFreeTickets bounds the tickets kept for reuse. Only a burst uses more at once; the
+// garbage collector frees the rest after it.
 const maxFreeTickets = 4096
 
 func (g *Gate) newTicket(j Job) *Ticket {
@@ -280,8 +280,8 @@
 	return &Ticket{Job: j, wake: make(chan struct{}, 1)}
 }
 
-// recycle gives the ticket a new generation, so that a Pass that is used once
-// more after Done finds nothing to release twice.
+// recycle resets the ticket and increments its generation, so that a Permit used again
+// after Done releases nothing twice.
 func (g *Gate) recycle(t *Ticket) {
 	t.reset()
 	if len(g.freeTickets) < maxFreeTickets {
--- a/internal/load/gate/gate_test.go
+++ b/internal/load/gate/gate_test.go
@@ -17,9 +17,9 @@
 	return []ServerInfo{{Name: "a", Slots: 1, Conns: 10}}
 }
 
-// A caller hangs up while its request waits behind a long one. If its place
-// were kept, the server would sit idle for a request nobody wants and the next
-// caller would wait for nothing.
+// Guards against a leaked slot when a caller goes away while its request is queued: the
+// server would idle for a request that nobody wants, and the next caller would wait for
+// nothing.
 func TestCallerWhoLeavesFreesItsPlace(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := New(Config{Seed: 1})
@@ -45,9 +45,9 @@
 	})
 }
 
-// Many callers enter, wait, leave and finish at once, while servers change. No
-// place may be lost or counted twice; the service would otherwise serve fewer and
-// fewer requests until the VM is replaced.
+// Guards against slots lost or counted twice when many callers enter, wait, leave and
+// finish at once while servers change. The service would serve fewer and fewer requests
+// until the VM is replaced.
 func TestManyCallersAtOnce(t *testing.T) {
 	g := New(Config{Seed: 1})
 	defer g.Close()
--- a/internal/load/gate/hotkey_test.go
+++ b/internal/load/gate/hotkey_test.go
@@ -10,23 +10,24 @@
 	"hawthornfield.org/hawthornfield/internal/core/ident"
 )
 
-// The load: one owner with four slots among 195 VMs. One key of it is hot for hotFor,
-// its other keys are asked for all the time, five a second through all VMs together.
+// The load: one owner with four slots and 195 VMs. One of its keys is hot for
+// hotDuration, its other keys get five requests a second throughout, over all VMs
+// together.
 const (
 	vmCount         = 195
 	hotDuration     = 5 * time.Second
-	hotIntervalMS   = 2   // milliseconds
-	otherIntervalMS = 200 // milliseconds
+	hotIntervalMS   = 2   // one request each 2 ms
+	otherIntervalMS = 200 // one request each 200 ms
 	cooledDuration  = 20 * time.Second
 )
 
-// hotKeySim is what became of the requests of one such play.
+// hotKeySim is a simulation of this load and its results.
 type hotKeySim struct {
 	ownerSim
 	otherKeys []*issuedRequest
 }
 
-// finishAll lets time pass until the owner has answered all that it has.
+// finishAll advances the time until the owner has answered all its requests.
 func (h *hotKeySim) finishAll() {
 	for len(h.running)+len(h.queue) > 0 {
 		h.step()
@@ -49,7 +50,7 @@
 	return a
 }
 
-// warmUp lets a VM see how long answers of the service take.
+// warmUp gives a VM the answers from which it learns the service's latency.
 func (h *hotKeySim) warmUp(c *Core) {
 	for range minLatencySamples {
 		tk := &Ticket{Job: Job{Key: "k", Server: "other", Idempotent: true, Deadline: h.now.Add(6 * time.Second)}, wake: make(chan struct{}, 1)}
@@ -85,8 +86,8 @@
 	return h
 }
 
-// refusedOtherKeys counts, of the requests for the owner's other keys in a span of the play,
-// those that were not started.
+// refusedOtherKeys counts the requests for the owner's other keys in a span of the
+// simulation, and those of them that were refused.
 func (h *hotKeySim) refusedOtherKeys(from, to time.Duration) (n, of int) {
 	for _, a := range h.otherKeys {
 		if at := a.at.Sub(time.Unix(1000, 0)); at >= from && at < to {
@@ -99,20 +100,22 @@
 	return n, of
 }
 
-// Guards against callers of an owner's other keys refused for half a minute because of a hot one.
+// Guards against requests for an owner's other keys that are refused for half a minute
+// because one of its keys is hot.
 func TestHotKeyDoesNotBlockOtherKeysOfItsOwner(t *testing.T) {
 	h := runHotKeySim()
 	n, of := h.refusedOtherKeys(0, hotDuration)
 	assert.Check(t, n*20 <= of, "%d of %d refused while one key is hot", n, of)
 	n, of = h.refusedOtherKeys(hotDuration, hotDuration+cooledDuration)
 	assert.Check(t, n*100 <= of, "%d of %d refused after it has cooled down", n, of)
-	assert.Check(t, h.refused < 2*vmCount, "%d turned away by the owner", h.refused)
+	assert.Check(t, h.refused < 2*vmCount, "%d refused by the owner", h.refused)
 }
 
-// Guards against an owner left idle because each VM keeps back what others have no use for.
+// Guards against an owner left idle because each VM holds back capacity that other VMs
+// have no use for.
 func TestAnOwnerOfManyBusyKeysIsKeptBusy(t *testing.T) {
 	const lasts = 20 * time.Second
-	for _, every := range []int{20, 5} { // milliseconds; the owner serves one in 115
+	for _, every := range []int{20, 5} { // milliseconds; the owner serves one in 115 ms
 		h := newHotKeySim()
 		from := h.now
 		for ms := 0; h.now.Sub(from) < lasts; ms++ {
@@ -142,5 +145,5 @@
 	}
 	ask("s")
 	over := ask("other")
-	assert.Assert(t, over < vmCount/10, "%d turned away by the next owner", over)
+	assert.Assert(t, over < vmCount/10, "%d refused by the next owner", over)
 }
--- a/internal/load/gate/keypace_test.go
+++ b/internal/load/gate/keypace_test.go
@@ -7,7 +7,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// ownerSim is one owner of a hot key with a queue, and the VMs that share it.
+// ownerSim is one owner of a hot key, with a queue, and the VMs that share it.
 type ownerSim struct {
 	cores    []*Core
 	now      time.Time
@@ -27,7 +27,7 @@
 	arrivedAt time.Time
 }
 
-// offer lets a VM ask for the key.
+// offer offers a request for the hot key to a VM's core.
 func (w *ownerSim) offer(c *Core) {
 	tk := &Ticket{Job: Job{Key: "hot", Server: "s", Idempotent: true, Deadline: w.now.Add(time.Second)}, wake: make(chan struct{}, 1)}
 	if c.Offer(w.now, tk) == Start {
@@ -35,7 +35,7 @@
 	}
 }
 
-// arrive takes a request in, or refuses it when the queue is full.
+// arrive starts or queues a request at the owner, or refuses it if the queue is full.
 func (w *ownerSim) arrive(c *Core, tk *Ticket) {
 	v := &serverRequest{core: c, ticket: tk, arrivedAt: w.now}
 	switch {
@@ -51,7 +51,7 @@
 	}
 }
 
-// collectStarted lets requests that a core began meanwhile arrive.
+// collectStarted passes on the requests that a core has started since.
 func (w *ownerSim) collectStarted(c *Core) {
 	for _, tk := range c.Ready() {
 		if tk.Server() != "" {
@@ -60,7 +60,7 @@
 	}
 }
 
-// step passes a millisecond.
+// step advances the time by one millisecond.
 func (w *ownerSim) step() {
 	w.now = w.now.Add(time.Millisecond)
 	kept := w.running[:0]
@@ -113,14 +113,14 @@
 	return w
 }
 
-// One key gets seven times what its owner can do, through forty VMs. Each sends but
-// one at a time, and together they are four times what the owner has room for.
-// Callers see connections that break, and nobody knows what ran.
+// Guards against an owner overrun by forty VMs, with a hot key at seven times its
+// capacity. Each VM sends only one request at a time, but together they exceed the
+// owner's room four times. Connections are reset, and nobody knows which requests ran.
 func TestManyVMsDoNotOverrunTheOwnerOfAHotKey(t *testing.T) {
 	const seconds = 10
 	w := runOwnerSim(40, seconds)
 	most := seconds * 2 * 10 // two slots, ten requests a second each
 	assert.Assert(t, w.served > most*85/100, "served %d of %d: the owner was left idle", w.served, most)
-	// Without spacing five are turned away for each one served.
-	assert.Assert(t, w.refused < w.served*5/4, "%d turned away, %d served", w.refused, w.served)
+	// Without spacing five are refused for each one served.
+	assert.Assert(t, w.refused < w.served*5/4, "%d refused, %d served", w.refused, w.served)
 }
--- a/internal/load/gate/lostowner_test.go
+++ b/internal/load/gate/lostowner_test.go
@@ -11,9 +11,9 @@
 	"hawthornfield.org/hawthornfield/internal/core/kinds"
 )
 
-// lostOwnerSim plays an owner that is lost, with keys in several slices. As the front
-// end does, it lets those wait for the next owner whom the gate or the owner
-// could not serve.
+// lostOwnerSim simulates a lost owner with keys in several slices. Like the front end,
+// it calls WaitOwner for requests that the gate refuses as NoServer or the owner does
+// not serve.
 type lostOwnerSim struct {
 	*moveSim
 	t      *testing.T
@@ -52,11 +52,11 @@
 	}
 }
 
-// A backend server is lost, and its keys in eight slices have another owner
-// after 700 ms. Somebody of each slice asks the lost one now and then whether it
-// is back. One who found another one asking at that moment was refused, although
-// the others who waited with it were served a moment later: the caller read "no
-// backend server is available" in place of an answer after half a second.
+// Guards against probes refused while another one is in progress. An owner is lost and
+// its keys in eight slices have another owner after 700 ms; each slice sends probes
+// meanwhile. A probe that found another one in progress was refused with "no backend
+// server is available", although the others waiting with it were served within half a
+// second.
 func TestWaitersForLostOwnerAreNotRefused(t *testing.T) {
 	const slices = 8
 	l := &lostOwnerSim{moveSim: newMoveSim(0), t: t}
--- a/internal/load/gate/move.go
+++ b/internal/load/gate/move.go
@@ -9,54 +9,57 @@
 	"hawthornfield.org/hawthornfield/internal/load/sizes"
 )
 
-// The load pattern is a key between owners: its former owner refuses, its next
-// one has no lease yet, or nobody knows the next one. Refusing at once would
-// show callers every move; each request asking again by itself would send the
-// new owner a storm in no order, most of it refused. So the requests of a key
-// wait here, bounded, in the order in which they were asked, and leave together
-// when the owner is known and takes them, or as "not run" when their deadline
-// or patience comes first.
+// This file handles keys between owners: the former owner refuses, the next one has no
+// lease yet or is not known. Refusing such requests at once would show every move to
+// callers; letting each of them retry by itself would flood the new owner with retries
+// in random order, most of which it refuses. So the requests of a key wait here in a
+// bounded queue, ordered by arrival, and are sent together once the owner is known and
+// accepts them. Those whose deadline or MaxOwnerWait comes first are refused as not
+// run.
 //
-// A hold begins when a request comes back because the server said that it is
-// not the owner, or could not be reached. It ends by news of the owners, or by
-// the first request that the owner answers: a lease can be granted after the
-// news of it. To find that out, one request at a time goes and asks.
+// A move queue is created when a request returns because the server said that it is not
+// the owner, or could not be reached. It ends when the owner lookup returns another
+// owner, or when the owner answers a request: the lease can be granted after the new
+// owner is announced. To find that out, one waiting request at a time is sent to the
+// owner as a probe.
 
-// Settings of holds.
+// Settings of move queues.
 const (
-	// firstProbeDelay and lastAsk bound the pause between two requests that go and ask:
-	// a planned move takes 9 ms, and one request each 40 ms from each entry VM is
-	// nothing beside what would come if all of them asked.
+	// firstProbeDelay and maxProbeDelay bound the interval between two probes: a
+	// planned move takes 9 ms, and one request each 40 ms from each entry VM is little
+	// compared with all of them retrying.
 	firstProbeDelay = 10 * time.Millisecond
 	maxProbeDelay   = 40 * time.Millisecond
-	// maxPlannedMove is how long a planned move takes at most on a busy machine, ten times
-	// the 9 ms that it usually takes. A hold that is older is taken for a loss.
+	// maxPlannedMove is the longest time that a planned move takes on a busy machine,
+	// ten times the usual 9 ms. A move that lasts longer is taken for the loss of the
+	// owner.
 	maxPlannedMove = 100 * time.Millisecond
-	// defaultLossDuration is how long the move after a loss is taken to last before one was
-	// seen: a lease and an update, see docs/design/ownership.md.
+	// defaultLossDuration is the expected duration of a move after a loss until one was
+	// observed: a lease and an update, see docs/design/ownership.md.
 	defaultLossDuration = time.Second
-	// lossDurationDivisor gives the last move half the say on how long the next one takes.
+	// lossDurationDivisor weights the last duration and the earlier average equally.
 	lossDurationDivisor = 2
-	// moveQueueTTL is how long a hold without requests is remembered: its age says how
-	// long the move has lasted.
+	// moveQueueTTL is how long an empty move queue is kept after its last scheduled
+	// probe: its age tells how long the move has lasted.
 	moveQueueTTL = time.Second
 )
 
-// Owner is where a key is served, and under which authority.
+// Owner is the server of a key with the slice and the epoch under which it owns it.
 type Owner struct {
 	Server ident.Server
 	Slice  ident.Slice
 	Epoch  ident.Epoch
 }
 
-// SetOwnerLookup sets how the owner of a key is looked up. See [Core.OwnersChanged].
+// SetOwnerLookup sets the function that returns the owner of a key. See
+// [Core.OwnersChanged].
 func (c *Core) SetOwnerLookup(now time.Time, owner func(ident.Key) (Owner, bool)) {
 	c.ownerLookup = owner
 	c.OwnersChanged(now)
 }
 
-// WaitOwner takes in a request whose key is between owners: the server of the job
-// said that it is not the owner, or could not be reached, or none is known.
+// WaitOwner handles a request whose key is between owners: the job's server said that
+// it is not the owner, could not be reached, or is unknown.
 func (c *Core) WaitOwner(now time.Time, t *Ticket) Verdict {
 	c.prepare(now, t)
 	if c.closed {
@@ -69,19 +72,19 @@
 	return c.waitForOwner(now, t)
 }
 
-// waitForOwner keeps a request whose owner did not take it.
+// waitForOwner queues a request that its owner refused or could not serve.
 func (c *Core) waitForOwner(now time.Time, t *Ticket) Verdict {
-	h := c.moveQueues.findOrCreate(now, &t.Job)
-	if h.refusedAt.IsZero() && c.cfg.ProbeInterval > 0 {
-		h.probeAt = now.Add(c.cfg.ProbeInterval)
+	q := c.moveQueues.findOrCreate(now, &t.Job)
+	if q.refusedAt.IsZero() && c.cfg.ProbeInterval > 0 {
+		q.probeAt = now.Add(c.cfg.ProbeInterval)
 	}
-	h.owner, h.refusedAt = t.Job.owner(), now
-	return c.admitMoving(now, h, t)
+	q.owner, q.refusedAt = t.Job.owner(), now
+	return c.admitMoving(now, q, t)
 }
 
-// refuseFailing is for a request whose key's owner fails. One that waits for the next
-// owner of a lost one already goes on waiting: it only asked whether this one is
-// back, and found another one asking.
+// refuseFailing refuses a request whose key's owner is failing. If the owner could not
+// be reached and the request was already waiting for the next owner, it goes on
+// waiting: it was only a probe, and found another one in progress.
 func (c *Core) refuseFailing(now time.Time, t *Ticket, fault kinds.Kind, wait time.Duration) Verdict {
 	if t.Job.ownerMissingSince.IsZero() || fault != kinds.NoServer {
 		return c.refuse(t, fault, c.retryAfter(wait))
@@ -96,124 +99,129 @@
 	return c.ownerLookup(k)
 }
 
-// joinMove is for a request whose key is held when it arrives. With nobody waiting
-// it goes and asks itself, if it is time.
-func (c *Core) joinMove(now time.Time, h *moveQueue, t *Ticket) Verdict {
-	if len(h.waiting) == 0 && h.owner.Server != "" && !now.Before(c.probeTime(h)) {
-		c.scheduleProbe(now, h)
+// joinMove handles a new request for a key with a move queue. It is sent as a probe if
+// nobody is waiting and a probe is due, and waits otherwise.
+func (c *Core) joinMove(now time.Time, q *moveQueue, t *Ticket) Verdict {
+	if len(q.waiting) == 0 && q.owner.Server != "" && !now.Before(c.probeTime(q)) {
+		c.scheduleProbe(now, q)
 		return c.route(now, t)
 	}
-	return c.admitMoving(now, h, t)
+	return c.admitMoving(now, q, t)
 }
 
-// chargeResend charges a request that is sent once more, where that is bounded.
+// chargeResend charges a further attempt to the retry budget if Config.RetryBudget is
+// set, and reports whether it is allowed.
 func (c *Core) chargeResend() bool { return c.cfg.RetryBudget.Burst == 0 || c.retryBudget.ChargeSafe() }
 
-func (h *moveQueue) scheduleProbe(now time.Time, least time.Duration) {
-	h.probeDelay = max(min(2*h.probeDelay, maxProbeDelay), least)
-	h.probeAt = now.Add(h.probeDelay)
+func (q *moveQueue) scheduleProbe(now time.Time, minDelay time.Duration) {
+	q.probeDelay = max(min(2*q.probeDelay, maxProbeDelay), minDelay)
+	q.probeAt = now.Add(q.probeDelay)
 }
 
-// probePacer paces the requests that go and ask one server. One that holds no lease
-// refuses each of its slices: if each hold asked by itself, a server that a loss or
-// a start leaves without a lease would get hundreds of requests a second for nothing.
+// probePacer limits the probes of one server. A server without a lease refuses all its
+// slices: if each move queue sent probes independently, a server without a lease after
+// a loss or a start would get hundreds of useless requests a second.
 type probePacer struct {
 	next  time.Time
 	delay time.Duration
 }
 
-// scheduleProbe notes that one of those who wait asks the server now.
+// scheduleProbe sets the time of the server's next probe, after one was sent now.
 func (a *probePacer) scheduleProbe(now time.Time) {
 	a.delay = max(min(2*a.delay, maxProbeDelay), firstProbeDelay)
 	a.next = now.Add(a.delay)
 }
 
-// probeTime is when a request of the hold may go and ask, as far as its server goes.
-func (c *Core) probeTime(h *moveQueue) time.Time {
-	if s := c.byName[h.owner.Server]; s != nil && s.probes.next.After(h.probeAt) {
+// probeTime returns when the queue may send its next probe, given the probes of its
+// server.
+func (c *Core) probeTime(q *moveQueue) time.Time {
+	if s := c.byName[q.owner.Server]; s != nil && s.probes.next.After(q.probeAt) {
 		return s.probes.next
 	}
-	return h.probeAt
+	return q.probeAt
 }
 
-// scheduleProbe notes that a request of the hold goes and asks now.
-func (c *Core) scheduleProbe(now time.Time, h *moveQueue) {
-	h.scheduleProbe(now, c.cfg.ProbeInterval)
-	if s := c.byName[h.owner.Server]; s != nil {
+// scheduleProbe sets the times of the next probes of the queue and of its server, after
+// one was sent now.
+func (c *Core) scheduleProbe(now time.Time, q *moveQueue) {
+	q.scheduleProbe(now, c.cfg.ProbeInterval)
+	if s := c.byName[q.owner.Server]; s != nil {
 		s.probes.scheduleProbe(now)
 	}
 }
 
-// probeOtherQueues sends the oldest request of each other hold of a server that has just taken
-// one that was held: it may have a lease again for them as well.
+// probeOtherQueues sends a probe from every other move queue of a server that has just
+// answered a probe: it may hold leases for their slices again as well.
 func (c *Core) probeOtherQueues(now time.Time, s *server) {
 	s.probes = probePacer{}
-	var all []*Ticket
-	c.moveQueues.retain(func(h *moveQueue) bool {
-		if h.owner.Server == s.info.Name && len(h.waiting) > 0 {
-			all = c.takeProbe(now, h, all)
+	var tickets []*Ticket
+	c.moveQueues.retain(func(q *moveQueue) bool {
+		if q.owner.Server == s.info.Name && len(q.waiting) > 0 {
+			tickets = c.takeProbe(now, q, tickets)
 		}
 		return true
 	})
-	c.resendAll(now, all, false)
+	c.resendAll(now, tickets, false)
 }
 
-// takeProbe adds the oldest request of a hold, which goes and asks now, if it may.
-func (c *Core) takeProbe(now time.Time, h *moveQueue, all []*Ticket) []*Ticket {
-	c.scheduleProbe(now, h)
-	t := h.waiting[0]
+// takeProbe appends the oldest request of the queue to all, to be sent as a probe,
+// unless the retry budget does not allow it.
+func (c *Core) takeProbe(now time.Time, q *moveQueue, tickets []*Ticket) []*Ticket {
+	c.scheduleProbe(now, q)
+	t := q.waiting[0]
 	if t.Job.extraAttempt && !c.chargeResend() {
-		return all
+		return tickets
 	}
 	c.moveQueues.remove(t)
-	return append(all, t)
+	return append(tickets, t)
 }
 
-// admitMoving lets a request wait for the end of a move, or refuses it now when it is
-// not expected to be served in time or there is no room.
-func (c *Core) admitMoving(now time.Time, h *moveQueue, t *Ticket) Verdict {
-	back := !t.Job.ownerMissingSince.IsZero()
-	if !back {
+// admitMoving queues a request until the end of a move, or refuses it now if it is not
+// expected to be served in time or there is no room.
+func (c *Core) admitMoving(now time.Time, q *moveQueue, t *Ticket) Verdict {
+	returning := !t.Job.ownerMissingSince.IsZero()
+	if !returning {
 		t.Job.ownerMissingSince = now
 	}
 	t.item.Deadline = t.Job.Deadline.Add(-deadlineMargin * c.typicalLatency(t.sizeKind))
-	if by := t.Job.ownerMissingSince.Add(t.Job.MaxOwnerWait); t.Job.MaxOwnerWait > 0 && by.Before(t.item.Deadline) {
-		t.item.Deadline = by
+	if latest := t.Job.ownerMissingSince.Add(t.Job.MaxOwnerWait); t.Job.MaxOwnerWait > 0 && latest.Before(t.item.Deadline) {
+		t.item.Deadline = latest
 	}
-	left := c.moveQueues.remaining(now, h)
-	due := t.item.Deadline.Sub(now)
+	remaining := c.moveQueues.remaining(now, q)
+	timeLeft := t.item.Deadline.Sub(now)
 	switch {
-	case due <= 0, !back && due < left+c.drainTime(h):
-		return c.refuse(t, kinds.Moving, c.retryAfter(left))
-	case back && c.moveQueues.n >= c.cfg.MaxHeld:
-		c.evictNewer(h, t)
+	case timeLeft <= 0, !returning && timeLeft < remaining+c.drainTime(q):
+		return c.refuse(t, kinds.Moving, c.retryAfter(remaining))
+	case returning && c.moveQueues.n >= c.cfg.MaxHeld:
+		c.evictNewer(q, t)
 	}
-	if c.moveQueues.n >= c.cfg.MaxHeld || !back && !c.moveQueues.hasRoom(c.cfg.MaxHeld, t.Job.Caller) {
-		return c.refuse(t, kinds.Moving, c.retryAfter(left))
+	if c.moveQueues.n >= c.cfg.MaxHeld || !returning && !c.moveQueues.hasRoom(c.cfg.MaxHeld, t.Job.Caller) {
+		return c.refuse(t, kinds.Moving, c.retryAfter(remaining))
 	}
 	t.state = stateHeld
-	c.moveQueues.insert(h, t)
+	c.moveQueues.insert(q, t)
 	c.stats.Queued++
 	if c.nextExpiry.IsZero() || t.item.Deadline.Before(c.nextExpiry) {
 		c.nextExpiry = t.item.Deadline
 	}
-	c.scheduleProbeTick(h)
+	c.scheduleProbeTick(q)
 	return Wait
 }
 
-// drainTime is how long the new owner will take for those who wait already.
-func (c *Core) drainTime(h *moveQueue) time.Duration {
-	width := c.concurrency[sizes.Short] / float64(max(len(c.servers), 1))
-	return time.Duration(float64(c.typicalLatency(sizes.Short)) * float64(len(h.waiting)) / max(width, 1))
+// drainTime returns how long the new owner will need for the requests that are already
+// waiting.
+func (c *Core) drainTime(q *moveQueue) time.Duration {
+	slots := c.concurrency[sizes.Short] / float64(max(len(c.servers), 1))
+	return time.Duration(float64(c.typicalLatency(sizes.Short)) * float64(len(q.waiting)) / max(slots, 1))
 }
 
-// evictNewer makes room for an older request that comes back from asking: the
-// newest of its hold is refused for it.
-func (c *Core) evictNewer(h *moveQueue, t *Ticket) {
-	if len(h.waiting) == 0 {
+// evictNewer makes room for a request that returns from a probe by refusing the newest
+// request of the queue, if that one arrived later.
+func (c *Core) evictNewer(q *moveQueue, t *Ticket) {
+	if len(q.waiting) == 0 {
 		return
 	}
-	last := h.waiting[len(h.waiting)-1]
+	last := q.waiting[len(q.waiting)-1]
 	if last.Job.arrivedAt.After(t.Job.arrivedAt) {
 		c.moveQueues.remove(last)
 		c.expireMoving(last)
@@ -222,65 +230,65 @@
 
 func (c *Core) expireMoving(t *Ticket) { c.refuseWaiting(t, kinds.Moving, c.retryAfter(0)) }
 
-// OwnersChanged is called when owners have changed. Requests whose key has another one
-// go there at once, in the order in which they were asked: those who waited for
-// it, and those who queue for its former owner.
+// OwnersChanged handles a change of owners. Requests whose key has another owner are
+// sent there at once, in order of arrival: those waiting for it, and those queued for
+// the former owner.
 func (c *Core) OwnersChanged(now time.Time) {
 	if c.ownerLookup == nil {
 		return
 	}
-	var all []*Ticket
-	c.moveQueues.retain(func(h *moveQueue) bool {
-		p, ok := c.ownerLookup(h.key)
-		if ok && p != h.owner {
-			c.moveQueues.observeDuration(now, h)
-			all = append(all, c.takeAll(h)...)
+	var tickets []*Ticket
+	c.moveQueues.retain(func(q *moveQueue) bool {
+		p, ok := c.ownerLookup(q.key)
+		if ok && p != q.owner {
+			c.moveQueues.observeDuration(now, q)
+			tickets = append(tickets, c.takeAll(q)...)
 			return false
 		}
 		return true
 	})
 	for _, s := range c.servers {
-		all = append(all, c.takeReassigned(s)...)
+		tickets = append(tickets, c.takeReassigned(s)...)
 	}
-	c.resendAll(now, all, true)
+	c.resendAll(now, tickets, true)
 }
 
-// takeAll takes all requests out of a hold.
-func (c *Core) takeAll(h *moveQueue) []*Ticket {
-	all := h.waiting
-	h.waiting = nil
-	for _, t := range all {
+// takeAll removes and returns all requests of a move queue.
+func (c *Core) takeAll(q *moveQueue) []*Ticket {
+	tickets := q.waiting
+	q.waiting = nil
+	for _, t := range tickets {
 		c.moveQueues.uncount(t)
 	}
-	return all
+	return tickets
 }
 
-// takeReassigned takes out the requests that queue for a server whose key is owned by
-// another one now.
+// takeReassigned removes and returns the requests queued for the server whose key now
+// has another owner.
 func (c *Core) takeReassigned(s *server) []*Ticket {
 	if s.ownLanes == nil || s.ownLanes.len() == 0 {
 		return nil
 	}
-	var all []*Ticket
+	var tickets []*Ticket
 	for k := range s.ownLanes.bySize {
 		s.ownLanes.bySize[k].q.Each(func(t *Ticket) {
 			if p, ok := c.ownerLookup(t.Job.Key); ok && p.Server != s.info.Name {
-				all = append(all, t)
+				tickets = append(tickets, t)
 			}
 		})
 	}
-	for _, t := range all {
+	for _, t := range tickets {
 		c.dequeue(t)
 	}
-	return all
+	return tickets
 }
 
-// resendAll sends requests to the present owners of their keys. One that was sent
-// before is charged for it when its owner moved; one that goes and asks was charged
+// resendAll sends requests to the current owners of their keys. If their owner moved,
+// those that were sent before are charged to the retry budget; probes were charged
 // already.
-func (c *Core) resendAll(now time.Time, all []*Ticket, moved bool) {
-	slices.SortStableFunc(all, func(a, b *Ticket) int { return a.Job.arrivedAt.Compare(b.Job.arrivedAt) })
-	for _, t := range all {
+func (c *Core) resendAll(now time.Time, tickets []*Ticket, moved bool) {
+	slices.SortStableFunc(tickets, func(a, b *Ticket) int { return a.Job.arrivedAt.Compare(b.Job.arrivedAt) })
+	for _, t := range tickets {
 		if p, ok := c.lookupOwner(t.Job.Key); ok {
 			t.Job.setOwner(p)
 		}
@@ -300,50 +308,50 @@
 	}
 }
 
-// endMove ends a hold when the owner answered a request that was sent to it after
-// it had refused the last one.
+// endMove ends a move when the owner answers a request that was sent after its last
+// refusal.
 func (c *Core) endMove(now time.Time, t *Ticket, o Outcome) {
-	h := c.moveQueues.find(&t.Job)
-	if h == nil || o.Kind != kinds.None || h.owner.Server != t.srv.info.Name || t.startedAt.Before(h.refusedAt) {
+	q := c.moveQueues.find(&t.Job)
+	if q == nil || o.Kind != kinds.None || q.owner.Server != t.srv.info.Name || t.startedAt.Before(q.refusedAt) {
 		return
 	}
-	c.moveQueues.observeDuration(now, h)
-	all := c.takeAll(h)
+	c.moveQueues.observeDuration(now, q)
+	tickets := c.takeAll(q)
 	if t.Job.HotKey {
 		delete(c.moveQueues.byKey, t.Job.Key)
 	} else {
 		delete(c.moveQueues.bySlice, t.Job.Slice)
 	}
-	c.resendAll(now, all, true)
+	c.resendAll(now, tickets, true)
 	if c.cfg.ProbeInterval == 0 {
 		c.probeOtherQueues(now, t.srv)
 	}
 }
 
-// scheduleProbeTick moves the next tick to when one of a hold goes and asks.
-func (c *Core) scheduleProbeTick(h *moveQueue) {
-	if h.owner.Server == "" || len(h.waiting) == 0 {
+// scheduleProbeTick makes the next tick early enough for the queue's next probe.
+func (c *Core) scheduleProbeTick(q *moveQueue) {
+	if q.owner.Server == "" || len(q.waiting) == 0 {
 		return
 	}
-	if at := c.probeTime(h); c.probeAt.IsZero() || at.Before(c.probeAt) {
+	if at := c.probeTime(q); c.probeAt.IsZero() || at.Before(c.probeAt) {
 		c.probeAt = at
 	}
 }
 
-// probeOwners sends the oldest request of each hold that is due to the owner, of one hold for
-// each server.
+// probeOwners sends the probes that are due: the oldest request of each such queue, of
+// one queue for each server.
 func (c *Core) probeOwners(now time.Time) {
 	if c.probeAt.IsZero() || now.Before(c.probeAt) {
 		return
 	}
 	c.probeAt = time.Time{}
-	var all []*Ticket
-	c.moveQueues.retain(func(h *moveQueue) bool {
-		if len(h.waiting) > 0 && h.owner.Server != "" && !now.Before(c.probeTime(h)) {
-			all = c.takeProbe(now, h, all)
+	var tickets []*Ticket
+	c.moveQueues.retain(func(q *moveQueue) bool {
+		if len(q.waiting) > 0 && q.owner.Server != "" && !now.Before(c.probeTime(q)) {
+			tickets = c.takeProbe(now, q, tickets)
 		}
-		c.scheduleProbeTick(h)
-		return len(h.waiting) > 0 || now.Sub(h.probeAt) < moveQueueTTL
+		c.scheduleProbeTick(q)
+		return len(q.waiting) > 0 || now.Sub(q.probeAt) < moveQueueTTL
 	})
-	c.resendAll(now, all, false)
+	c.resendAll(now, tickets, false)
 }
--- a/internal/load/gate/move_test.go
+++ b/internal/load/gate/move_test.go
@@ -15,7 +15,7 @@
 	"hawthornfield.org/hawthornfield/internal/fake/seeds"
 )
 
-// moveSim is a core whose one slice moves from a to b.
+// moveSim is a core with one slice that moves from server a to b.
 type moveSim struct {
 	core  *Core
 	owner Owner
@@ -37,7 +37,7 @@
 	}
 }
 
-// offerMisrouted is a request that the owner of the table turned away.
+// offerMisrouted waits for the owner with a request that the known owner has refused.
 func (m *moveSim) offerMisrouted(c ident.Caller, left time.Duration) (*Ticket, Verdict) {
 	t := &Ticket{Job: m.job(c, left).NextAttempt("")}
 	return t, m.core.WaitOwner(m.now, t)
@@ -48,7 +48,7 @@
 	return t, m.core.Offer(m.now, t)
 }
 
-// advance lets time go by and returns who was decided meanwhile.
+// advance advances the time and returns the tickets decided meanwhile.
 func (m *moveSim) advance(d time.Duration) []*Ticket {
 	var all []*Ticket
 	until := m.now.Add(d)
@@ -61,7 +61,8 @@
 	return all
 }
 
-// refuseProbes lets time go by while the owner refuses whoever asks it.
+// refuseProbes advances the time while the owner refuses every probe, and returns their
+// number.
 func (m *moveSim) refuseProbes(t *testing.T, d time.Duration) (asked int) {
 	t.Helper()
 	for until := m.now.Add(d); m.now.Before(until); {
@@ -77,9 +78,8 @@
 	return asked
 }
 
-// A key moves from one owner to another. Requests that come in between must
-// reach the new owner, and only it; a caller would otherwise see its request
-// offerMisrouted, or two owners serve the key.
+// Guards against a request refused because its key is moving, and against two owners
+// serving the key: requests that arrive during the move must reach the new owner only.
 func TestMovingKeyWaitsForItsNewOwner(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := New(Config{Seed: 1})
@@ -105,11 +105,10 @@
 	})
 }
 
-// Requests of many callers meet a key between owners, some as they come, some
-// after the owner turned them away. When the next owner is known they must run
-// there in the order in which they were asked, each once. A caller who came
-// later would otherwise overtake, and a driver at the scale see the load of the
-// lorry behind.
+// Guards against reordering by a move. Some requests arrive while the key is between
+// owners, some come back refused by the former owner; the next owner must run each
+// once, in order of arrival. Otherwise a driver at the weighbridge would see the load
+// of the lorry behind.
 func TestWaitingRequestsRunInArrivalOrderAfterMove(t *testing.T) {
 	seeds.Check(t, func(t *rapid.T) {
 		m := newMoveSim(100)
@@ -151,9 +150,9 @@
 	return names
 }
 
-// The news of the next owner comes before its lease. Each request asking for
-// itself until then would be a storm on a server that has just been given more
-// to do; one at a time goes, and the first that is taken brings the others.
+// Guards against a flood of retries at a new owner that is announced before it has its
+// lease. One probe at a time is sent, and the first one that is answered releases the
+// others.
 func TestOneProbeAtATimePerMovingSlice(t *testing.T) {
 	m := newMoveSim(100)
 	for i := range 50 {
@@ -162,22 +161,22 @@
 		assert.Equal(t, v, Wait)
 	}
 	asked := m.refuseProbes(t, 10*maxProbeDelay)
-	assert.Assert(t, asked >= 10 && asked <= 12, "%d asked", asked)
+	assert.Assert(t, asked >= 10 && asked <= 12, "%d probes", asked)
 	assert.Equal(t, m.core.Stats(m.now).Held, 50)
 	var got []*Ticket
 	for len(got) == 0 {
 		got = m.advance(time.Millisecond)
 	}
-	assert.Equal(t, got[0].Job.Caller, ident.Caller("0"), "the oldest asks first")
+	assert.Equal(t, got[0].Job.Caller, ident.Caller("0"), "the oldest request must be the first probe")
 	m.now = m.now.Add(time.Millisecond)
 	m.core.Done(m.now, got[0], Outcome{Latency: time.Millisecond})
-	assert.Equal(t, m.core.Stats(m.now).Held, 0, "the others still wait")
+	assert.Equal(t, m.core.Stats(m.now).Held, 0, "the others must be released")
 	assert.Assert(t, len(m.core.Ready()) > 0)
 }
 
-// A lost server's keys take a second to be served again. A request whose caller
-// waits for less must hear at once that it was not run; its caller would
-// otherwise hold a screen, and memory here, for an answer that cannot come.
+// Guards against waiting in vain when an owner is lost and its keys have no owner for a
+// second. A request with less time than that must be refused as not run at once; it
+// would hold memory and its caller would wait for nothing.
 func TestAMoveThatLastsTooLongRefusesAtOnce(t *testing.T) {
 	m := newMoveSim(100)
 	_, v := m.offerMisrouted("first", 250*time.Millisecond)
@@ -188,7 +187,7 @@
 	kind, after := late.Refusal()
 	assert.Equal(t, kind, kinds.Moving)
 	assert.Equal(t, kind.Answer().Ran, kinds.RanNo)
-	assert.Assert(t, after >= time.Second/2, "come back after %v", after)
+	assert.Assert(t, after >= time.Second/2, "retry after %v", after)
 	patient, v := m.offer("patient", 10*time.Second)
 	assert.Equal(t, v, Wait)
 	m.core.Abandon(m.now, patient)
@@ -196,8 +195,8 @@
 	assert.Equal(t, m.core.Stats(m.now).Held, 0)
 }
 
-// A rule lets its requests wait for an owner for 300 ms at most, however often
-// they go and ask meanwhile.
+// Guards against a wait beyond the rule's MaxOwnerWait of 300 ms by a request that is
+// sent as a probe several times.
 func TestMaxOwnerWaitCountsFromFirstMiss(t *testing.T) {
 	m := newMoveSim(100)
 	j := m.job("c", time.Hour)
@@ -223,9 +222,8 @@
 	assert.Assert(t, m.now.Sub(begin) >= 250*time.Millisecond, "%v", m.now.Sub(begin))
 }
 
-// One caller sends all it has while a key moves. It must not take all places:
-// the others' requests would be refused for a move that they could have waited
-// out.
+// Guards against one caller taking all places in the move queues: the requests of
+// others would be refused for a move that they could have waited out.
 func TestHotCallerLeavesRoomInMoveQueue(t *testing.T) {
 	seeds.Check(t, func(t *rapid.T) {
 		limit := rapid.IntRange(2, 40).Draw(t, "limit")
@@ -243,9 +241,8 @@
 	})
 }
 
-// All places are taken by requests that were asked before. One that went to ask
-// and comes back must not be squeezed in beyond the bound: each held request
-// costs memory of the VM and a connection of a caller.
+// Guards against a refused probe that returns to full move queues and exceeds MaxHeld:
+// each held request costs memory of the VM and a connection of a caller.
 func TestReturningProbeStaysWithinMaxHeld(t *testing.T) {
 	m := newMoveSim(4)
 	young, v := m.offer("young", time.Hour)
@@ -263,14 +260,14 @@
 	assert.Equal(t, m.core.Stats(m.now).Held, 4)
 	old := &Ticket{Job: m.job("old", time.Hour).NextAttempt("")}
 	old.Job.arrivedAt, old.Job.ownerMissingSince = begin.Add(-2*time.Second), begin
-	assert.Equal(t, m.core.WaitOwner(m.now, old), Wait, "older than all: the newest gives way")
+	assert.Equal(t, m.core.WaitOwner(m.now, old), Wait, "older than all: the newest must be refused")
 	assert.Equal(t, m.core.Stats(m.now).Held, 4)
 	assert.Equal(t, len(m.core.Ready()), 1)
 }
 
-// An owner answers one request that it had taken before its lease ended, and
-// refuses those that came after. The late answer must not send everybody who
-// waits to a server that will refuse them.
+// Guards against a late answer ending a move. The former owner answers a request that
+// it had started before its lease ended, and refuses later ones; those waiting must not
+// be sent to it.
 func TestLateAnswerOfFormerOwnerDoesNotEndMove(t *testing.T) {
 	m := newMoveSim(100)
 	early, v := m.offer("early", time.Hour)
@@ -286,8 +283,8 @@
 	assert.Equal(t, len(m.core.Ready()), 0)
 }
 
-// A key owned apart from its slice moves. Requests for the other keys of the
-// slice have their owner and must not wait.
+// Guards against requests for the other keys of a slice waiting while a key with an
+// owner of its own moves.
 func TestHotKeyMoveDoesNotDelayItsSlice(t *testing.T) {
 	m := newMoveSim(100)
 	j := m.job("c", time.Hour)
@@ -297,11 +294,11 @@
 	_, v := m.offer("other", time.Hour)
 	assert.Equal(t, v, Start)
 	j.Deadline = m.now.Add(time.Hour)
-	assert.Equal(t, m.core.Offer(m.now, &Ticket{Job: j}), Wait, "the hot key's next one")
+	assert.Equal(t, m.core.Offer(m.now, &Ticket{Job: j}), Wait, "the next request for the hot key must wait")
 	assert.Equal(t, m.core.Stats(m.now).Held, 2)
 }
 
-// Each slice of a server without a lease sent it a request every 40 ms.
+// Guards against one probe each 40 ms from every slice of a server without a lease.
 func TestOneProbeAtATimePerServer(t *testing.T) {
 	const slices = 64
 	m := newMoveSim(4 * slices)
@@ -322,12 +319,12 @@
 			await(k.Job)
 		}
 	}
-	assert.Assert(t, asked >= 20 && asked <= 23, "%d asked", asked)
+	assert.Assert(t, asked >= 20 && asked <= 23, "%d probes", asked)
 
 	var got []*Ticket
 	for len(got) == 0 {
 		got = m.advance(time.Millisecond)
 	}
 	m.core.Done(m.now, got[0], Outcome{Latency: time.Millisecond})
-	assert.Assert(t, len(m.core.Ready()) > 1, "the other slices do not ask the server that answers again")
+	assert.Assert(t, len(m.core.Ready()) > 1, "the other slices must probe the recovered server")
 }
--- a/internal/load/gate/movequeue.go
+++ b/internal/load/gate/movequeue.go
@@ -7,144 +7,144 @@
 	"hawthornfield.org/hawthornfield/internal/core/ident"
 )
 
-// moveQueue is the requests of a slice, or of a key owned apart from its slice,
-// between owners.
+// moveQueue holds the requests of a slice, or of a key with an owner of its own, while
+// it is between owners.
 type moveQueue struct {
-	key        ident.Key // of the first request, to look the owner up
-	owner      Owner     // who refused it last
+	key        ident.Key // of the first request, for the owner lookup
+	owner      Owner     // the owner that refused last
 	since      time.Time
-	refusedAt  time.Time // when it did
-	probeAt    time.Time // when one of those who wait goes and asks
+	refusedAt  time.Time // when it refused
+	probeAt    time.Time // when a waiting request is sent as a probe
 	probeDelay time.Duration
-	waiting    []*Ticket // in the order in which they were asked
+	waiting    []*Ticket // in order of arrival
 }
 
-// moveQueueSet is all holds of a service, by what they are of.
+// moveQueueSet holds all move queues of a service, by slice or by key.
 type moveQueueSet struct {
 	bySlice      map[ident.Slice]*moveQueue
 	byKey        map[ident.Key]*moveQueue
-	perCaller    map[ident.Caller]int // requests held of each
+	perCaller    map[ident.Caller]int // number of waiting requests
 	n            int
-	lossDuration time.Duration // how long moves after a loss take lately
+	lossDuration time.Duration // average duration of recent moves after a loss
 }
 
-// find returns the hold that a request falls under, nil if none.
-func (h *moveQueueSet) find(j *Job) *moveQueue {
+// find returns the move queue for a request, or nil if there is none.
+func (s *moveQueueSet) find(j *Job) *moveQueue {
 	switch {
 	case j.Key == "":
 		return nil
 	case j.HotKey:
-		return h.byKey[j.Key]
+		return s.byKey[j.Key]
 	default:
-		return h.bySlice[j.Slice]
+		return s.bySlice[j.Slice]
 	}
 }
 
-// findOrCreate returns the hold that a request falls under, a new one if there is none.
-func (h *moveQueueSet) findOrCreate(now time.Time, j *Job) *moveQueue {
-	if found := h.find(j); found != nil {
+// findOrCreate returns the move queue for a request, creating it if necessary.
+func (s *moveQueueSet) findOrCreate(now time.Time, j *Job) *moveQueue {
+	if found := s.find(j); found != nil {
 		return found
 	}
-	if h.bySlice == nil {
-		h.bySlice, h.byKey = map[ident.Slice]*moveQueue{}, map[ident.Key]*moveQueue{}
-		h.perCaller = map[ident.Caller]int{}
+	if s.bySlice == nil {
+		s.bySlice, s.byKey = map[ident.Slice]*moveQueue{}, map[ident.Key]*moveQueue{}
+		s.perCaller = map[ident.Caller]int{}
 	}
-	made := &moveQueue{key: j.Key, since: now, probeAt: now.Add(firstProbeDelay), probeDelay: firstProbeDelay}
+	q := &moveQueue{key: j.Key, since: now, probeAt: now.Add(firstProbeDelay), probeDelay: firstProbeDelay}
 	if j.HotKey {
-		h.byKey[j.Key] = made
+		s.byKey[j.Key] = q
 	} else {
-		h.bySlice[j.Slice] = made
+		s.bySlice[j.Slice] = q
 	}
-	return made
+	return q
 }
 
-// retain calls do for every hold and forgets those for which it returns false.
-func (h *moveQueueSet) retain(do func(*moveQueue) bool) {
-	for name, held := range h.byKey {
-		if !do(held) {
-			delete(h.byKey, name)
+// retain calls do for every move queue and deletes those for which it returns false.
+func (s *moveQueueSet) retain(do func(*moveQueue) bool) {
+	for name, q := range s.byKey {
+		if !do(q) {
+			delete(s.byKey, name)
 		}
 	}
-	for name, held := range h.bySlice {
-		if !do(held) {
-			delete(h.bySlice, name)
+	for name, q := range s.bySlice {
+		if !do(q) {
+			delete(s.bySlice, name)
 		}
 	}
 }
 
-// remaining is how long a hold is expected to last from now on.
-func (h *moveQueueSet) remaining(now time.Time, held *moveQueue) time.Duration {
-	age := now.Sub(held.since)
+// remaining returns how long a move is expected to last from now on.
+func (s *moveQueueSet) remaining(now time.Time, q *moveQueue) time.Duration {
+	age := now.Sub(q.since)
 	if age < maxPlannedMove {
 		return 0
 	}
-	lasts := h.lossDuration
-	if lasts == 0 {
-		lasts = defaultLossDuration
+	duration := s.lossDuration
+	if duration == 0 {
+		duration = defaultLossDuration
 	}
-	return max(lasts-age, 0)
+	return max(duration-age, 0)
 }
 
-// observeDuration takes in how long a move took.
-func (h *moveQueueSet) observeDuration(now time.Time, held *moveQueue) {
-	age := now.Sub(held.since)
+// observeDuration updates the average duration of moves after a loss.
+func (s *moveQueueSet) observeDuration(now time.Time, q *moveQueue) {
+	age := now.Sub(q.since)
 	if age < maxPlannedMove {
 		return
 	}
-	if h.lossDuration == 0 {
-		h.lossDuration = defaultLossDuration
+	if s.lossDuration == 0 {
+		s.lossDuration = defaultLossDuration
 	}
-	h.lossDuration = (h.lossDuration + age) / lossDurationDivisor
+	s.lossDuration = (s.lossDuration + age) / lossDurationDivisor
 }
 
-// hasRoom reports whether another request of the caller may wait: as many as there
-// are places still free. So one hot caller takes at most half of the places, and
-// the others always find some.
-func (h *moveQueueSet) hasRoom(limit int, c ident.Caller) bool { return h.perCaller[c] < limit-h.n }
+// hasRoom reports whether another request of the caller may wait: each caller may have
+// as many waiting as there are free places. So one hot caller takes at most half of the
+// places, and the others always find some.
+func (s *moveQueueSet) hasRoom(limit int, c ident.Caller) bool { return s.perCaller[c] < limit-s.n }
 
-// insert puts a request in the place that its age gives it: one that went to ask
-// and was refused is not behind those who came later.
-func (h *moveQueueSet) insert(held *moveQueue, t *Ticket) {
-	i, _ := slices.BinarySearchFunc(held.waiting, t, func(a, b *Ticket) int {
+// insert queues a request by its arrival: a probe that was refused does not go behind
+// requests that arrived later.
+func (s *moveQueueSet) insert(q *moveQueue, t *Ticket) {
+	i, _ := slices.BinarySearchFunc(q.waiting, t, func(a, b *Ticket) int {
 		if a.Job.arrivedAt.After(b.Job.arrivedAt) {
 			return 1
 		}
 		return -1
 	})
-	held.waiting = slices.Insert(held.waiting, i, t)
-	t.moveQueue = held
-	h.perCaller[t.Job.Caller]++
-	h.n++
+	q.waiting = slices.Insert(q.waiting, i, t)
+	t.moveQueue = q
+	s.perCaller[t.Job.Caller]++
+	s.n++
 }
 
-func (h *moveQueueSet) remove(t *Ticket) {
+func (s *moveQueueSet) remove(t *Ticket) {
 	i := slices.Index(t.moveQueue.waiting, t)
 	t.moveQueue.waiting = slices.Delete(t.moveQueue.waiting, i, i+1)
-	h.uncount(t)
+	s.uncount(t)
 }
 
-// uncount counts a request out that is in its hold no more.
-func (h *moveQueueSet) uncount(t *Ticket) {
+// uncount removes a request that has left its queue from the counters.
+func (s *moveQueueSet) uncount(t *Ticket) {
 	t.moveQueue = nil
-	h.n--
-	if h.perCaller[t.Job.Caller]--; h.perCaller[t.Job.Caller] == 0 {
-		delete(h.perCaller, t.Job.Caller)
+	s.n--
+	if s.perCaller[t.Job.Caller]--; s.perCaller[t.Job.Caller] == 0 {
+		delete(s.perCaller, t.Job.Caller)
 	}
 }
 
-// expire hands those that are too late to drop and returns when the next one
-// will be.
-func (h *moveQueueSet) expire(now time.Time, drop func(*Ticket)) time.Time {
+// expire passes the requests whose deadline has come to drop, and returns the next
+// deadline.
+func (s *moveQueueSet) expire(now time.Time, drop func(*Ticket)) time.Time {
 	var next time.Time
-	h.retain(func(held *moveQueue) bool {
-		held.waiting = slices.DeleteFunc(held.waiting, func(t *Ticket) bool {
+	s.retain(func(q *moveQueue) bool {
+		q.waiting = slices.DeleteFunc(q.waiting, func(t *Ticket) bool {
 			if now.Before(t.item.Deadline) {
 				if next.IsZero() || t.item.Deadline.Before(next) {
 					next = t.item.Deadline
 				}
 				return false
 			}
-			h.uncount(t)
+			s.uncount(t)
 			drop(t)
 			return true
 		})
--- a/internal/load/gate/permit.go
+++ b/internal/load/gate/permit.go
@@ -8,8 +8,9 @@
 	"hawthornfield.org/hawthornfield/internal/core/kinds"
 )
 
-// Permit is a place on a backend server. It is held from Enter until Done; the
-// zero value holds nothing. Copy it freely: Done counts once.
+// Permit is the right to send one request to a backend server. It is held from Enter
+// until Done; the zero value holds nothing. Permits may be copied: only the first Done
+// counts.
 type Permit struct {
 	g      *Gate
 	t      *Ticket
@@ -20,8 +21,7 @@
 // Server returns the backend server to send the request to.
 func (p Permit) Server() ident.Server { return p.server }
 
-// Done gives the place back and tells the gate what was observed. A second
-// call does nothing.
+// Done ends the attempt and passes its outcome to the gate. A second call does nothing.
 func (p Permit) Done(o Outcome) {
 	if p.g == nil {
 		return
@@ -36,14 +36,14 @@
 	p.g.notifyDecided()
 }
 
-// Retry ends this attempt with its outcome and asks for another. It succeeds
-// when repeating is safe (nothing ran, or the job is idempotent), the service's
-// retry budget has room, the deadline leaves time, and the service is not
-// overloaded. Otherwise the second result is false: answer the caller now, with
-// the outcome's kind.
+// Retry ends this attempt with its outcome and requests another. It succeeds if
+// repeating is safe (nothing ran, or the job is idempotent), the service's retry budget
+// has room, the deadline leaves time, and the service is not overloaded. Otherwise the
+// second result is false, and the caller should be answered now with the outcome's
+// kind.
 //
-// The next attempt may wait in the queue, as Enter does, and avoids the server
-// that failed where the service is not divided by key.
+// The next attempt may wait in the queue, as in Enter. If the service is not divided by
+// key, it avoids the server that failed.
 func (p Permit) Retry(ctx context.Context, o Outcome) (Permit, bool) {
 	if p.g == nil {
 		return Permit{}, false
@@ -69,9 +69,9 @@
 	return next, err == nil
 }
 
-// WaitOwner ends this attempt with its outcome, because the server said that it is
-// not the key's owner or could not be reached, and waits for the owner as
-// [Gate.WaitOwner] does, in the place that the request's age gives it.
+// WaitOwner ends this attempt with its outcome, because the server said that it is not
+// the key's owner or could not be reached. It then waits for the owner as
+// [Gate.WaitOwner] does, queued by the time of the request's first arrival.
 func (p Permit) WaitOwner(ctx context.Context, o Outcome) (Permit, error) {
 	if p.g == nil {
 		return Permit{}, refusal(kinds.NoOwner, 0)
@@ -90,11 +90,10 @@
 	return p.g.WaitOwner(ctx, job)
 }
 
-// Hedge asks for a second place for the same idempotent request on another
-// server, while this one is still waiting for its answer. It never waits: it is
-// granted only when a server is free now and the hedge budget has room. When
-// the first answer arrives, cancel the other request and end its Pass with
-// Outcome{Kind: kinds.Canceled}.
+// Hedge requests a second permit for the same idempotent request on another server,
+// while this attempt waits for its answer. It never waits: it succeeds only if a server
+// is free now and the hedge budget has room. When the first answer arrives, cancel the
+// other request and end its Permit with the outcome [Cancel].
 func (p Permit) Hedge() (Permit, bool) {
 	if p.g == nil {
 		return Permit{}, false
@@ -116,8 +115,8 @@
 	return Permit{g: g, t: t, gen: t.gen, server: t.Server()}, true
 }
 
-// active reports whether the pass still holds its place.
+// active reports whether the permit still holds a started request.
 func (p Permit) active() bool { return p.t.gen == p.gen && p.t.state == stateStarted }
 
-// Cancel is the outcome of an attempt whose answer is no longer wanted.
+// Cancel returns the outcome of an attempt whose answer is no longer wanted.
 func Cancel() Outcome { return Outcome{Kind: kinds.Canceled} }
--- a/internal/load/gate/reestimate.go
+++ b/internal/load/gate/reestimate.go
@@ -8,23 +8,24 @@
 	"hawthornfield.org/hawthornfield/internal/load/sizes"
 )
 
-// The load pattern is an owner of keys that slows down, freezes or gets uploads
-// while requests wait for it. They were let in by an estimate that holds no
-// more. Kept until their deadlines, they would take places in the queue for
-// nothing, and their callers would learn only then what could be known long
-// before. So the wait is estimated again while the owner is behind, and who
-// cannot be served in time any more is refused at once.
+// This file handles an owner of keys that slows down, freezes or gets uploads while
+// requests are queued for it. They were admitted by an estimate that no longer holds.
+// Kept until their deadlines, they would take up places in the queue for nothing, and
+// their callers would be told much later than possible. So while requests are queued
+// for an owner their wait is estimated again, and those that cannot be served in time
+// any more are refused at once.
 
 const (
-	// reestimateInterval is how often waits are estimated again: a refusal is then
-	// never more than this behind what is known.
+	// reestimateInterval is how often waits are estimated again, which bounds how late
+	// such a refusal can be.
 	reestimateInterval = 5 * time.Millisecond
-	// An owner that has been silent for five times what its answers take is
-	// overdueFor: service times vary as much as their mean, and one in 150 takes that
-	// long. It is expected to stay silent for as long again.
+	// overdueFactor is how many typical latencies an owner may be silent before it is
+	// overdue: service times vary by as much as their mean, and one in 150 takes five
+	// times as long. An overdue owner is expected to stay silent for as long again.
 	overdueFactor = 5
-	// minLatencySamples is how many answers make a usual one known, as many as the limit
-	// averages for a decision. Who is let in before was let in on a guess.
+	// minLatencySamples is how many answers make the typical latency known, as many as
+	// the limit averages for a decision. Requests admitted before that were admitted on
+	// defaultLatencySeconds or on few answers.
 	minLatencySamples = 16
 	minOverdue        = 20 * time.Millisecond
 )
@@ -41,7 +42,7 @@
 		}
 		c.reestimateAt = now.Add(reestimateInterval)
 		if s.ownLanes.bySize[sizes.Long].q.Len() > 0 {
-			c.dispatch(now, s) // the token may have come
+			c.dispatch(now, s) // this VM may hold the token now
 		}
 		for k := range s.ownLanes.bySize {
 			c.shedLate(now, &s.ownLanes.bySize[k], s, sizes.Kind(k))
@@ -49,8 +50,8 @@
 	}
 }
 
-// overdueFor is for how long an owner has been silent, once that is longer than
-// its answers take at most.
+// overdueFor returns how long the owner has been silent, or zero while that is within
+// what its answers can take.
 func overdueFor(now time.Time, owner *server, typical time.Duration) time.Duration {
 	silent := owner.health.SilentFor(now)
 	if silent < max(minOverdue, overdueFactor*max(typical, owner.load.AnswerLatency())) {
@@ -59,28 +60,29 @@
 	return silent
 }
 
-// shedLate refuses those of a lane who cannot be served in time any more.
+// shedLate refuses the requests of a lane that cannot be served in time any more.
 func (c *Core) shedLate(now time.Time, l *lane, owner *server, k sizes.Kind) {
-	each := max(c.startInterval(now, owner, k), l.startInterval)
+	interval := max(c.startInterval(now, owner, k), l.startInterval)
 	stall := overdueFor(now, owner, c.expectedLatency(k))
-	// A standing queue is kept short as it is, and a hot key would have what is
-	// freed; but what was let in on a guess may have filled it far too long.
-	guessed := l.q.Standing() && stall == 0
+	// Admission already keeps a standing queue short, and a hot key would take the
+	// places that are freed. But requests admitted on an unknown latency may have made
+	// the queue far too long.
+	onlyUnknown := l.q.Standing() && stall == 0
 	need := deadlineMargin * c.typicalLatency(k)
 	l.q.Shed(func(ahead float64, it *queue.Item[*Ticket]) bool {
 		t := it.Value
-		if guessed && !t.latencyUnknown {
+		if onlyUnknown && !t.latencyUnknown {
 			return false
 		}
-		by := it.Deadline
+		latest := it.Deadline
 		if t.latencyUnknown {
-			by = t.Job.Deadline.Add(-need) // it.By goes by the guess
+			latest = t.Job.Deadline.Add(-need) // it.Deadline was computed from the unknown latency
 		}
-		return now.Add(queueWait(each, ahead) + stall).After(by)
+		return now.Add(queueWait(interval, ahead) + stall).After(latest)
 	}, func(t *Ticket) {
 		l.q.MarkFull(now)
 		l.refund(t)
 		c.waiting--
-		c.refuseWaiting(t, kinds.DeadlineMissed, c.retryAfter(stall+each))
+		c.refuseWaiting(t, kinds.DeadlineMissed, c.retryAfter(stall+interval))
 	})
 }
--- a/internal/load/gate/reestimate_test.go
+++ b/internal/load/gate/reestimate_test.go
@@ -11,8 +11,8 @@
 	"hawthornfield.org/hawthornfield/internal/core/kinds"
 )
 
-// newKeyedCore is a core with owners of one slot each, a and b, warmed up so that
-// answers of 8 ms are usual.
+// newKeyedCore returns a core with two owners of one slot each, a and b, and a typical
+// latency of 8 ms.
 func newKeyedCore() (*Core, time.Time) {
 	c := NewCore(Config{Seed: 1})
 	c.SetServers(begin, []ServerInfo{{Name: "a", Slots: 1, Conns: 1}, {Name: "b", Slots: 1, Conns: 1}})
@@ -32,10 +32,10 @@
 	return &Ticket{Job: Job{Caller: ident.Caller(strconv.FormatInt(now.UnixNano(), 36)), Key: "k", Server: s, Size: 1, Deadline: now.Add(left)}}
 }
 
-// The owner of a key freezes while requests wait for it. The first one expects
-// its turn within 8 ms and has 250 ms; once the owner has been silent for half
-// of that, it cannot be expected to answer in time. Its caller must hear so
-// then, and not at the deadline.
+// Guards against requests that wait until their deadline for a frozen owner. They were
+// admitted with 250 ms to go and expected to start within a few answers of 8 ms; once
+// the owner has been silent for half of the time to spare they cannot expect an answer
+// in time and must be refused then.
 func TestWaitersForFrozenOwnerAreRefusedEarly(t *testing.T) {
 	c, now := newKeyedCore()
 	froze := now
@@ -60,15 +60,15 @@
 	assert.Equal(t, len(at), len(waiting))
 	for i, k := range waiting {
 		known := (250*time.Millisecond - time.Duration(deadlineMargin+i+1)*8*time.Millisecond) / 2
-		assert.Assert(t, at[k] <= known+reestimateInterval+3*time.Millisecond, "%d heard after %v, known after %v", i, at[k], known)
-		assert.Assert(t, at[k] >= known/2, "%d given up after %v", i, at[k])
+		assert.Assert(t, at[k] <= known+reestimateInterval+3*time.Millisecond, "request %d refused after %v, known to be late after %v", i, at[k], known)
+		assert.Assert(t, at[k] >= known/2, "request %d refused too early, after %v", i, at[k])
 	}
 	late := keyTicket("a", now, 250*time.Millisecond)
-	assert.Equal(t, c.Offer(now, late), Refuse, "a newcomer")
+	assert.Equal(t, c.Offer(now, late), Refuse, "a new request must be refused")
 }
 
-// An owner is slow for one answer and then goes on. Nobody who could be served
-// in time may have been turned away for it.
+// Guards against requests refused because of a single slow answer, although they could
+// still be served in time.
 func TestOneSlowAnswerRefusesNoRequest(t *testing.T) {
 	c, now := newKeyedCore()
 	first := keyTicket("a", now, 250*time.Millisecond)
@@ -92,11 +92,11 @@
 	}
 }
 
-// The owner of a key refuses everything it is sent, or cannot be reached. Nobody
-// else can serve the key, so queueing for it and trying again only delays the
-// refusal; the first to come still asks, so that the owner's return is noticed.
-// Who is refused by a full server must hear so; only one that is lost is worth
-// waiting for until its keys move.
+// Guards against queueing and retrying for an owner that refuses everything or cannot
+// be reached: no other server has the key, so both only delay the refusal. The first
+// request still goes there, so that the owner's recovery is noticed. Requests to a full
+// server must be refused as Busy; only for a lost one is it worth waiting until its
+// keys move.
 func TestAFailingOwnerRefusesAtOnce(t *testing.T) {
 	for want, out := range map[kinds.Kind]Outcome{
 		kinds.Busy: {Kind: kinds.Busy, Refused: true}, kinds.NoServer: {Kind: kinds.NoServer},
@@ -127,11 +127,11 @@
 		first = keyTicket("a", now, 250*time.Millisecond)
 		assert.Equal(t, c.Offer(now, first), Start)
 	}
-	assert.Equal(t, c.Offer(now, keyTicket("a", now, 250*time.Millisecond)), Wait, "it answers again")
+	assert.Equal(t, c.Offer(now, keyTicket("a", now, 250*time.Millisecond)), Wait, "the owner answers again")
 }
 
-// A VM has an upload of seconds on an owner, where it has but one place. Its
-// lookups for the same owner must go on beside it.
+// Guards against lookups blocked by the VM's own upload of seconds at an owner where
+// the VM has only one slot.
 func TestOwnUploadDoesNotKeepLookupsOut(t *testing.T) {
 	c := NewCore(Config{Seed: 1})
 	c.SetServers(begin, []ServerInfo{{Name: "a", Slots: 4, Conns: 100}})
@@ -139,7 +139,7 @@
 	now := begin
 	lookup := func() *Ticket { return keyTicket("a", now, 250*time.Millisecond) }
 	for range 3 {
-		c.Report(now, "a", 20, 0) // crowded: one place is left
+		c.Report(now, "a", 20, 0) // crowded: the limit falls to one
 	}
 	assert.Equal(t, c.Stats(now).Servers[0].Limit, 1)
 	c.Report(now, "a", 0, 0)
@@ -156,11 +156,11 @@
 		c.Ready()
 	}
 	assert.Equal(t, c.Offer(now, lookup()), Start)
-	assert.Equal(t, c.Offer(now, lookup()), Wait, "the limit of short ones holds")
+	assert.Equal(t, c.Offer(now, lookup()), Wait, "the limit for short requests must hold")
 }
 
-// An owner is always busy with lookups, its reports never show a free slot. An
-// upload must start there all the same, after a few rounds of the token.
+// Guards against an upload that never starts because its owner is always busy with
+// lookups and never reports a free slot. It must start after a few rounds of the token.
 func TestAnUploadStartsAtABusyOwner(t *testing.T) {
 	c := NewCore(Config{Seed: 1})
 	c.SetServers(begin, []ServerInfo{{Name: "a", Slots: 4, Conns: 100}})
@@ -181,5 +181,5 @@
 		c.Tick(now)
 		assert.Assert(t, now.Sub(begin) <= (maxSkippedWindows+2)*round, "still waits after %v", now.Sub(begin))
 	}
-	assert.Assert(t, now.Sub(begin) >= (maxSkippedWindows-1)*round, "did not yield to the lookups: %v", now.Sub(begin))
+	assert.Assert(t, now.Sub(begin) >= (maxSkippedWindows-1)*round, "started too early, after %v", now.Sub(begin))
 }
--- a/internal/load/gate/retry.go
+++ b/internal/load/gate/retry.go
@@ -9,8 +9,8 @@
 	"hawthornfield.org/hawthornfield/internal/load/sizes"
 )
 
-// Overload reports whether some queue has been too long for too long. One
-// owner's hot keys count for that owner alone, see [Core.MayRetry].
+// Overload reports whether some queue is standing. A queue that is standing because of
+// an owner's hot keys only blocks retries to that owner, see [Core.MayRetry].
 func (c *Core) Overload() bool {
 	over := false
 	c.forEachLanes(func(ls *lanePair) {
@@ -21,14 +21,14 @@
 	return over
 }
 
-// MayRetry reports whether a started request may be tried again after o, and
-// takes the retry from the budget.
+// MayRetry reports whether a started request may be tried again after o, and charges
+// the retry to the budget.
 func (c *Core) MayRetry(now time.Time, t *Ticket, o Outcome) bool {
 	if t.Job.Server != "" && t.srv.health.Failing() {
-		return false // there is no other server for this key
+		return false // no other server can serve this key
 	}
 	if t.Job.Server != "" && o.Refused && !t.srv.reportedFreeSlot(t) {
-		return false // it is full, and would refuse the next attempt as well
+		return false // the server is full and would refuse the next attempt as well
 	}
 	ok := c.retryBudget.Allow(retry.Attempt{
 		Kind:       o.Kind,
@@ -44,14 +44,14 @@
 	return ok
 }
 
-// reportedFreeSlot reports whether the server has said, since the request was sent, that it has a
-// free slot.
+// reportedFreeSlot reports whether the server has reported a free slot since the
+// request was sent.
 func (s *server) reportedFreeSlot(t *Ticket) bool {
 	return !s.reportedAt.Before(t.startedAt) && s.reportedLoad < s.info.Slots
 }
 
-// Hedge starts a second attempt of an idempotent request if another server has
-// room now, nobody waits, and the budget allows.
+// Hedge starts a second attempt of an idempotent request if another server has room
+// now, nobody is queued, and the budget allows it.
 func (c *Core) Hedge(now time.Time, t *Ticket) bool {
 	if t.Job.Server != "" || c.shared.len() > 0 || c.available.Len() == 0 {
 		return false
@@ -73,7 +73,7 @@
 	return true
 }
 
-// HedgeAfter is how long to wait for an answer before hedging.
+// HedgeAfter returns how long to wait for an answer before hedging.
 func (c *Core) HedgeAfter() time.Duration { return c.retryBudget.HedgeAfter() }
 
 // Stats returns counters and gauges.
@@ -90,7 +90,7 @@
 	return s
 }
 
-// Inspect returns what decides about requests for a server, see [Gate.Inspect].
+// Inspect returns the current state of a server, see [Gate.Inspect].
 func (c *Core) Inspect(now time.Time, name ident.Server) Snapshot {
 	if s := c.byName[name]; s != nil {
 		v := Snapshot{Running: s.running, Limit: s.maxRunning(now), Slots: s.info.Slots}
--- a/internal/load/gate/servers.go
+++ b/internal/load/gate/servers.go
@@ -12,39 +12,39 @@
 	"hawthornfield.org/hawthornfield/internal/load/sizes"
 )
 
-// wrongServerAvoidTime is how long a server whose address answered for another one is not chosen:
-// its entry lapses within a few seconds. Without it each VM sends a part of its
-// requests to where they are turned away, and spends the budget for repeats on them.
+// wrongServerAvoidTime is how long a server whose address answered for another one is
+// not chosen: its entry expires within a few seconds. Without it each VM sends part of
+// its requests to where they are refused, and spends the retry budget on them.
 const wrongServerAvoidTime = 5 * time.Second
 
-// latencySmoothing averages about ten answers, as the health judgement does.
+// latencySmoothing averages about ten answers, as the health checks do.
 const latencySmoothing = 0.1
 
-// server is what the gate knows of one backend server.
+// server is the gate's state of one backend server.
 type server struct {
 	info        ServerInfo
 	idx         int
 	removed     bool // no longer listed
 	running     int
 	runningLong int
-	limitKind   sizes.Kind // which kind's latency the limit follows now
+	limitKind   sizes.Kind // the kind whose latency the limit follows now
 
 	limit        [sizes.Kinds]limit.Limit
 	load         pick.Load
 	health       health.Server
 	connPool     conns.Pool
-	lastFailure  kinds.Kind // of the last attempt that came to nothing, as callers are told
-	reportedLoad int        // load in the last report
+	lastFailure  kinds.Kind // reported to callers while the server is failing
+	reportedLoad int        // requests running and queued there, by its last report
 	reportedAt   time.Time
 	tokenUse     tokenUse
-	ownLanes     *lanePair     // requests for the keys it owns
-	workTime     time.Duration // of one request, without the wait for others
-	lastStart    time.Time     // a request was last sent there
-	avoidUntil   time.Time     // its address answered for another server; not chosen until then
-	probes       probePacer    // of requests that are held
+	ownLanes     *lanePair     // requests for keys that it owns
+	workTime     time.Duration // processing time of one request, without waiting for others
+	lastStart    time.Time     // when a request was last sent there
+	avoidUntil   time.Time     // set when its address answered for another server
+	probes       probePacer    // limits the probes sent from move queues
 }
 
-// lanes returns the queues for the server's keys, made at the first use.
+// lanes returns the queues for the server's keys, created on first use.
 func (s *server) lanes(limit int) *lanePair {
 	if s.ownLanes == nil {
 		s.ownLanes = &lanePair{}
@@ -53,17 +53,17 @@
 	return s.ownLanes
 }
 
-// maxRunning is how many requests this VM may have there now, for keys it owns. An
-// ejected owner still gets one at a time: nobody else can answer for its keys.
+// maxRunning returns how many requests for keys that it owns this VM may run there now.
+// An ejected owner still gets one at a time: no other server can answer for its keys.
 func (s *server) maxRunning(now time.Time) int {
 	allowed := min(s.limit[s.limitKind].Max(), s.connPool.Max(now))
 	return max(s.health.MaxRunning(allowed), 1)
 }
 
-// hasRoomKeyed reports whether another request for a key that it owns may start
-// there. Its long requests do not count with its short ones: this VM often has
-// but one place there, and its own upload would keep its lookups out for as long
-// as it takes. How many long ones there may be is decided by longRoom.
+// hasRoomKeyed reports whether another request for a key that it owns may start there.
+// Long requests are not counted against short ones: this VM often has only one slot
+// there, and its own upload would block its lookups for as long as it takes. The number
+// of long ones is limited by mayStartLongKeyed.
 func (s *server) hasRoomKeyed(now time.Time) bool {
 	running := s.running
 	if s.limitKind == sizes.Short {
@@ -72,7 +72,7 @@
 	return !s.removed && running < s.maxRunning(now) && s.running < s.connPool.Max(now)
 }
 
-// hasRoom reports whether a request that may go anywhere may go here.
+// hasRoom reports whether a request that may go to any server may start here.
 func (s *server) hasRoom(now time.Time) bool {
 	if s.removed || s.info.Drain || now.Before(s.avoidUntil) {
 		return false
@@ -92,7 +92,7 @@
 	s.connPool.Acquire(now)
 }
 
-// observe takes in what became of an attempt.
+// observe updates the server's state with the outcome of an attempt.
 func (c *Core) observe(now time.Time, t *Ticket, o Outcome) {
 	s := t.srv
 	s.running--
@@ -128,13 +128,13 @@
 	}
 }
 
-// observeRefusal lowers the limit. A server that refuses even a single request of
-// this VM is counted as failing, so that others are preferred.
+// observeRefusal lowers the limit. A server that refuses even a single request of this
+// VM counts as failing, so that others are preferred.
 func (c *Core) observeRefusal(now time.Time, s *server, t *Ticket, took time.Duration) {
-	least := s.limit[s.limitKind].Max() == 1
+	atMinimum := s.limit[s.limitKind].Max() == 1
 	s.limit[s.limitKind].MarkRefused()
 	s.load.Observe(now, took, true)
-	if least {
+	if atMinimum {
 		s.health.Done(now, 0, true)
 		return
 	}
@@ -160,8 +160,8 @@
 	c.avgLatency[t.sizeKind] += (took.Seconds() - c.avgLatency[t.sizeKind]) * latencySmoothing
 }
 
-// SetServers replaces the list of servers. Requests waiting for a server that
-// is gone are refused: their key has no owner now.
+// SetServers replaces the list of servers. Requests queued for a server that is removed
+// are refused: their key has no owner now.
 func (c *Core) SetServers(now time.Time, list []ServerInfo) {
 	old := c.byName
 	c.byName = make(map[ident.Server]*server, len(list))
@@ -206,7 +206,7 @@
 	}
 }
 
-// SetShare says how many entry VMs share the servers, and which this one is.
+// SetShare sets how many entry VMs share the servers, and the index of this one.
 func (c *Core) SetShare(now time.Time, n, index int) {
 	c.share = sizes.Share{VMs: max(n, 1), Index: max(index, 0)}
 	if x := c.cfg.RetryBudget; x.Burst > 0 {
@@ -218,7 +218,7 @@
 	c.refresh(now)
 }
 
-// Report notes a server's own word on its load.
+// Report records the load that a server reports.
 func (c *Core) Report(now time.Time, name ident.Server, load int, age time.Duration) {
 	c.detectPause(now)
 	if s := c.byName[name]; s != nil {
@@ -228,8 +228,8 @@
 	}
 }
 
-// Conns returns this VM's share of a server's connections, and how many of
-// them to keep warm.
+// Conns returns this VM's share of a server's connections, and how many of them to keep
+// open while idle.
 func (c *Core) Conns(now time.Time, name ident.Server) (most, warm int) {
 	s := c.byName[name]
 	if s == nil {
@@ -238,8 +238,8 @@
 	return s.connPool.Max(now), s.connPool.MaxIdle(now)
 }
 
-// refresh recomputes what follows from the servers' states: bounds, room and
-// width; then it starts whoever can start.
+// refresh recomputes what depends on the servers' states (bounds, room and concurrency)
+// and starts the requests that can start.
 func (c *Core) refresh(now time.Time) {
 	c.available.Clear()
 	c.availableLocal.Clear()
@@ -279,8 +279,9 @@
 	c.concurrency[sizes.Long] += float64(most)
 }
 
-// Tick refuses those whose deadline can no longer be met and, about every
-// [health.Every], judges the servers.
+// Tick refuses requests whose deadline can no longer be met, sends due probes,
+// estimates waits again and, about every [health.CheckInterval], checks the servers'
+// health.
 func (c *Core) Tick(now time.Time) {
 	c.detectPause(now)
 	c.expire(now)
@@ -290,7 +291,7 @@
 		return
 	}
 	if again := c.lastPause.end.Add(health.CheckInterval); now.Before(again) {
-		c.healthCheckAt = again // when the answers that lie unread have been read
+		c.healthCheckAt = again // by then the answers that arrived during the pause have been read
 		return
 	}
 	c.checkHealth(now)
@@ -314,9 +315,9 @@
 	c.monitor.Evaluate(now, c.healthScratch)
 }
 
-// needsHealthChecks reports whether time alone will change some server's state, or a
-// queue is still called standing. A probed server waits for requests, not for
-// the clock.
+// needsHealthChecks reports whether some server's state will change with time alone, or
+// a queue is still standing. A server in its probe state waits for requests, not for
+// time.
 func (c *Core) needsHealthChecks() bool {
 	for _, s := range c.servers {
 		if st := s.health.State(); st == health.Ejected || st == health.Ramping {
--- a/internal/load/gate/ticket.go
+++ b/internal/load/gate/ticket.go
@@ -29,7 +29,7 @@
 	state       state
 	sizeKind    sizes.Kind
 	srv         *server
-	startedAt   time.Time // when it was started
+	startedAt   time.Time // when the last attempt was sent
 	refusalKind kinds.Kind
 	retryAfter  time.Duration
 
@@ -37,11 +37,11 @@
 	item           queue.Item[*Ticket]
 	callerFlow     fair.Flow
 	keyFlow        fair.Flow
-	latencyUnknown bool // let in before it was known how long answers take
+	latencyUnknown bool // admitted before typical latencies were known
 	moveQueue      *moveQueue
 }
 
-// Server returns where the request was started.
+// Server returns the server on which the request was started.
 func (t *Ticket) Server() ident.Server {
 	if t.srv == nil {
 		return ""
@@ -49,8 +49,8 @@
 	return t.srv.info.Name
 }
 
-// Refusal returns why it was refused, and when to come back; None when it was
-// started.
+// Refusal returns why the request was refused and when to retry; the kind is None if it
+// was started.
 func (t *Ticket) Refusal() (kinds.Kind, time.Duration) { return t.refusalKind, t.retryAfter }
 
 func (t *Ticket) reset() {
--- a/internal/load/gate/types.go
+++ b/internal/load/gate/types.go
@@ -8,77 +8,79 @@
 	"hawthornfield.org/hawthornfield/internal/core/kinds"
 )
 
-// Class is the priority that a rule gives to a request. Under load each class
-// keeps a share of the service, so none starves.
+// Class is the priority that a rule gives to a request. Under load each class keeps a
+// share of the service, so no class starves.
 type Class uint8
 
-// The classes. The zero value is the ordinary one.
+// Request classes. The zero value is Normal.
 const (
 	Normal Class = iota
 	High
 	Low
-	Classes // how many there are
+	Classes // the number of classes
 )
 
-// Job is what the gate needs to know of a request.
+// Job describes a request to the gate.
 type Job struct {
 	Service ident.Service
 	Caller  ident.Caller
 	Key     ident.Key
 	Slice   ident.Slice
-	Epoch   ident.Epoch // under which Server owns the key
-	HotKey  bool        // the key is owned apart from its slice
+	Epoch   ident.Epoch // the epoch under which Server owns the key
+	HotKey  bool        // the key has an owner of its own, apart from its slice
 	Class   Class
-	// Server is the key's owner in a service divided by key. Empty lets the
-	// gate choose.
+	// Server is the key's owner in a service divided by key. If empty, the gate chooses
+	// a server.
 	Server ident.Server
-	// Deadline is when the caller stops waiting; zero takes Config.Deadline.
+	// Deadline is when the caller stops waiting; zero means Config.Deadline after
+	// arrival.
 	Deadline time.Time
-	// LatencyTarget is how soon after it was asked an answer serves its caller fully; zero where
-	// nobody said.
+	// LatencyTarget is the time from arrival within which an answer has its full value
+	// to the caller; zero if unknown.
 	LatencyTarget time.Duration
-	// MaxOwnerWait bounds the wait for the key to get an owner; zero waits until
-	// the deadline.
+	// MaxOwnerWait bounds the wait for the key to get an owner; zero means until the
+	// deadline.
 	MaxOwnerWait time.Duration
-	// Size is the length of the body in bytes, -1 when unknown.
+	// Size is the length of the body in bytes, -1 if unknown.
 	Size int64
-	// Bytes is what the body weighs on the way, whatever its work is like.
+	// Bytes is the number of bytes that the body puts on the network. It only weighs in
+	// the choice between data centres, not in the classification by Size.
 	Bytes      int64
 	Idempotent bool
-	// Repeat says that the caller itself asks again, so that retries are
-	// counted once over all layers.
+	// Repeat reports that the caller itself repeats an earlier request. It is charged
+	// to the retry budget, so that retries are counted once over all layers.
 	Repeat bool
 
-	arrivedAt         time.Time    // when it first came
-	ownerMissingSince time.Time    // when it first found its key without an owner
-	extraAttempt      bool         // a retry or a hedge of the gate's own
-	avoid             ident.Server // the server of the attempt before
+	arrivedAt         time.Time    // when the request first reached the gate
+	ownerMissingSince time.Time    // when the request first found its key without an owner
+	extraAttempt      bool         // a retry or hedge made by the gate
+	avoid             ident.Server // the server of the previous attempt
 }
 
 func (j *Job) owner() Owner { return Owner{j.Server, j.Slice, j.Epoch} }
 
 func (j *Job) setOwner(p Owner) { j.Server, j.Slice, j.Epoch = p.Server, p.Slice, p.Epoch }
 
-// Outcome is what became of an attempt.
+// Outcome is the result of an attempt.
 type Outcome struct {
-	Kind    kinds.Kind    // None when a whole answer arrived
-	Latency time.Duration // from sending to the answer's first byte; zero takes the time since the start
-	Refused bool          // the server refused it and ran nothing
-	Bytes   int64         // transferred both ways
+	Kind    kinds.Kind    // None if a complete answer arrived
+	Latency time.Duration // from sending to the first byte of the answer; zero means the time since the start
+	Refused bool          // the server refused the request and ran nothing
+	Bytes   int64         // transferred in both directions
 }
 
 // ServerInfo describes a backend server.
 type ServerInfo struct {
 	Name   ident.Server
 	Centre ident.Centre
-	Slots  int  // requests it works on at once
-	Conns  int  // connections it accepts from all entry VMs together
-	Cold   bool // just started: it is given load in steps
-	Drain  bool // it is leaving: nothing new is sent
+	Slots  int  // requests that it processes concurrently
+	Conns  int  // connections that it accepts from all entry VMs together
+	Cold   bool // just started: its load is raised in steps
+	Drain  bool // shutting down: it gets no new requests
 }
 
-// Refusal is the error of a request that was not started. It carries the kind
-// and when to come back; [kinds.Of] and [RetryAfter] read them from any error
+// Refusal is the error of a request that was not started. It carries the kind and the
+// time after which to retry; [kinds.Of] and [RetryAfter] extract them from any error
 // that wraps it.
 type Refusal struct {
 	Kind  kinds.Kind
@@ -86,7 +88,7 @@
 	err   error
 }
 
-// Error renders the kind and the hint.
+// Error returns the text of the kind and the retry time.
 func (r *Refusal) Error() string {
 	if r.After == 0 {
 		return r.err.Error()
@@ -97,8 +99,8 @@
 // Unwrap returns an error of the refusal's kind.
 func (r *Refusal) Unwrap() error { return r.err }
 
-// RetryAfter returns when a refused caller should come back, and zero when the
-// error gives no hint.
+// RetryAfter returns the time after which a refused caller should retry, or zero if the
+// error carries none.
 func RetryAfter(err error) time.Duration {
 	var r *Refusal
 	if errors.As(err, &r) {
@@ -107,8 +109,8 @@
 	return 0
 }
 
-// Refusals are made once, in steps of the hint: refusing is what the gate does
-// most under overload, and must cost no memory then.
+// Refusals are allocated once, one for each kind and step of the retry time: under
+// overload the gate mostly refuses, and doing so must not allocate.
 const (
 	retryAfterStep  = 100 * time.Millisecond
 	retryAfterSteps = 101
@@ -128,7 +130,8 @@
 	return all
 }()
 
-// refusal returns the shared error for a kind, the hint rounded up to a step.
+// refusal returns the shared error for a kind, with the retry time rounded up to a
+// step.
 func refusal(k kinds.Kind, after time.Duration) *Refusal {
 	n := min(max(int((after+retryAfterStep-1)/retryAfterStep), 0), retryAfterSteps-1)
 	for i, known := range refusalKinds {
@@ -139,7 +142,7 @@
 	return &Refusal{Kind: k, After: after, err: kinds.New(k, k.Answer().Text)}
 }
 
-// Stats are the gate's counters since its start, and its gauges.
+// Stats holds the gate's counters since its start and its current gauges.
 type Stats struct {
 	Started  uint64                `json:"started"` // attempts sent to a server
 	Queued   uint64                `json:"queued"`  // requests that had to wait
@@ -148,15 +151,15 @@
 	Hedges   uint64                `json:"hedges"`
 	Canceled uint64                `json:"canceled"`
 	Waiting  int                   `json:"waiting"` // in the queues now
-	Held     int                   `json:"held"`    // waiting for a move now
+	Held     int                   `json:"held"`    // waiting for an owner now
 	Running  int                   `json:"running"` // on backend servers now
-	Ejected  int                   `json:"ejected"` // servers given no load
+	Ejected  int                   `json:"ejected"` // servers ejected for bad health
 	Overload bool                  `json:"overload"`
-	Budget   float64               `json:"budget"` // retries left
+	Budget   float64               `json:"budget"` // retries left in the budget
 	Servers  []ServerStats         `json:"servers"`
 }
 
-// ServerStats are the gauges of one backend server.
+// ServerStats holds the gauges of one backend server.
 type ServerStats struct {
 	Name    ident.Server  `json:"name"`
 	Running int           `json:"running"`
@@ -166,9 +169,9 @@
 	State   string        `json:"state"`
 }
 
-// NextAttempt returns the job as a further attempt of the gate's own, which avoids
-// the server of the attempt before. [Pass.Retry] and [Pass.Hedge] do this
-// themselves; use it with a [Core].
+// NextAttempt returns the job as a further attempt made by the gate, which avoids the
+// server of the previous attempt. [Permit.Retry] and [Permit.Hedge] do this themselves;
+// it is for direct users of a [Core].
 func (j Job) NextAttempt(avoid ident.Server) Job {
 	j.extraAttempt, j.avoid = true, avoid
 	return j
--- a/internal/load/gate/vmpause.go
+++ b/internal/load/gate/vmpause.go
@@ -2,18 +2,18 @@
 
 import "time"
 
-// minPause is for how long nothing may happen here, though the servers' judgement
-// is due, until the VM counts as paused.
+// minPause is the time without any call, while a health check is due, from which the VM
+// counts as paused.
 const minPause = 100 * time.Millisecond
 
-// vmPause is a time during which this VM stood still: its host gave the processor to
-// others, or the process was stopped. The answers of that time lie unread, so every
-// server with a request of this VM looks silent, and its answer seems to have taken
-// as long as the pause. Taken for the servers' doing, a pause of 300 ms had owners
-// ejected for a second, with one place left for all who ask for their keys.
+// vmPause is a time during which this VM did not run: its host gave the processor to
+// others, or the process was stopped. Answers that arrive meanwhile are not read, so
+// every server with a request of this VM looks silent, and its answers seem to have
+// taken as long as the pause. If the servers are blamed for it, a pause of 300 ms gets
+// owners ejected for a second, with one slot left for all requests for their keys.
 type vmPause struct{ start, end time.Time }
 
-// detectPause notes a pause that ends now. Every call that something happens comes here
+// detectPause records a pause that ends now. Every call that reports an event makes it
 // first.
 func (c *Core) detectPause(now time.Time) {
 	since := c.healthCheckAt
@@ -26,15 +26,15 @@
 	c.lastEvent = now
 }
 
-// activeTime is how much of a latency, of a request that started at a moment, the VM was
-// not paused.
-func (p vmPause) activeTime(took time.Duration, start time.Time) time.Duration {
-	if !start.Before(p.end) {
+// activeTime returns the part of a latency during which the VM was not paused, for a
+// request that started at the given time.
+func (p vmPause) activeTime(took time.Duration, startedAt time.Time) time.Duration {
+	if !startedAt.Before(p.end) {
 		return took
 	}
 	from := p.start
-	if start.After(from) {
-		from = start
+	if startedAt.After(from) {
+		from = startedAt
 	}
 	return max(took-p.end.Sub(from), 1)
 }
--- a/internal/load/gate/vmpause_test.go
+++ b/internal/load/gate/vmpause_test.go
@@ -10,10 +10,10 @@
 	"hawthornfield.org/hawthornfield/internal/load/health"
 )
 
-// This VM is paused for 300 ms, or a backend server is, while a few lookups run and
-// one waits. All who asked meanwhile are heard at once when it goes on. The server
-// is idle again, and nobody asks for more than it can do; drivers who are told that
-// the service is full would come back a second later for nothing.
+// Guards against requests refused as Busy after this VM, or a backend server, was
+// paused for 300 ms. Those that arrived meanwhile are handled at once afterwards, but
+// the server is idle and nobody asks for more than it can do; refused drivers would
+// come back a second later for nothing.
 func TestVMPauseRefusesNoRequest(t *testing.T) {
 	const vms, slots, during = 4, 2, 8
 	c, now := NewCore(Config{Seed: 7}), begin
@@ -38,7 +38,7 @@
 		}
 		running = append(running, c.Ready()...)
 	}
-	for range 200 { // quiet traffic, from which the gate learns what is usual
+	for range 200 { // light load, from which the gate learns the typical latency
 		offer()
 		now = now.Add(6 * time.Millisecond)
 		answer()
@@ -62,10 +62,10 @@
 	assert.Equal(t, c.Stats(now).Waiting, 0)
 }
 
-// This VM is paused for 300 ms while requests run on one of its servers, which
-// answered long ago. What the VM does first when it goes on, reading the answers or
-// judging its servers, is chance. A server that is ejected for that serves one
-// request at a time for a second, and drivers who ask for its keys are turned away.
+// Guards against a server ejected because this VM was paused for 300 ms, although the
+// server had answered. Whether the VM first reads the answers or first checks health is
+// chance. An ejected server would run one request at a time for a second, and requests
+// for its keys would be refused.
 func TestVMPauseEjectsNoServer(t *testing.T) {
 	for order, readFirst := range map[string]bool{"answers first": true, "judgement first": false} {
 		t.Run(order, func(t *testing.T) {
@@ -99,8 +99,8 @@
 	}
 }
 
-// A server answers nothing while this VM is awake. It must be left alone as soon as
-// ever, also when the VM was paused just before.
+// Guards against a pause of this VM that hides a frozen server. A server that answers
+// nothing while the VM runs must be ejected as soon as without the pause.
 func TestVMPauseHidesNoFrozenServer(t *testing.T) {
 	c, now := NewCore(Config{Seed: 7}), begin
 	c.SetServers(now, []ServerInfo{{Name: "a", Slots: 2, Conns: 45}, {Name: "b", Slots: 2, Conns: 45}, {Name: "c", Slots: 2, Conns: 45}})
--- a/internal/load/gate/warm.go
+++ b/internal/load/gate/warm.go
@@ -7,32 +7,34 @@
 	"hawthornfield.org/hawthornfield/internal/load/pick"
 )
 
-// The load pattern is a hundred entry VMs, each with a few requests a second, before a
-// hundred servers. Taken in turn, every VM comes to every server once in half a minute,
-// which is longer than a server keeps an idle connection: nearly each request opens a
-// new one, a millisecond of the server's time each. So where the turn comes to a server
-// that this VM has not used for a while, it takes one that it has. It still takes those
-// in turn, so that some ten share its requests, and leaves them as soon as another looks
-// clearly better. Where it has requests enough to keep all warm, turns decide alone: a VM
-// that never tries a server does not learn that it is the better one.
+// This file handles a hundred entry VMs, each with a few requests a second, in front of
+// a hundred servers. With plain turns, every VM reaches every server once in half a
+// minute, which is longer than a server keeps an idle connection: nearly each request
+// opens a new one, which costs the server a millisecond. So if the turn comes to a
+// server that this VM has not used for a while, it takes a recently used one instead.
+// It still takes turns among those, so that some ten servers share its requests, and
+// leaves them as soon as another looks clearly better. A VM with enough requests to
+// keep all connections warm takes plain turns: if it never tries a server it does not
+// learn that it is the better one.
 
 const (
-	// warmFor is for how long after its last request a server counts as warm. Servers
-	// keep an idle connection for whole seconds, and the relay uses none that was idle
-	// for longer than 4 s where they do not say; the rest is for the request's way.
+	// warmFor is how long after its last request a server counts as warm. Servers keep
+	// an idle connection for whole seconds, and the relay uses none that was idle for
+	// longer than 4 s unless the server states its timeout; the difference allows for
+	// the request's way there.
 	warmFor = 3 * time.Second
-	// warmPreference is how much worse a warm server may look and still be taken. What a VM
-	// knows of equal servers differs by up to that by chance, see pick.Clear.
+	// warmPreference is the factor by which a warm server's score may be worse. Scores
+	// of equal servers differ by up to that by chance, see [pick.BetterFactor].
 	warmPreference = pick.BetterFactor
 )
 
-// preferWarm returns i, or a warm server to be taken in its place.
+// preferWarm returns i, or the index of a warm server to use instead.
 func (c *Core) preferWarm(now time.Time, i, skip int) int {
-	choice := c.availableLocal.Len()
+	candidates := c.availableLocal.Len()
 	if c.cfg.Centre == "" {
-		choice = c.available.Len()
+		candidates = c.available.Len()
 	}
-	if !c.isCold(now, i) || c.recentStarts(now) >= float64(choice) {
+	if !c.isCold(now, i) || c.recentStarts(now) >= float64(candidates) {
 		return i
 	}
 	for c.availableWarm.Len() > 0 {
@@ -49,15 +51,15 @@
 	return i
 }
 
-// recentStarts is how many requests were sent lately, older ones for less: at a steady rate as
-// many as in warmFor.
+// recentStarts returns a decaying count of the requests sent: at a steady rate, as many
+// as are sent within warmFor.
 func (c *Core) recentStarts(now time.Time) float64 {
 	return c.startCount * math.Exp(-now.Sub(c.startCountAt).Seconds()/warmFor.Seconds())
 }
 
 func (c *Core) isCold(now time.Time, i int) bool { return now.Sub(c.servers[i].lastStart) > warmFor }
 
-// updateWarm notes whether a server that may be preferred was used a moment ago.
+// updateWarm records whether a server that may be preferred was used recently.
 func (c *Core) updateWarm(now time.Time, s *server, room bool) {
 	near := c.cfg.Centre == "" || s.info.Centre == c.cfg.Centre
 	c.availableWarm.Put(s.idx, room && near && !c.isCold(now, s.idx))
--- a/internal/load/gate/warm_test.go
+++ b/internal/load/gate/warm_test.go
@@ -10,8 +10,9 @@
 	"hawthornfield.org/hawthornfield/internal/core/ident"
 )
 
-// runLowTraffic sends five requests a second to a hundred servers for a while, each of which
-// takes a fifth of a second or what took says, and counts where they went.
+// runLowTraffic sends five requests a second to a hundred servers for the duration d.
+// Each takes as long as took returns for its server. It returns the number of requests
+// by server.
 func runLowTraffic(t *testing.T, c *Core, now *time.Time, d time.Duration, took func(ident.Server) time.Duration) map[ident.Server]int {
 	went := map[ident.Server]int{}
 	var ends []time.Time
@@ -41,9 +42,9 @@
 	return c
 }
 
-// A VM has a few requests a second for a hundred servers. Spread over all of them,
-// each would find that its connection has been idle for too long and been closed, and
-// callers pay for a new one with each request.
+// Guards against a VM with few requests that spreads them over a hundred servers: each
+// server has closed its idle connection by then, and callers pay for a new one with
+// each request.
 func TestQuietVMReusesWarmServers(t *testing.T) {
 	now := time.Unix(1000, 0)
 	c := newHundredServerCore(now)
@@ -53,8 +54,7 @@
 	assert.Assert(t, len(went) <= 20, "%d of a hundred servers", len(went))
 }
 
-// Some of the servers that a VM keeps to turn slow. Its callers must not wait for them
-// because they are warm.
+// Guards against requests that keep going to warm servers after these have become slow.
 func TestSlowWarmServersAreAvoided(t *testing.T) {
 	now := time.Unix(1000, 0)
 	c := newHundredServerCore(now)
@@ -72,5 +72,5 @@
 	for s := range kept {
 		stuck += went[s]
 	}
-	assert.Assert(t, stuck < 10, "%d of 100 requests still go to slow ones", stuck)
+	assert.Assert(t, stuck < 10, "%d of 100 requests still go to slow servers", stuck)
 }
