--- a/internal/load/gate/admit.go
+++ b/internal/load/gate/admit.go
@@ -102,9 +102,9 @@
 // lowerShares lowers the fair shares because the lane, which starts one request per
 // interval, had to refuse a request that was within them.
 func (l *lane) lowerShares(now time.Time, interval time.Duration) {
-	most := 1 / max(interval.Seconds(), 1e-6)
-	l.callerDebts.LowerRate(most)
-	l.keyDebts.LowerRate(most)
+	maxRate := 1 / max(interval.Seconds(), 1e-6)
+	l.callerDebts.LowerRate(maxRate)
+	l.keyDebts.LowerRate(maxRate)
 	l.q.MarkFull(now)
 }
 
@@ -134,16 +134,16 @@
 
 // nextKind picks the kind that has had less slot time, among those that are queued and
 // may start. Otherwise a kind that is always queued would starve the other.
-func (ls *lanePair) nextKind(long bool) (sizes.Kind, bool) {
+func (ls *lanePair) nextKind(longAllowed bool) (sizes.Kind, bool) {
 	short := ls.bySize[sizes.Short].q.Len() > 0
-	long = long && ls.bySize[sizes.Long].q.Len() > 0
+	longAllowed = longAllowed && ls.bySize[sizes.Long].q.Len() > 0
 	switch {
-	case short && long && ls.slotTime[sizes.Long] < ls.slotTime[sizes.Short]:
+	case short && longAllowed && ls.slotTime[sizes.Long] < ls.slotTime[sizes.Short]:
 		return sizes.Long, true
 	case short:
 		return sizes.Short, true
 	default:
-		return sizes.Long, long
+		return sizes.Long, longAllowed
 	}
 }
 
--- a/internal/load/gate/bench_test.go
+++ b/internal/load/gate/bench_test.go
@@ -24,16 +24,16 @@
 func BenchmarkAdmit(b *testing.B) {
 	c := benchCore(16)
 	now := begin
-	k := &Ticket{}
+	tk := &Ticket{}
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
 		now = now.Add(time.Millisecond)
-		k.reset()
-		k.Job = Job{Caller: "caller", Size: 1, Deadline: now.Add(time.Second)}
-		if c.Offer(now, k) != Start {
+		tk.reset()
+		tk.Job = Job{Caller: "caller", Size: 1, Deadline: now.Add(time.Second)}
+		if c.Offer(now, tk) != Start {
 			b.Fatal("not started")
 		}
-		c.Done(now, k, Outcome{Latency: 5 * time.Millisecond})
+		c.Done(now, tk, Outcome{Latency: 5 * time.Millisecond})
 		c.Ready()
 	}
 }
@@ -53,11 +53,11 @@
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
 		now = now.Add(100 * time.Microsecond)
-		k := &tickets[i%len(tickets)]
-		k.reset()
-		k.Job = Job{Caller: names[i%1000], Key: keys[i*7%1000], Size: 1, Deadline: now.Add(250 * time.Millisecond)}
-		if c.Offer(now, k) == Start {
-			running = append(running, k)
+		tk := &tickets[i%len(tickets)]
+		tk.reset()
+		tk.Job = Job{Caller: names[i%1000], Key: keys[i*7%1000], Size: 1, Deadline: now.Add(250 * time.Millisecond)}
+		if c.Offer(now, tk) == Start {
+			running = append(running, tk)
 		}
 		for _, r := range c.Ready() {
 			if r.state == stateStarted {
--- a/internal/load/gate/coldstart_test.go
+++ b/internal/load/gate/coldstart_test.go
@@ -22,7 +22,7 @@
 	c.SetServers(begin, []ServerInfo{{Name: "a", Slots: slots, Conns: 100}, {Name: "b", Slots: slots, Conns: 100}})
 	free := make([]time.Time, slots)
 	ends := map[*Ticket]time.Time{}
-	run := func(now time.Time, k *Ticket) {
+	run := func(now time.Time, tk *Ticket) {
 		slot := 0
 		for i := range free {
 			if free[i].Before(free[slot]) {
@@ -34,39 +34,39 @@
 			begins = free[slot]
 		}
 		free[slot] = begins.Add(work)
-		ends[k] = free[slot]
+		ends[tk] = free[slot]
 	}
 	now := begin
 	for i := range 200 {
-		k := &Ticket{Job: Job{
+		tk := &Ticket{Job: Job{
 			Caller: ident.Caller("hauler-" + strconv.Itoa(i)), Key: ident.Key(strconv.Itoa(i)),
 			Server: "a", Size: 1, Deadline: now.Add(2 * time.Second),
 		}}
-		if c.Offer(now, k) == Start {
-			run(now, k)
+		if c.Offer(now, tk) == Start {
+			run(now, tk)
 		}
 		now = now.Add(500 * time.Microsecond)
 	}
 	for ; now.Sub(begin) < 3*time.Second; now = now.Add(time.Millisecond) {
 		c.Tick(now)
 		assert.Assert(t, c.byName["a"].health.State() != health.Ejected, "ejected after %v", now.Sub(begin))
-		for k, at := range ends {
+		for tk, at := range ends {
 			if !at.After(now) {
-				delete(ends, k)
-				c.Done(now, k, Outcome{Latency: at.Sub(k.startedAt)})
-				if at.After(k.Job.Deadline) {
+				delete(ends, tk)
+				c.Done(now, tk, Outcome{Latency: at.Sub(tk.startedAt)})
+				if at.After(tk.Job.Deadline) {
 					unknown++
 				} else {
 					answered++
 				}
 			}
 		}
-		for _, k := range c.Ready() {
-			if k.state == stateStarted {
-				run(now, k)
+		for _, tk := range c.Ready() {
+			if tk.state == stateStarted {
+				run(now, tk)
 				continue
 			}
-			kind, _ := k.Refusal()
+			kind, _ := tk.Refusal()
 			assert.Assert(t, kind == kinds.DeadlineMissed || kind == kinds.Busy, "%v", kind)
 			if now.Sub(begin) > work+500*time.Millisecond {
 				late++
--- a/internal/load/gate/core.go
+++ b/internal/load/gate/core.go
@@ -305,8 +305,8 @@
 // left by the current latency estimate is refused: it was admitted when answers were
 // expected to be faster, for example by a VM that had seen none yet. Sent now, it would
 // end at its deadline with an unknown result and hold the slot until then.
-func (c *Core) startNext(now time.Time, ls *lanePair, s *server, long bool) bool {
-	kind, ok := ls.nextKind(long)
+func (c *Core) startNext(now time.Time, ls *lanePair, s *server, longAllowed bool) bool {
+	kind, ok := ls.nextKind(longAllowed)
 	if !ok {
 		return false
 	}
--- a/internal/load/gate/core_test.go
+++ b/internal/load/gate/core_test.go
@@ -95,18 +95,18 @@
 		j.MaxOwnerWait = time.Duration(rapid.IntRange(0, 300).Draw(t, "patience")) * time.Millisecond
 		j.Server = serverName(rapid.IntRange(0, serverCount-1).Draw(t, "owner")) // the caller's table may be stale
 	}
-	k := &Ticket{Job: j}
-	m.record(t, k, m.core.Offer(m.now, k))
+	tk := &Ticket{Job: j}
+	m.record(t, tk, m.core.Offer(m.now, tk))
 }
 
-func (m *machine) record(t *rapid.T, k *Ticket, v Verdict) {
+func (m *machine) record(t *rapid.T, tk *Ticket, v Verdict) {
 	switch v {
 	case Wait:
-		m.waiting[k] = true
+		m.waiting[tk] = true
 	case Start:
-		m.started(t, k)
+		m.started(t, tk)
 	default:
-		m.decided[k]++
+		m.decided[tk]++
 	}
 	m.collect(t)
 }
@@ -114,13 +114,13 @@
 // Misrouted has a server refuse a key's request because it is not, or not yet, the
 // key's owner; the request then waits for the owner.
 func (m *machine) Misrouted(t *rapid.T) {
-	for i, k := range m.running {
-		if k.Job.Key == "" {
+	for i, tk := range m.running {
+		if tk.Job.Key == "" {
 			continue
 		}
 		m.running = append(m.running[:i], m.running[i+1:]...)
-		again := &Ticket{Job: k.Job.NextAttempt("")}
-		m.core.Done(m.now, k, Outcome{Kind: kinds.Misrouted, Refused: true})
+		again := &Ticket{Job: tk.Job.NextAttempt("")}
+		m.core.Done(m.now, tk, Outcome{Kind: kinds.Misrouted, Refused: true})
 		m.collect(t)
 		m.record(t, again, m.core.WaitOwner(m.now, again))
 		return
@@ -136,19 +136,19 @@
 		if i > 8 {
 			j.Caller = ident.Caller("cool" + strconv.Itoa(i))
 		}
-		k := &Ticket{Job: j}
-		m.record(t, k, m.core.Offer(m.now, k))
+		tk := &Ticket{Job: j}
+		m.record(t, tk, m.core.Offer(m.now, tk))
 	}
 }
 
 // started checks the rules on where and when a request may start.
-func (m *machine) started(t *rapid.T, k *Ticket) {
-	m.decided[k]++
-	m.running = append(m.running, k)
-	s := k.Server()
-	assert.Assert(t, k.Job.Deadline.After(m.now), "started after its deadline")
-	if k.Job.Server != "" {
-		assert.Equal(t, s, k.Job.Server, "a key's request was sent to another server than its owner")
+func (m *machine) started(t *rapid.T, tk *Ticket) {
+	m.decided[tk]++
+	m.running = append(m.running, tk)
+	s := tk.Server()
+	assert.Assert(t, tk.Job.Deadline.After(m.now), "started after its deadline")
+	if tk.Job.Server != "" {
+		assert.Equal(t, s, tk.Job.Server, "a key's request was sent to another server than its owner")
 	} else {
 		assert.Assert(t, !m.draining[s], "new request sent to a draining server")
 	}
@@ -158,8 +158,8 @@
 	} else {
 		assert.Assert(t, srv.running <= m.maxRunning[s], "more than slots+1 requests running")
 	}
-	if k.sizeKind == sizes.Long && m.core.classifier.Mixed(m.now) {
-		assert.Assert(t, k.Job.Server == "" || srv.runningLong <= max(srv.info.Slots/2, 1), "long requests on more than half the slots")
+	if tk.sizeKind == sizes.Long && m.core.classifier.Mixed(m.now) {
+		assert.Assert(t, tk.Job.Server == "" || srv.runningLong <= max(srv.info.Slots/2, 1), "long requests on more than half the slots")
 	}
 	assert.Assert(t, srv.running <= srv.connPool.Max(m.now), "more requests than connections")
 }
@@ -169,21 +169,21 @@
 		t.Skip("no request is running")
 	}
 	i := rapid.IntRange(0, len(m.running)-1).Draw(t, "which")
-	k := m.running[i]
+	tk := m.running[i]
 	m.running = append(m.running[:i], m.running[i+1:]...)
 	out := rapid.SampledFrom([]Outcome{
 		{}, {}, {Kind: kinds.Unknown}, {Kind: kinds.Busy, Refused: true}, Cancel(),
 	}).Draw(t, "outcome")
-	m.core.Done(m.now, k, out)
-	m.core.Done(m.now, k, out) // the second call must change nothing
+	m.core.Done(m.now, tk, out)
+	m.core.Done(m.now, tk, out) // the second call must change nothing
 	m.collect(t)
 }
 
 func (m *machine) Abandon(t *rapid.T) {
-	for k := range m.waiting {
-		delete(m.waiting, k)
-		m.decided[k]++
-		m.core.Abandon(m.now, k)
+	for tk := range m.waiting {
+		delete(m.waiting, tk)
+		m.decided[tk]++
+		m.core.Abandon(m.now, tk)
 		m.collect(t)
 		return
 	}
@@ -229,15 +229,15 @@
 }
 
 func (m *machine) collect(t *rapid.T) {
-	for _, k := range m.core.Ready() {
-		assert.Assert(t, m.waiting[k], "decided without waiting")
-		delete(m.waiting, k)
-		if k.state == stateStarted {
-			m.started(t, k)
+	for _, tk := range m.core.Ready() {
+		assert.Assert(t, m.waiting[tk], "decided without waiting")
+		delete(m.waiting, tk)
+		if tk.state == stateStarted {
+			m.started(t, tk)
 			continue
 		}
-		m.decided[k]++
-		kind, after := k.Refusal()
+		m.decided[tk]++
+		kind, after := tk.Refusal()
 		assert.Assert(t, kind.Answer().Ran == kinds.RanNo, "refused as %v", kind)
 		assert.Assert(t, after > 0, "refused without a retry time")
 	}
@@ -249,9 +249,9 @@
 	st := m.core.Stats(m.now)
 	assert.Equal(t, st.Waiting+st.Held, len(m.waiting))
 	assert.Assert(t, st.Held <= m.core.cfg.MaxHeld, "more held than the bound")
-	for k, n := range m.decided {
+	for tk, n := range m.decided {
 		assert.Equal(t, n, 1, "decided twice")
-		assert.Assert(t, !m.waiting[k])
+		assert.Assert(t, !m.waiting[tk])
 	}
 	if m.core.shared.bySize[0].q.Len() > 0 {
 		assert.Equal(t, m.core.available.Len(), 0, "a free slot while a request is queued")
@@ -292,21 +292,21 @@
 		for range 60 {
 			now = now.Add(time.Millisecond)
 			if rapid.Bool().Draw(t, "offer") && len(naive) < 4 {
-				k := &Ticket{Job: Job{Size: 1, Deadline: now.Add(time.Hour)}}
-				if c.Offer(now, k) == Start {
+				tk := &Ticket{Job: Job{Size: 1, Deadline: now.Add(time.Hour)}}
+				if c.Offer(now, tk) == Start {
 					assert.Equal(t, len(naive), 0)
-					running = append(running, k)
+					running = append(running, tk)
 				} else {
-					naive = append(naive, k)
+					naive = append(naive, tk)
 				}
 			} else if len(running) > 0 {
 				c.Done(now, running[0], Outcome{Latency: 5 * time.Millisecond})
 				running = running[1:]
 			}
-			for _, k := range c.Ready() {
-				assert.Equal(t, k, naive[0])
+			for _, tk := range c.Ready() {
+				assert.Equal(t, tk, naive[0])
 				naive = naive[1:]
-				running = append(running, k)
+				running = append(running, tk)
 			}
 		}
 	})
@@ -319,17 +319,17 @@
 	c.SetServers(begin, []ServerInfo{{Name: "a", Slots: 1, Conns: 10}, {Name: "b", Slots: 1, Conns: 10}})
 	var waiting []*Ticket
 	for range 8 {
-		k := &Ticket{Job: Job{Key: "k", Server: "a", Deadline: begin.Add(time.Second)}}
-		if c.Offer(begin, k) == Wait {
-			waiting = append(waiting, k)
+		tk := &Ticket{Job: Job{Key: "k", Server: "a", Deadline: begin.Add(time.Second)}}
+		if c.Offer(begin, tk) == Wait {
+			waiting = append(waiting, tk)
 		}
 	}
 	assert.Assert(t, len(waiting) > 0)
 	c.SetServers(begin, []ServerInfo{{Name: "b", Slots: 1, Conns: 10}})
 	got := c.Ready()
 	assert.Equal(t, len(got), len(waiting))
-	for _, k := range got {
-		kind, after := k.Refusal()
+	for _, tk := range got {
+		kind, after := tk.Refusal()
 		assert.Equal(t, kind, kinds.NoOwner)
 		assert.Assert(t, after > 0)
 	}
@@ -344,13 +344,13 @@
 	retries := 0
 	for i := range first {
 		now := begin.Add(time.Duration(i) * time.Millisecond)
-		k := &Ticket{Job: Job{Size: 1, Deadline: now.Add(time.Second)}}
-		assert.Equal(t, c.Offer(now, k), Start)
+		tk := &Ticket{Job: Job{Size: 1, Deadline: now.Add(time.Second)}}
+		assert.Equal(t, c.Offer(now, tk), Start)
 		out := Outcome{Kind: kinds.Busy, Refused: true}
-		if c.MayRetry(now, k, out) {
+		if c.MayRetry(now, tk, out) {
 			retries++
 		}
-		c.Done(now, k, out)
+		c.Done(now, tk, out)
 	}
 	assert.Assert(t, retries >= first/20 && retries <= first/10+10, "%d retries", retries)
 }
--- a/internal/load/gate/fairness_test.go
+++ b/internal/load/gate/fairness_test.go
@@ -37,95 +37,95 @@
 }
 
 func newServerSim(slots int, seed uint64) *serverSim {
-	m := &serverSim{
+	s := &serverSim{
 		core: NewCore(Config{Seed: seed + 1}), now: begin, slots: slots, rng: rand.New(rand.NewPCG(seed, 1)),
 		streamOf: map[*Ticket]*stream{}, endsAt: map[*Ticket]time.Time{},
 	}
-	m.core.SetServers(begin, []ServerInfo{{Name: "a", Slots: slots, Conns: 100}})
-	return m
+	s.core.SetServers(begin, []ServerInfo{{Name: "a", Slots: slots, Conns: 100}})
+	return s
 }
 
-func (m *serverSim) run(d time.Duration, flows []*stream) {
-	for until := m.now.Add(d); m.now.Before(until); {
-		m.now = m.now.Add(time.Millisecond)
-		m.core.Tick(m.now)
-		m.collect()
-		for _, f := range flows {
-			for n := f.rate; n > 0 && m.rng.Float64() < n; n-- {
-				m.offer(f)
+func (s *serverSim) run(d time.Duration, streams []*stream) {
+	for until := s.now.Add(d); s.now.Before(until); {
+		s.now = s.now.Add(time.Millisecond)
+		s.core.Tick(s.now)
+		s.collect()
+		for _, st := range streams {
+			for n := st.rate; n > 0 && s.rng.Float64() < n; n-- {
+				s.offer(st)
 			}
 		}
-		m.finishDue()
+		s.finishDue()
 	}
 }
 
-func (m *serverSim) offer(f *stream) {
-	f.offered++
-	k := &Ticket{Job: f.job}
-	k.Job.Deadline = m.now.Add(f.timeLimit)
-	m.streamOf[k] = f
-	if m.core.Offer(m.now, k) == Start {
-		m.enqueue(k)
+func (s *serverSim) offer(st *stream) {
+	st.offered++
+	tk := &Ticket{Job: st.job}
+	tk.Job.Deadline = s.now.Add(st.timeLimit)
+	s.streamOf[tk] = st
+	if s.core.Offer(s.now, tk) == Start {
+		s.enqueue(tk)
 	}
-	m.collect()
+	s.collect()
 }
 
-func (m *serverSim) collect() {
-	for _, k := range m.core.Ready() {
-		if k.state == stateStarted {
-			m.enqueue(k)
+func (s *serverSim) collect() {
+	for _, tk := range s.core.Ready() {
+		if tk.state == stateStarted {
+			s.enqueue(tk)
 		}
 	}
 }
 
-func (m *serverSim) enqueue(k *Ticket) {
-	m.queue = append(m.queue, k)
-	m.serve()
+func (s *serverSim) enqueue(tk *Ticket) {
+	s.queue = append(s.queue, tk)
+	s.serve()
 }
 
-func (m *serverSim) serve() {
-	for len(m.endsAt) < m.slots && len(m.queue) > 0 {
-		k := m.queue[0]
-		m.queue = m.queue[1:]
-		m.endsAt[k] = m.now.Add(m.streamOf[k].serviceTime)
+func (s *serverSim) serve() {
+	for len(s.endsAt) < s.slots && len(s.queue) > 0 {
+		tk := s.queue[0]
+		s.queue = s.queue[1:]
+		s.endsAt[tk] = s.now.Add(s.streamOf[tk].serviceTime)
 	}
 }
 
-func (m *serverSim) finishDue() {
+func (s *serverSim) finishDue() {
 	var over []*Ticket
-	for k, at := range m.endsAt {
-		if !at.After(m.now) {
-			over = append(over, k)
+	for tk, at := range s.endsAt {
+		if !at.After(s.now) {
+			over = append(over, tk)
 		}
 	}
-	for _, k := range over {
-		f := m.streamOf[k]
-		delete(m.endsAt, k)
-		delete(m.streamOf, k)
-		f.served++
-		f.servedTime += f.serviceTime
-		m.busyTime += f.serviceTime
-		m.serve()
-		m.core.Done(m.now, k, Outcome{})
-		m.collect()
+	for _, tk := range over {
+		st := s.streamOf[tk]
+		delete(s.endsAt, tk)
+		delete(s.streamOf, tk)
+		st.served++
+		st.servedTime += st.serviceTime
+		s.busyTime += st.serviceTime
+		s.serve()
+		s.core.Done(s.now, tk, Outcome{})
+		s.collect()
 	}
 }
 
-func (f *stream) resetCounts() { f.offered, f.served, f.servedTime = 0, 0, 0 }
+func (st *stream) resetCounts() { st.offered, st.served, st.servedTime = 0, 0, 0 }
 
 const (
 	warmUpTime  = time.Second
 	measureTime = 3 * time.Second
 )
 
-func (m *serverSim) measure(flows ...*stream) (busy float64) {
-	m.run(warmUpTime, flows)
-	for _, f := range flows {
-		f.resetCounts()
+func (s *serverSim) measure(streams ...*stream) (busy float64) {
+	s.run(warmUpTime, streams)
+	for _, st := range streams {
+		st.resetCounts()
 	}
-	m.busyTime = 0
-	m.run(measureTime, flows)
-	return m.busyTime.Seconds() / (measureTime.Seconds() * float64(m.slots))
+	s.busyTime = 0
+	s.run(measureTime, streams)
+	return s.busyTime.Seconds() / (measureTime.Seconds() * float64(s.slots))
 }
 
 // Guards against a hot caller, at one to five times the capacity, that crowds out a
@@ -134,7 +134,7 @@
 func TestAModestCallerIsServedBesideAHotOne(t *testing.T) {
 	seeds.Check(t, func(t *rapid.T) {
 		slots := rapid.IntRange(2, 4).Draw(t, "slots")
-		m := newServerSim(slots, rapid.Uint64().Draw(t, "seed"))
+		s := newServerSim(slots, rapid.Uint64().Draw(t, "seed"))
 		capacity := float64(slots) / 8
 		modest := &stream{
 			job: Job{Caller: "modest", Size: 1}, serviceTime: 8 * time.Millisecond, timeLimit: 250 * time.Millisecond,
@@ -144,7 +144,7 @@
 			job: Job{Caller: "hot", Size: 1}, serviceTime: 8 * time.Millisecond, timeLimit: 250 * time.Millisecond,
 			rate: capacity * rapid.Float64Range(1, 5).Draw(t, "hot"),
 		}
-		busy := m.measure(modest, hot)
+		busy := s.measure(modest, hot)
 		assert.Assert(t, float64(modest.served) >= minModestShare*float64(modest.offered), "%d of %d", modest.served, modest.offered)
 		assert.Assert(t, busy >= minBusyShare, "busy %.3f", busy)
 	})
@@ -155,19 +155,19 @@
 func TestNoClassStarves(t *testing.T) {
 	seeds.Check(t, func(t *rapid.T) {
 		slots := rapid.IntRange(2, 4).Draw(t, "slots")
-		m := newServerSim(slots, rapid.Uint64().Draw(t, "seed"))
-		var flows []*stream
+		s := newServerSim(slots, rapid.Uint64().Draw(t, "seed"))
+		var streams []*stream
 		for class := range Classes {
-			flows = append(flows, &stream{
+			streams = append(streams, &stream{
 				job:         Job{Caller: ident.Caller([]string{"n", "h", "l"}[class]), Class: class, Size: 1},
 				serviceTime: 8 * time.Millisecond, timeLimit: 250 * time.Millisecond,
 				rate: float64(slots) / 8 * rapid.Float64Range(1, 3).Draw(t, "rate"),
 			})
 		}
-		m.measure(flows...)
-		ran := flows[0].served + flows[1].served + flows[2].served
-		for _, f := range flows {
-			assert.Assert(t, float64(f.served) >= minClassShare*float64(ran), "class %d: %d of %d", f.job.Class, f.served, ran)
+		s.measure(streams...)
+		ran := streams[0].served + streams[1].served + streams[2].served
+		for _, st := range streams {
+			assert.Assert(t, float64(st.served) >= minClassShare*float64(ran), "class %d: %d of %d", st.job.Class, st.served, ran)
 		}
 	})
 }
@@ -177,7 +177,7 @@
 func TestNeitherLongNorShortStarves(t *testing.T) {
 	seeds.Check(t, func(t *rapid.T) {
 		slots := rapid.IntRange(2, 4).Draw(t, "slots")
-		m := newServerSim(slots, rapid.Uint64().Draw(t, "seed"))
+		s := newServerSim(slots, rapid.Uint64().Draw(t, "seed"))
 		keyed := rapid.Bool().Draw(t, "keyed")
 		short := &stream{
 			job: Job{Caller: "s", Size: 1}, serviceTime: 8 * time.Millisecond, timeLimit: 250 * time.Millisecond,
@@ -191,7 +191,7 @@
 			short.job.Key, short.job.Server = "k", "a"
 			long.job.Key, long.job.Server = "l", "a"
 		}
-		m.measure(long, short)
+		s.measure(long, short)
 		all := short.servedTime + long.servedTime
 		assert.Assert(t, short.servedTime.Seconds() >= minKindShare*all.Seconds(), "short: %v of %v", short.servedTime, all)
 		assert.Assert(t, long.servedTime.Seconds() >= minKindShare*all.Seconds(), "long: %v of %v", long.servedTime, all)
--- a/internal/load/gate/gate.go
+++ b/internal/load/gate/gate.go
@@ -165,7 +165,7 @@
 
 // Conns returns how many connections this entry VM may hold open to a server, and how
 // many of them to keep open while idle.
-func (g *Gate) Conns(s ident.Server) (most, warm int) {
+func (g *Gate) Conns(s ident.Server) (limit, idle int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.core.Conns(time.Now(), s)
--- a/internal/load/gate/hotkey_test.go
+++ b/internal/load/gate/hotkey_test.go
@@ -42,12 +42,12 @@
 func (h *hotKeySim) offerKey(c *Core, key ident.Key) *issuedRequest { return h.offerKeyTo(c, key, "s") }
 
 func (h *hotKeySim) offerKeyTo(c *Core, key ident.Key, owner ident.Server) *issuedRequest {
-	a := &issuedRequest{at: h.now}
-	a.ticket = &Ticket{Job: Job{Key: key, Server: owner, Idempotent: true, Deadline: h.now.Add(6 * time.Second)}, wake: make(chan struct{}, 1)}
-	if c.Offer(h.now, a.ticket) == Start {
-		h.arrive(c, a.ticket)
+	r := &issuedRequest{at: h.now}
+	r.ticket = &Ticket{Job: Job{Key: key, Server: owner, Idempotent: true, Deadline: h.now.Add(6 * time.Second)}, wake: make(chan struct{}, 1)}
+	if c.Offer(h.now, r.ticket) == Start {
+		h.arrive(c, r.ticket)
 	}
-	return a
+	return r
 }
 
 // warmUp gives a VM the answers from which it learns the service's latency.
@@ -89,10 +89,10 @@
 // refusedOtherKeys counts the requests for the owner's other keys in a span of the
 // simulation, and those of them that were refused.
 func (h *hotKeySim) refusedOtherKeys(from, to time.Duration) (n, of int) {
-	for _, a := range h.otherKeys {
-		if at := a.at.Sub(time.Unix(1000, 0)); at >= from && at < to {
+	for _, r := range h.otherKeys {
+		if at := r.at.Sub(time.Unix(1000, 0)); at >= from && at < to {
 			of++
-			if a.ticket.state == stateRefused {
+			if r.ticket.state == stateRefused {
 				n++
 			}
 		}
@@ -132,18 +132,18 @@
 // Guards against an owner overrun by all VMs at once because a hot key has moved to it.
 func TestHotKeyStaysPacedAtItsNextOwner(t *testing.T) {
 	h := newHotKeySim()
-	ask := func(owner ident.Server) (over int) {
+	run := func(owner ident.Server) (refused int) {
 		for ms := range 1000 {
 			if ms%hotIntervalMS == 0 {
 				h.offerKeyTo(h.cores[(ms/hotIntervalMS*7)%vmCount], "hot", owner)
 			}
 			h.step()
 		}
-		over, h.refused = h.refused, 0
+		refused, h.refused = h.refused, 0
 		h.finishAll()
-		return over
+		return refused
 	}
-	ask("s")
-	over := ask("other")
-	assert.Assert(t, over < vmCount/10, "%d refused by the next owner", over)
+	run("s")
+	refused := run("other")
+	assert.Assert(t, refused < vmCount/10, "%d refused by the next owner", refused)
 }
--- a/internal/load/gate/keypace.go
+++ b/internal/load/gate/keypace.go
@@ -47,11 +47,11 @@
 type keyPace struct {
 	interval    time.Duration
 	lastStart   time.Time // when the last request was started
-	lastRequest time.Time // when a caller last asked for the key
+	lastRequest time.Time // when a caller last sent a request for the key
 }
 
 // nextStart returns when the next request may start.
-func (s *keyPace) nextStart() time.Time { return s.lastStart.Add(s.interval) }
+func (p *keyPace) nextStart() time.Time { return p.lastStart.Add(p.interval) }
 
 // keyPaceSet holds the paces of a service's keys, whoever owns them: a hot key that
 // moves is as hot at its next owner. The zero value is ready to use. Its size grows
@@ -97,7 +97,7 @@
 }
 
 // delay returns how long a request for the key has to wait, and records that a caller
-// asked for the key.
+// sent a request for the key.
 func (s *keyPaceSet) delay(now time.Time, key fair.Flow) time.Duration {
 	p := s.find(now, key)
 	if p == nil {
@@ -120,7 +120,7 @@
 	return c.share.VMs > maxUnpacedVMsPerSlot*max(s.info.Slots, 1)
 }
 
-// evenInterval returns the interval that gives each VM the same part of the server's
+// evenInterval returns the interval between starts that gives each VM the same part of the server's
 // capacity.
 func (c *Core) evenInterval(s *server) time.Duration {
 	work := cmp.Or(s.workTime, c.typicalLatency(s.limitKind)) // the server may have answered only other VMs
--- a/internal/load/gate/lostowner_test.go
+++ b/internal/load/gate/lostowner_test.go
@@ -23,32 +23,32 @@
 func (l *lostOwnerSim) offerSlice(slice int) {
 	j := l.job(ident.Caller("caller-"+strconv.Itoa(slice)), 3*time.Second)
 	j.Slice, j.Key, j.MaxOwnerWait = ident.Slice(slice), ident.Key(strconv.Itoa(slice)), 2*time.Second
-	k := &Ticket{Job: j}
-	switch l.core.Offer(l.now, k) {
+	tk := &Ticket{Job: j}
+	switch l.core.Offer(l.now, tk) {
 	case Start:
-		l.failAttempt(k)
+		l.failAttempt(tk)
 	case Refuse:
-		kind, _ := k.Refusal()
+		kind, _ := tk.Refusal()
 		assert.Equal(l.t, kind, kinds.NoServer)
-		again := &Ticket{Job: k.Job.NextAttempt("")}
+		again := &Ticket{Job: tk.Job.NextAttempt("")}
 		assert.Equal(l.t, l.core.WaitOwner(l.now, again), Wait)
 	default:
 	}
 }
 
 // failAttempt ends an attempt at the lost owner 5 ms later.
-func (l *lostOwnerSim) failAttempt(k *Ticket) {
+func (l *lostOwnerSim) failAttempt(tk *Ticket) {
 	l.failed++
 	l.failStarted(l.advance(5 * time.Millisecond))
-	l.core.Done(l.now, k, Outcome{Kind: kinds.NoServer})
-	l.core.WaitOwner(l.now, &Ticket{Job: k.Job.NextAttempt("")})
+	l.core.Done(l.now, tk, Outcome{Kind: kinds.NoServer})
+	l.core.WaitOwner(l.now, &Ticket{Job: tk.Job.NextAttempt("")})
 }
 
 func (l *lostOwnerSim) failStarted(decided []*Ticket) {
-	for _, k := range decided {
-		kind, _ := k.Refusal()
+	for _, tk := range decided {
+		kind, _ := tk.Refusal()
 		assert.Equal(l.t, kind, kinds.None, "refused at %v", l.now.Sub(begin))
-		l.failAttempt(k)
+		l.failAttempt(tk)
 	}
 }
 
--- a/internal/load/gate/move.go
+++ b/internal/load/gate/move.go
@@ -65,8 +65,8 @@
 	if c.closed {
 		return c.refuse(t, kinds.Closing, time.Second)
 	}
-	if p, ok := c.lookupOwner(t.Job.Key); ok && p != t.Job.owner() {
-		t.Job.setOwner(p)
+	if owner, ok := c.lookupOwner(t.Job.Key); ok && owner != t.Job.owner() {
+		t.Job.setOwner(owner)
 		return c.route(now, t)
 	}
 	return c.waitForOwner(now, t)
@@ -85,9 +85,9 @@
 // refuseFailing refuses a request whose key's owner is failing. If the owner could not
 // be reached and the request was already waiting for the next owner, it goes on
 // waiting: it was only a probe, and found another one in progress.
-func (c *Core) refuseFailing(now time.Time, t *Ticket, fault kinds.Kind, wait time.Duration) Verdict {
-	if t.Job.ownerMissingSince.IsZero() || fault != kinds.NoServer {
-		return c.refuse(t, fault, c.retryAfter(wait))
+func (c *Core) refuseFailing(now time.Time, t *Ticket, failure kinds.Kind, wait time.Duration) Verdict {
+	if t.Job.ownerMissingSince.IsZero() || failure != kinds.NoServer {
+		return c.refuse(t, failure, c.retryAfter(wait))
 	}
 	return c.waitForOwner(now, t)
 }
@@ -127,9 +127,9 @@
 }
 
 // scheduleProbe sets the time of the server's next probe, after one was sent now.
-func (a *probePacer) scheduleProbe(now time.Time) {
-	a.delay = max(min(2*a.delay, maxProbeDelay), firstProbeDelay)
-	a.next = now.Add(a.delay)
+func (p *probePacer) scheduleProbe(now time.Time) {
+	p.delay = max(min(2*p.delay, maxProbeDelay), firstProbeDelay)
+	p.next = now.Add(p.delay)
 }
 
 // probeTime returns when the queue may send its next probe, given the probes of its
@@ -164,7 +164,7 @@
 	c.resendAll(now, tickets, false)
 }
 
-// takeProbe appends the oldest request of the queue to all, to be sent as a probe,
+// takeProbe appends the oldest request of the queue to tickets, to be sent as a probe,
 // unless the retry budget does not allow it.
 func (c *Core) takeProbe(now time.Time, q *moveQueue, tickets []*Ticket) []*Ticket {
 	c.scheduleProbe(now, q)
@@ -239,8 +239,8 @@
 	}
 	var tickets []*Ticket
 	c.moveQueues.retain(func(q *moveQueue) bool {
-		p, ok := c.ownerLookup(q.key)
-		if ok && p != q.owner {
+		owner, ok := c.ownerLookup(q.key)
+		if ok && owner != q.owner {
 			c.moveQueues.observeDuration(now, q)
 			tickets = append(tickets, c.takeAll(q)...)
 			return false
@@ -272,7 +272,7 @@
 	var tickets []*Ticket
 	for k := range s.ownLanes.bySize {
 		s.ownLanes.bySize[k].q.Each(func(t *Ticket) {
-			if p, ok := c.ownerLookup(t.Job.Key); ok && p.Server != s.info.Name {
+			if owner, ok := c.ownerLookup(t.Job.Key); ok && owner.Server != s.info.Name {
 				tickets = append(tickets, t)
 			}
 		})
@@ -289,8 +289,8 @@
 func (c *Core) resendAll(now time.Time, tickets []*Ticket, moved bool) {
 	slices.SortStableFunc(tickets, func(a, b *Ticket) int { return a.Job.arrivedAt.Compare(b.Job.arrivedAt) })
 	for _, t := range tickets {
-		if p, ok := c.lookupOwner(t.Job.Key); ok {
-			t.Job.setOwner(p)
+		if owner, ok := c.lookupOwner(t.Job.Key); ok {
+			t.Job.setOwner(owner)
 		}
 		if moved && t.Job.extraAttempt && !c.chargeResend() {
 			c.refuseWaiting(t, kinds.Moving, c.retryAfter(0))
@@ -338,7 +338,7 @@
 	}
 }
 
-// probeOwners sends the probes that are due: the oldest request of each such queue, of
+// probeOwners sends the oldest request of each queue with a due probe to its owner, from
 // one queue for each server.
 func (c *Core) probeOwners(now time.Time) {
 	if c.probeAt.IsZero() || now.Before(c.probeAt) {
--- a/internal/load/gate/move_test.go
+++ b/internal/load/gate/move_test.go
@@ -63,19 +63,19 @@
 
 // refuseProbes advances the time while the owner refuses every probe, and returns their
 // number.
-func (m *moveSim) refuseProbes(t *testing.T, d time.Duration) (asked int) {
+func (m *moveSim) refuseProbes(t *testing.T, d time.Duration) (probes int) {
 	t.Helper()
 	for until := m.now.Add(d); m.now.Before(until); {
-		for _, k := range m.advance(time.Millisecond) {
-			if kind, _ := k.Refusal(); kind != kinds.None {
+		for _, tk := range m.advance(time.Millisecond) {
+			if kind, _ := tk.Refusal(); kind != kinds.None {
 				continue
 			}
-			asked++
-			m.core.Done(m.now, k, Outcome{Kind: kinds.Misrouted, Refused: true})
-			m.core.WaitOwner(m.now, &Ticket{Job: k.Job.NextAttempt("")})
+			probes++
+			m.core.Done(m.now, tk, Outcome{Kind: kinds.Misrouted, Refused: true})
+			m.core.WaitOwner(m.now, &Ticket{Job: tk.Job.NextAttempt("")})
 		}
 	}
-	return asked
+	return probes
 }
 
 // Guards against a request refused because its key is moving, and against two owners
@@ -116,13 +116,13 @@
 		for i := range rapid.IntRange(1, 20).Draw(t, "requests") {
 			m.now = m.now.Add(time.Millisecond / 4)
 			c := ident.Caller("c" + strconv.Itoa(i))
-			k, v := m.offerMisrouted(c, time.Hour)
+			tk, v := m.offerMisrouted(c, time.Hour)
 			if i > 0 && rapid.Bool().Draw(t, "new") {
-				m.core.Abandon(m.now, k)
-				k, v = m.offer(c, time.Hour)
+				m.core.Abandon(m.now, tk)
+				tk, v = m.offer(c, time.Hour)
 			}
 			assert.Equal(t, v, Wait)
-			asked = append(asked, k)
+			asked = append(asked, tk)
 		}
 		m.owner = Owner{Server: "b", Slice: 1, Epoch: 2}
 		m.core.OwnersChanged(m.now)
@@ -132,9 +132,9 @@
 			assert.Assert(t, len(got) > 0, "%d of %d ran", len(ran), len(asked))
 			ran = append(ran, got...)
 			m.now = m.now.Add(time.Millisecond)
-			for _, k := range ran[len(ran)-len(got):] {
-				assert.Equal(t, k.Server(), ident.Server("b"))
-				m.core.Done(m.now, k, Outcome{Latency: time.Millisecond})
+			for _, tk := range ran[len(ran)-len(got):] {
+				assert.Equal(t, tk.Server(), ident.Server("b"))
+				m.core.Done(m.now, tk, Outcome{Latency: time.Millisecond})
 			}
 		}
 		assert.DeepEqual(t, callersOf(ran), callersOf(asked))
@@ -144,8 +144,8 @@
 
 func callersOf(all []*Ticket) []ident.Caller {
 	var names []ident.Caller
-	for _, k := range all {
-		names = append(names, k.Job.Caller)
+	for _, tk := range all {
+		names = append(names, tk.Job.Caller)
 	}
 	return names
 }
@@ -160,8 +160,8 @@
 		_, v := m.offerMisrouted(ident.Caller(strconv.Itoa(i)), time.Hour)
 		assert.Equal(t, v, Wait)
 	}
-	asked := m.refuseProbes(t, 10*maxProbeDelay)
-	assert.Assert(t, asked >= 10 && asked <= 12, "%d probes", asked)
+	probes := m.refuseProbes(t, 10*maxProbeDelay)
+	assert.Assert(t, probes >= 10 && probes <= 12, "%d probes", probes)
 	assert.Equal(t, m.core.Stats(m.now).Held, 50)
 	var got []*Ticket
 	for len(got) == 0 {
@@ -201,8 +201,8 @@
 	m := newMoveSim(100)
 	j := m.job("c", time.Hour)
 	j.MaxOwnerWait = 300 * time.Millisecond
-	k := &Ticket{Job: j.NextAttempt("")}
-	assert.Equal(t, m.core.WaitOwner(m.now, k), Wait)
+	tk := &Ticket{Job: j.NextAttempt("")}
+	assert.Equal(t, m.core.WaitOwner(m.now, tk), Wait)
 	for {
 		got := m.advance(time.Millisecond)
 		if len(got) == 0 {
@@ -213,8 +213,8 @@
 			break
 		}
 		m.core.Done(m.now, got[0], Outcome{Kind: kinds.Misrouted, Refused: true})
-		k = &Ticket{Job: got[0].Job.NextAttempt("")}
-		if m.core.WaitOwner(m.now, k) == Refuse {
+		tk = &Ticket{Job: got[0].Job.NextAttempt("")}
+		if m.core.WaitOwner(m.now, tk) == Refuse {
 			break
 		}
 	}
@@ -248,9 +248,9 @@
 	young, v := m.offer("young", time.Hour)
 	assert.Equal(t, v, Start)
 	for i := range 4 {
-		k := &Ticket{Job: m.job(ident.Caller(strconv.Itoa(i)), time.Hour).NextAttempt("")}
-		k.Job.arrivedAt, k.Job.ownerMissingSince = begin.Add(-time.Second), begin
-		assert.Equal(t, m.core.WaitOwner(m.now, k), Wait)
+		tk := &Ticket{Job: m.job(ident.Caller(strconv.Itoa(i)), time.Hour).NextAttempt("")}
+		tk.Job.arrivedAt, tk.Job.ownerMissingSince = begin.Add(-time.Second), begin
+		assert.Equal(t, m.core.WaitOwner(m.now, tk), Wait)
 	}
 	m.now = m.now.Add(time.Millisecond)
 	back := &Ticket{Job: young.Job.NextAttempt("")}
@@ -311,15 +311,15 @@
 		j.Slice = ident.Slice(i)
 		await(j)
 	}
-	asked := 0
+	probes := 0
 	for until := m.now.Add(20 * maxProbeDelay); m.now.Before(until); {
-		for _, k := range m.advance(time.Millisecond) {
-			asked++
-			m.core.Done(m.now, k, Outcome{Kind: kinds.Misrouted, Refused: true})
-			await(k.Job)
+		for _, tk := range m.advance(time.Millisecond) {
+			probes++
+			m.core.Done(m.now, tk, Outcome{Kind: kinds.Misrouted, Refused: true})
+			await(tk.Job)
 		}
 	}
-	assert.Assert(t, asked >= 20 && asked <= 23, "%d probes", asked)
+	assert.Assert(t, probes >= 20 && probes <= 23, "%d probes", probes)
 
 	var got []*Ticket
 	for len(got) == 0 {
--- a/internal/load/gate/movequeue.go
+++ b/internal/load/gate/movequeue.go
@@ -10,22 +10,22 @@
 // moveQueue holds the requests of a slice, or of a key with an owner of its own, while
 // it is between owners.
 type moveQueue struct {
-	key        ident.Key // of the first request, for the owner lookup
-	owner      Owner     // the owner that refused last
-	since      time.Time
-	refusedAt  time.Time // when it refused
-	probeAt    time.Time // when a waiting request is sent as a probe
-	probeDelay time.Duration
-	waiting    []*Ticket // in order of arrival
+	key        ident.Key     // of the first request, for the owner lookup
+	owner      Owner         // the owner that refused last
+	since      time.Time     // when the move was first noticed
+	refusedAt  time.Time     // when that owner refused
+	probeAt    time.Time     // when a waiting request is sent as a probe
+	probeDelay time.Duration // between the last two probes
+	waiting    []*Ticket     // in order of arrival
 }
 
 // moveQueueSet holds all move queues of a service, by slice or by key.
 type moveQueueSet struct {
 	bySlice      map[ident.Slice]*moveQueue
 	byKey        map[ident.Key]*moveQueue
-	perCaller    map[ident.Caller]int // number of waiting requests
-	n            int
-	lossDuration time.Duration // average duration of recent moves after a loss
+	perCaller    map[ident.Caller]int // number of waiting requests of each caller
+	n            int                  // number of waiting requests
+	lossDuration time.Duration        // average duration of recent moves after a loss
 }
 
 // find returns the move queue for a request, or nil if there is none.
--- a/internal/load/gate/reestimate_test.go
+++ b/internal/load/gate/reestimate_test.go
@@ -18,12 +18,12 @@
 	c.SetServers(begin, []ServerInfo{{Name: "a", Slots: 1, Conns: 1}, {Name: "b", Slots: 1, Conns: 1}})
 	now := begin
 	for i := range 200 {
-		k := keyTicket(ident.Server([]string{"a", "b"}[i%2]), now, time.Second)
-		if c.Offer(now, k) != Start {
+		tk := keyTicket(ident.Server([]string{"a", "b"}[i%2]), now, time.Second)
+		if c.Offer(now, tk) != Start {
 			panic("not idle")
 		}
 		now = now.Add(8 * time.Millisecond)
-		c.Done(now, k, Outcome{Latency: 8 * time.Millisecond})
+		c.Done(now, tk, Outcome{Latency: 8 * time.Millisecond})
 	}
 	return c, now
 }
@@ -42,26 +42,26 @@
 	assert.Equal(t, c.Offer(now, keyTicket("a", now, 250*time.Millisecond)), Start)
 	var waiting []*Ticket
 	for range 4 {
-		k := keyTicket("a", now, 250*time.Millisecond)
-		assert.Equal(t, c.Offer(now, k), Wait)
-		waiting = append(waiting, k)
+		tk := keyTicket("a", now, 250*time.Millisecond)
+		assert.Equal(t, c.Offer(now, tk), Wait)
+		waiting = append(waiting, tk)
 	}
 	at := map[*Ticket]time.Duration{}
 	for now.Sub(froze) < 200*time.Millisecond {
 		now = now.Add(time.Millisecond)
 		c.Tick(now)
-		for _, k := range c.Ready() {
-			kind, after := k.Refusal()
+		for _, tk := range c.Ready() {
+			kind, after := tk.Refusal()
 			assert.Equal(t, kind, kinds.DeadlineMissed)
 			assert.Assert(t, after > 0)
-			at[k] = now.Sub(froze)
+			at[tk] = now.Sub(froze)
 		}
 	}
 	assert.Equal(t, len(at), len(waiting))
-	for i, k := range waiting {
+	for i, tk := range waiting {
 		known := (250*time.Millisecond - time.Duration(deadlineMargin+i+1)*8*time.Millisecond) / 2
-		assert.Assert(t, at[k] <= known+reestimateInterval+3*time.Millisecond, "request %d refused after %v, known to be late after %v", i, at[k], known)
-		assert.Assert(t, at[k] >= known/2, "request %d refused too early, after %v", i, at[k])
+		assert.Assert(t, at[tk] <= known+reestimateInterval+3*time.Millisecond, "request %d refused after %v, known to be late after %v", i, at[tk], known)
+		assert.Assert(t, at[tk] >= known/2, "request %d refused too early, after %v", i, at[tk])
 	}
 	late := keyTicket("a", now, 250*time.Millisecond)
 	assert.Equal(t, c.Offer(now, late), Refuse, "a new request must be refused")
@@ -108,9 +108,9 @@
 func testFailingOwner(t *testing.T, out Outcome, want kinds.Kind) {
 	c, now := newKeyedCore()
 	for range 10 {
-		k := keyTicket("a", now, 250*time.Millisecond)
-		if c.Offer(now, k) == Start {
-			c.Done(now, k, out)
+		tk := keyTicket("a", now, 250*time.Millisecond)
+		if c.Offer(now, tk) == Start {
+			c.Done(now, tk, out)
 		}
 		now = now.Add(time.Millisecond)
 	}
@@ -143,9 +143,9 @@
 	}
 	assert.Equal(t, c.Stats(now).Servers[0].Limit, 1)
 	c.Report(now, "a", 0, 0)
-	k := lookup()
-	assert.Equal(t, c.Offer(now, k), Start)
-	c.Done(now, k, Outcome{Latency: 8 * time.Millisecond})
+	tk := lookup()
+	assert.Equal(t, c.Offer(now, tk), Start)
+	c.Done(now, tk, Outcome{Latency: 8 * time.Millisecond})
 	upload := lookup()
 	upload.Job.Size, upload.Job.Deadline = 1<<20, now.Add(10*time.Second)
 	if c.Offer(now, upload) == Wait {
@@ -166,9 +166,9 @@
 	c.SetServers(begin, []ServerInfo{{Name: "a", Slots: 4, Conns: 100}})
 	c.SetShare(begin, 10, 0)
 	now := begin
-	k := keyTicket("a", now, time.Second)
-	assert.Equal(t, c.Offer(now, k), Start)
-	c.Done(now, k, Outcome{Latency: 8 * time.Millisecond})
+	tk := keyTicket("a", now, time.Second)
+	assert.Equal(t, c.Offer(now, tk), Start)
+	c.Done(now, tk, Outcome{Latency: 8 * time.Millisecond})
 	c.Report(now, "a", 9, 0)
 	upload := keyTicket("a", now, time.Minute)
 	upload.Job.Size = 1 << 20
--- a/internal/load/gate/servers.go
+++ b/internal/load/gate/servers.go
@@ -209,8 +209,8 @@
 // SetShare sets how many entry VMs share the servers, and the index of this one.
 func (c *Core) SetShare(now time.Time, n, index int) {
 	c.share = sizes.Share{VMs: max(n, 1), Index: max(index, 0)}
-	if x := c.cfg.RetryBudget; x.Burst > 0 {
-		c.retryBudget.SetLimits(x.Share, x.Burst/float64(c.share.VMs))
+	if budget := c.cfg.RetryBudget; budget.Burst > 0 {
+		c.retryBudget.SetLimits(budget.Share, budget.Burst/float64(c.share.VMs))
 	}
 	for _, s := range c.servers {
 		s.connPool.Share(now, s.info.Conns, c.share.VMs)
@@ -230,7 +230,7 @@
 
 // Conns returns this VM's share of a server's connections, and how many of them to keep
 // open while idle.
-func (c *Core) Conns(now time.Time, name ident.Server) (most, warm int) {
+func (c *Core) Conns(now time.Time, name ident.Server) (limit, idle int) {
 	s := c.byName[name]
 	if s == nil {
 		return 0, 0
--- a/internal/load/gate/types.go
+++ b/internal/load/gate/types.go
@@ -59,7 +59,9 @@
 
 func (j *Job) owner() Owner { return Owner{j.Server, j.Slice, j.Epoch} }
 
-func (j *Job) setOwner(p Owner) { j.Server, j.Slice, j.Epoch = p.Server, p.Slice, p.Epoch }
+func (j *Job) setOwner(owner Owner) {
+	j.Server, j.Slice, j.Epoch = owner.Server, owner.Slice, owner.Epoch
+}
 
 // Outcome is the result of an attempt.
 type Outcome struct {
--- a/internal/load/gate/vmpause_test.go
+++ b/internal/load/gate/vmpause_test.go
@@ -21,20 +21,20 @@
 	c.SetShare(now, vms, 0)
 	var running []*Ticket
 	offer := func() {
-		k := &Ticket{Job: Job{Server: "a", Key: "k"}}
-		switch c.Offer(now, k) {
+		tk := &Ticket{Job: Job{Server: "a", Key: "k"}}
+		switch c.Offer(now, tk) {
 		case Start:
-			running = append(running, k)
+			running = append(running, tk)
 		case Refuse:
-			t.Errorf("refused as %s", k.refusalKind)
+			t.Errorf("refused as %s", tk.refusalKind)
 		default:
 		}
 	}
 	answer := func() {
 		done := running
 		running = nil
-		for _, k := range done {
-			c.Done(now, k, Outcome{Kind: kinds.None})
+		for _, tk := range done {
+			c.Done(now, tk, Outcome{Kind: kinds.None})
 		}
 		running = append(running, c.Ready()...)
 	}
@@ -76,13 +76,13 @@
 			}
 			c.SetServers(now, list)
 			serve := func(i int, took time.Duration) {
-				k := &Ticket{Job: Job{Server: serverName(i), Key: "k"}}
-				assert.Equal(t, c.Offer(now, k), Start)
+				tk := &Ticket{Job: Job{Server: serverName(i), Key: "k"}}
+				assert.Equal(t, c.Offer(now, tk), Start)
 				now = now.Add(took)
 				if took > DisplaceWindow && !readFirst {
 					c.Tick(now)
 				}
-				c.Done(now, k, Outcome{Kind: kinds.None})
+				c.Done(now, tk, Outcome{Kind: kinds.None})
 				c.Tick(now)
 			}
 			for i := range 300 {
@@ -105,10 +105,10 @@
 	c, now := NewCore(Config{Seed: 7}), begin
 	c.SetServers(now, []ServerInfo{{Name: "a", Slots: 2, Conns: 45}, {Name: "b", Slots: 2, Conns: 45}, {Name: "c", Slots: 2, Conns: 45}})
 	for range 100 {
-		k := &Ticket{Job: Job{Server: "a", Key: "k"}}
-		assert.Equal(t, c.Offer(now, k), Start)
+		tk := &Ticket{Job: Job{Server: "a", Key: "k"}}
+		assert.Equal(t, c.Offer(now, tk), Start)
 		now = now.Add(6 * time.Millisecond)
-		c.Done(now, k, Outcome{Kind: kinds.None})
+		c.Done(now, tk, Outcome{Kind: kinds.None})
 		c.Tick(now)
 	}
 	assert.Equal(t, c.Offer(now, &Ticket{Job: Job{Server: "a", Key: "k"}}), Start)
