--- a/internal/load/gate/bench_test.go
+++ b/internal/load/gate/bench_test.go
@@ -20,26 +20,26 @@
 	return c
 }
 
-// BenchmarkAdmit is a request that starts at once, and its end.
+// BenchmarkAdmit starts and ends one request at a time.
 func BenchmarkAdmit(b *testing.B) {
 	c := benchCore(16)
 	now := begin
-	k := &Ticket{}
+	tk := &Ticket{}
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
 		now = now.Add(time.Millisecond)
-		k.reset()
-		k.Job = Job{Caller: "caller", Size: 1, Deadline: now.Add(time.Second)}
-		if c.Offer(now, k) != Start {
+		tk.reset()
+		tk.Job = Job{Caller: "caller", Size: 1, Deadline: now.Add(time.Second)}
+		if c.Offer(now, tk) != Start {
 			b.Fatal("not started")
 		}
-		c.Done(now, k, Outcome{Latency: 5 * time.Millisecond})
+		c.Done(now, tk, Outcome{Latency: 5 * time.Millisecond})
 		c.Ready()
 	}
 }
 
-// BenchmarkAdmitOverload is a request at twice the capacity: half are started
-// after waiting, half refused; callers and keys differ.
+// BenchmarkAdmitOverload runs at twice the capacity: half of the requests start after
+// waiting, half are refused; callers and keys differ.
 func BenchmarkAdmitOverload(b *testing.B) {
 	c := benchCore(16)
 	names := make([]ident.Caller, 1000)
@@ -53,14 +53,14 @@
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
 		now = now.Add(100 * time.Microsecond)
-		k := &tickets[i%len(tickets)]
-		k.reset()
-		k.Job = Job{Caller: names[i%1000], Key: keys[i*7%1000], Size: 1, Deadline: now.Add(250 * time.Millisecond)}
-		if c.Offer(now, k) == Start {
-			running = append(running, k)
+		tk := &tickets[i%len(tickets)]
+		tk.reset()
+		tk.Job = Job{Caller: names[i%1000], Key: keys[i*7%1000], Size: 1, Deadline: now.Add(250 * time.Millisecond)}
+		if c.Offer(now, tk) == Start {
+			running = append(running, tk)
 		}
 		for _, r := range c.Ready() {
-			if r.state == started {
+			if r.state == stateStarted {
 				running = append(running, r)
 			}
 		}
@@ -68,7 +68,7 @@
 			c.Done(now, running[0], Outcome{Latency: 8 * time.Millisecond})
 			running = append(running[:0], running[1:]...)
 			for _, r := range c.Ready() {
-				if r.state == started {
+				if r.state == stateStarted {
 					running = append(running, r)
 				}
 			}
@@ -79,7 +79,8 @@
 	}
 }
 
-// BenchmarkEnter is the whole seam as the request path uses it, uncontended.
+// BenchmarkEnter runs Enter and Done on a Gate without contention, as the request path
+// does.
 func BenchmarkEnter(b *testing.B) {
 	g := New(Config{Seed: 1})
 	defer g.Close()
@@ -96,12 +97,12 @@
 	}
 }
 
-// BenchmarkPick500 is the start and end of a request over 500 servers.
+// BenchmarkPick500 chooses one of 500 servers.
 func BenchmarkPick500(b *testing.B) {
 	c := benchCore(500)
-	c.scoreAt = begin
+	c.scoreTime = begin
 	b.ReportAllocs()
 	for b.Loop() {
-		c.open.Two(c.rng, -1, c.score)
+		c.available.Choose(c.rng, -1, c.score)
 	}
 }
--- a/internal/load/gate/core.go
+++ b/internal/load/gate/core.go
@@ -14,192 +14,192 @@
 	"hawthornfield.org/hawthornfield/internal/load/sizes"
 )
 
-// Config holds a gate's settings. The zero value works.
+// Config holds a gate's settings. The zero value is valid.
 type Config struct {
 	Service  ident.Service
-	Deadline time.Duration // for jobs without one; zero is DefaultDeadline
-	Queue    int           // most requests waiting in one queue; zero is the queue's default
-	Held     int           // most requests waiting for moves; zero is DefaultHeld
-	Seed     uint64        // of the random choices; zero takes a fresh one
-	// Extra bounds the attempts beyond the first of all VMs together: a share of the
-	// requests, and a burst that the VMs divide. Zero leaves it to package retry.
-	Extra Extra
-	// Ask is the pause between two requests that go and ask whether the owner of a
-	// key takes them yet. Zero suits backend servers that are asked for nothing, see
-	// firstAsk; where each attempt is counted and owners are told at once, more.
-	Ask time.Duration
-	// Centre is this VM's data centre. A server there is preferred to others; empty
-	// means no preference.
+	Deadline time.Duration // for jobs without one; zero means DefaultDeadline
+	Queue    int           // most requests in one queue; zero means the queue's default
+	MaxHeld  int           // most requests waiting for an owner; zero means DefaultHeld
+	Seed     uint64        // for random choices; zero means a random seed
+	// RetryBudget bounds the attempts beyond the first of all VMs together: a share of
+	// the requests, and a burst that the VMs divide among them. Zero means the defaults
+	// of package retry.
+	RetryBudget RetryBudget
+	// ProbeInterval is the least time between two requests that probe whether the owner
+	// of a key accepts requests yet. Zero means firstProbeDelay, rising to maxProbeDelay;
+	// it suits services where an extra attempt costs nothing. Use a longer interval
+	// where each attempt is counted and changes of owners are announced at once.
+	ProbeInterval time.Duration
+	// Centre is this VM's data centre. Servers there are preferred; empty means no
+	// preference.
 	Centre ident.Centre
 }
 
-// Extra is a bound on attempts beyond the first.
-type Extra struct {
+// RetryBudget bounds the attempts beyond the first: Share per request, plus Burst.
+type RetryBudget struct {
 	Share float64
 	Burst float64
 }
 
-// Defaults of Config.
+// Default settings.
 const (
-	// DefaultDeadline is for callers that name none: as long as a driver at the
-	// scale waits before trying again.
+	// DefaultDeadline is for callers that set none: as long as a driver at the
+	// weighbridge waits before trying again.
 	DefaultDeadline = 2 * time.Second
-	// DefaultHeld bounds the requests of keys between owners: 1 s of one
-	// server's throughput in lookups, the time a move may take.
+	// DefaultHeld is one second of one server's throughput in lookups; a move of a key
+	// may take that long.
 	DefaultHeld = 800
 )
 
-// Verdict is the answer to an offered request.
+// Verdict is the immediate result for an offered request.
 type Verdict uint8
 
-// The verdicts. Wait is followed by exactly one later decision, see
-// [Core.Ready].
+// The verdicts. Wait is followed by exactly one later decision, see [Core.Ready].
 const (
 	Wait Verdict = iota
 	Start
 	Refuse
 )
 
-// Core decides for one service. It is not safe for concurrent use and never
-// looks at a clock: every method is told the time, which must not go back.
+// Core makes the decisions for one service. It is not safe for concurrent use and never
+// reads a clock: every method is passed the time, which must not go back.
 type Core struct {
 	cfg    Config
 	rng    *rand.Rand
 	seed   maphash.Seed
 	closed bool
 
-	servers []*server
-	byName  map[ident.Server]*server
-	open    pick.Set
-	near    pick.Set // those of open in this VM's data centre
-	warm    pick.Set // those of open, near if any are, that were used a moment ago
-	panel   health.Panel
-	checked []*health.Server // argument of panel.Judge, kept for reuse
-	score   func(int) float64
-	scoreAt time.Time
+	servers        []*server
+	byName         map[ident.Server]*server
+	available      pick.Set
+	availableLocal pick.Set // servers of available in this VM's data centre
+	availableWarm  pick.Set // servers of available that were used recently; only local ones if Centre is set
+	monitor        health.Monitor
+	healthScratch  []*health.Server // argument of monitor.Evaluate, reused
+	score          func(int) float64
+	scoreTime      time.Time
 
-	any     lanes // requests that may go to any server
-	pace    [sizes.Kinds]float64
-	seen    [sizes.Kinds]int // answers of each kind
-	width   [sizes.Kinds]float64
-	holds   holds
-	spaced  spacings                      // keys for which their owner was crowded
-	owner   func(ident.Key) (Place, bool) // nil when owners are not followed
-	askAt   time.Time                     // when a request that is held goes and asks
-	mix     sizes.Mix
-	share   sizes.Share
-	budget  retry.Budget
-	press   float64 // recent share of requests refused
-	soonest time.Time
-	thinkAt time.Time // when waits are estimated again
-	judgeAt time.Time
+	shared        lanePair // requests that may go to any server
+	avgLatency    [sizes.Kinds]float64
+	answers       [sizes.Kinds]int // number of answers of each kind
+	concurrency   [sizes.Kinds]float64
+	moveQueues    moveQueueSet
+	keyPaces      keyPaceSet                    // paces of the keys whose owner was crowded
+	ownerLookup   func(ident.Key) (Owner, bool) // nil if owners are not known
+	probeAt       time.Time                     // next time that a waiting request probes an owner
+	classifier    sizes.Classifier
+	share         sizes.Share
+	retryBudget   retry.Budget
+	refusalRate   float64 // recent share of requests refused
+	nextExpiry    time.Time
+	reestimateAt  time.Time // next time that queue waits are estimated again
+	healthCheckAt time.Time
 
-	calledAt time.Time // the last call that something happened
-	paused   pause     // the last one
-	running  int
-	waiting  int
-	sent     float64 // requests sent lately, as of sentAt; see recent
-	sentAt   time.Time
+	lastEvent    time.Time // last call to detectPause
+	lastPause    vmPause   // the most recent pause
+	running      int
+	waiting      int
+	startCount   float64 // decaying count of requests sent, as of startCountAt; see recentStarts
+	startCountAt time.Time
 
-	ready []*Ticket
-	stats Stats
+	decided []*Ticket
+	stats   Stats
 }
 
-// NewCore makes a core without servers.
+// NewCore returns a core without servers.
 func NewCore(cfg Config) *Core {
 	if cfg.Deadline <= 0 {
 		cfg.Deadline = DefaultDeadline
 	}
-	if cfg.Held <= 0 {
-		cfg.Held = DefaultHeld
+	if cfg.MaxHeld <= 0 {
+		cfg.MaxHeld = DefaultHeld
 	}
 	if cfg.Seed == 0 {
 		cfg.Seed = rand.Uint64()
 	}
 	c := &Core{
-		cfg:    cfg,
-		rng:    rand.New(rand.NewPCG(cfg.Seed, cfg.Seed)),
-		seed:   maphash.MakeSeed(),
-		byName: map[ident.Server]*server{},
-		share:  sizes.Share{VMs: 1},
-		budget: retry.New(),
-		stats:  Stats{Refused: map[kinds.Kind]uint64{}},
+		cfg:         cfg,
+		rng:         rand.New(rand.NewPCG(cfg.Seed, cfg.Seed)),
+		seed:        maphash.MakeSeed(),
+		byName:      map[ident.Server]*server{},
+		share:       sizes.Share{VMs: 1},
+		retryBudget: retry.New(),
+		stats:       Stats{Refused: map[kinds.Kind]uint64{}},
 	}
 	c.score = func(i int) float64 {
-		return c.servers[i].load.Score(c.scoreAt, c.pace[sizes.Short])
+		return c.servers[i].load.Score(c.scoreTime, c.avgLatency[sizes.Short])
 	}
-	c.any.init(cfg.Queue)
+	c.shared.init(cfg.Queue)
 	return c
 }
 
-// Offer takes in a request and decides at once whether it starts, waits or is
-// refused.
+// Offer handles a new request: it starts it, queues it or refuses it.
 func (c *Core) Offer(now time.Time, t *Ticket) Verdict {
-	c.accept(now, t)
+	c.prepare(now, t)
 	switch {
 	case c.closed:
 		return c.refuse(t, kinds.Closing, time.Second)
 	case len(c.servers) == 0:
-		return c.refuse(t, kinds.NoServer, c.hint(0))
+		return c.refuse(t, kinds.NoServer, c.retryAfter(0))
 	}
-	if h := c.holds.find(&t.Job); h != nil {
-		return c.meet(now, h, t)
+	if q := c.moveQueues.find(&t.Job); q != nil {
+		return c.joinMove(now, q, t)
 	}
 	return c.route(now, t)
 }
 
-// accept notes what is known of a request at its arrival.
-func (c *Core) accept(now time.Time, t *Ticket) {
-	c.rouse(now)
-	c.earn(t)
+// prepare charges the retry budget and fills in the fields that later decisions use.
+func (c *Core) prepare(now time.Time, t *Ticket) {
+	c.detectPause(now)
+	c.updateRetryBudget(t)
 	if t.Job.Deadline.IsZero() {
 		t.Job.Deadline = now.Add(c.cfg.Deadline)
 	}
-	if t.Job.asked.IsZero() {
-		t.Job.asked = now
+	if t.Job.arrivedAt.IsZero() {
+		t.Job.arrivedAt = now
 	}
-	t.long = c.mix.Kind(t.Job.Size, uint8(t.Job.Class))
-	c.mix.Seen(now, t.long)
+	t.sizeKind = c.classifier.Kind(t.Job.Size, uint8(t.Job.Class))
+	c.classifier.Seen(now, t.sizeKind)
 }
 
-func (c *Core) earn(t *Ticket) {
+func (c *Core) updateRetryBudget(t *Ticket) {
 	switch {
-	case t.Job.again:
+	case t.Job.extraAttempt:
 	case t.Job.Repeat:
-		c.budget.Repeat()
+		c.retryBudget.ChargeRepeat()
 	default:
-		c.budget.First()
+		c.retryBudget.Earn()
 	}
 }
 
-// route sends a request to the lane of its owner, or to the common one.
+// route passes a request to the queues of its key's owner, or to the shared ones.
 func (c *Core) route(now time.Time, t *Ticket) Verdict {
-	if t.Job.Server == "" && c.width[sizes.Short] == 0 {
-		return c.refuse(t, kinds.NoServer, c.hint(0))
+	if t.Job.Server == "" && c.concurrency[sizes.Short] == 0 {
+		return c.refuse(t, kinds.NoServer, c.retryAfter(0))
 	}
 	if t.Job.Server == "" {
-		return c.enter(now, &c.any, nil, t)
+		return c.enterLane(now, &c.shared, nil, t)
 	}
 	s := c.byName[t.Job.Server]
 	if s == nil {
-		return c.refuse(t, kinds.NoOwner, c.hint(0))
+		return c.refuse(t, kinds.NoOwner, c.retryAfter(0))
 	}
-	return c.enter(now, s.lanes(c.cfg.Queue), s, t)
+	return c.enterLane(now, s.lanes(c.cfg.Queue), s, t)
 }
 
-// enter starts the request if there is room and nobody waits before it, and
-// else admits it to the queue or refuses it. A hot flow is refused while the
-// queue is standing, even if a place happens to be free: half of those who ask
-// at that moment are the hot one, and it would get half of the service. Only when
-// there is nobody else whom that could harm does it get a free place.
-func (c *Core) enter(now time.Time, ls *lanes, owner *server, t *Ticket) Verdict {
-	t.in = ls
-	l := &ls.by[t.long]
-	t.caller, t.key = c.flow(string(t.Job.Caller)), c.flow(string(t.Job.Key))
+// enterLane starts the request if there is room and nobody is queued before it;
+// otherwise it queues or refuses the request. A hot flow is refused while the queue is
+// standing, even if a slot happens to be free: half of the requests that arrive at such
+// a moment are of the hot flow, and it would get half of the service. It gets a free
+// slot only if there is hardly anyone else whom this could harm.
+func (c *Core) enterLane(now time.Time, ls *lanePair, owner *server, t *Ticket) Verdict {
+	t.lanes = ls
+	l := &ls.bySize[t.sizeKind]
+	t.callerFlow, t.keyFlow = c.flowOf(string(t.Job.Caller)), c.flowOf(string(t.Job.Key))
 	// A request's own failed attempt must not delay its retry.
 	if owner != nil && t.Job.avoid != owner.info.Name {
-		if closed := c.spaced.closed(now, t.key); closed > 0 {
-			return c.refuse(t, kinds.Busy, c.hint(closed))
+		if delay := c.keyPaces.delay(now, t.keyFlow); delay > 0 {
+			return c.refuse(t, kinds.Busy, c.retryAfter(delay))
 		}
 	}
 	debt := 0.0
@@ -207,14 +207,14 @@
 		debt = l.debt(now, t)
 	}
 	if l.q.Standing() {
-		l.see(debt)
+		l.observeArrival(debt)
 	}
-	if l.q.Standing() && debt > fair.Much && !c.spare(now, l, owner) {
-		l.heldOff(now)
-		return c.refuse(t, kinds.Busy, c.hint(l.callers.Delay(debt)))
+	if l.q.Standing() && debt > fair.HotDebt && !c.hasSpareRoom(now, l, owner) {
+		l.noteOverShare(now)
+		return c.refuse(t, kinds.Busy, c.retryAfter(l.callerDebts.Delay(debt)))
 	}
 	if l.q.Len() == 0 && t.Job.Deadline.After(now) {
-		if s := c.place(now, owner, t); s != nil {
+		if s := c.chooseServer(now, owner, t); s != nil {
 			l.charge(now, t)
 			c.start(now, t, s)
 			return Start
@@ -223,130 +223,130 @@
 	return c.admit(now, l, owner, t, debt)
 }
 
-// spare reports whether a place is free that nobody within a share would want:
-// nobody waits, and hardly anybody comes who owes nothing.
-func (c *Core) spare(now time.Time, l *lane, owner *server) bool {
+// hasSpareRoom reports whether a slot is free that no flow within its fair share needs:
+// the queue is empty and hardly any arrivals are of flows without debt.
+func (c *Core) hasSpareRoom(now time.Time, l *lane, owner *server) bool {
 	switch {
-	case l.q.Len() > 0 || l.modest >= fewModest:
+	case l.q.Len() > 0 || l.debtFreeShare >= minDebtFreeShare:
 		return false
 	case owner != nil:
-		return owner.roomKeyed(now)
+		return owner.hasRoomKeyed(now)
 	default:
-		return c.open.Len() > 0
+		return c.available.Len() > 0
 	}
 }
 
 func (c *Core) start(now time.Time, t *Ticket, s *server) {
-	t.state, t.srv, t.at = started, s, now
-	if t.long == sizes.Long && t.Job.Server != "" {
-		c.useTurn(now, s)
+	t.state, t.srv, t.startedAt = stateStarted, s, now
+	if t.sizeKind == sizes.Long && t.Job.Server != "" {
+		c.useToken(now, s)
 	}
-	c.sent, c.sentAt = c.recent(now)+1, now
-	s.start(now, t.long, c.expected(t.long))
-	c.spaced.started(now, t.key)
+	c.startCount, c.startCountAt = c.recentStarts(now)+1, now
+	s.start(now, t.sizeKind, c.expectedLatency(t.sizeKind))
+	c.keyPaces.noteStart(now, t.keyFlow)
 	c.running++
 	c.stats.Started++
-	c.press -= c.press * pressFollow
-	c.setOpen(now, s)
-	if c.judgeAt.IsZero() {
-		c.judgeAt = now.Add(health.Every)
+	c.refusalRate -= c.refusalRate * refusalRateSmoothing
+	c.updateAvailable(now, s)
+	if c.healthCheckAt.IsZero() {
+		c.healthCheckAt = now.Add(health.CheckInterval)
 	}
 }
 
-// Done gives a started request's place back and starts whoever can follow.
+// Done ends a started request, frees its slot and starts the requests that can follow.
 func (c *Core) Done(now time.Time, t *Ticket, o Outcome) {
-	if t.state != started {
+	if t.state != stateStarted {
 		return
 	}
-	c.rouse(now)
+	c.detectPause(now)
 	s := t.srv
-	t.state = idle
+	t.state = stateIdle
 	c.running--
-	c.learn(now, t, o)
-	c.taken(now, t, o)
-	if s.gone {
+	c.observe(now, t, o)
+	c.endMove(now, t, o)
+	if s.removed {
 		return
 	}
-	c.setOpen(now, s)
+	c.updateAvailable(now, s)
 	c.dispatch(now, s)
 }
 
-// Abandon takes back a request whose caller went away, whatever its state.
+// Abandon removes a request whose caller went away, whatever its state.
 func (c *Core) Abandon(now time.Time, t *Ticket) {
 	c.stats.Canceled++
 	switch t.state {
-	case started:
+	case stateStarted:
 		c.Done(now, t, Cancel())
-	case waiting:
-		c.unqueue(t)
-	case held:
-		c.holds.remove(t)
+	case stateQueued:
+		c.dequeue(t)
+	case stateHeld:
+		c.moveQueues.remove(t)
 	default:
 	}
-	t.state = idle
+	t.state = stateIdle
 }
 
-// dispatch starts the requests that may follow on a server that has room: the
-// keys it owns first, then those that may go anywhere.
+// dispatch starts queued requests on a server that has room: those for keys it owns
+// first, then the shared ones.
 func (c *Core) dispatch(now time.Time, s *server) {
-	for s.own != nil && s.roomKeyed(now) {
-		if !c.next(now, s.own, s, c.longRoom(now, s)) {
+	for s.ownLanes != nil && s.hasRoomKeyed(now) {
+		if !c.startNext(now, s.ownLanes, s, c.mayStartLongKeyed(now, s)) {
 			break
 		}
 	}
-	for c.any.len() > 0 && s.room(now) {
-		if !c.next(now, &c.any, s, c.ownsLong(now, s)) {
+	for c.shared.len() > 0 && s.hasRoom(now) {
+		if !c.startNext(now, &c.shared, s, c.mayStartLongShared(now, s)) {
 			return
 		}
 	}
 }
 
-// next starts one waiting request of the lanes on the server. One that has too
-// little time left by what is known now is refused: it was let in when answers
-// were taken to be quicker, as by a VM that has seen none yet, and sent now it
-// would end as unknown at its deadline and hold the place until then.
-func (c *Core) next(now time.Time, ls *lanes, s *server, long bool) bool {
-	kind, ok := ls.turn(long)
+// startNext starts one queued request on the server. A request with too little time
+// left by the current latency estimate is refused: it was admitted when answers were
+// expected to be faster, for example by a VM that had seen none yet. Sent now, it would
+// end at its deadline with an unknown result and hold the slot until then.
+func (c *Core) startNext(now time.Time, ls *lanePair, s *server, longAllowed bool) bool {
+	kind, ok := ls.nextKind(longAllowed)
 	if !ok {
 		return false
 	}
-	l := &ls.by[kind]
+	l := &ls.bySize[kind]
 	t := l.q.Pop(now).Value
-	l.popped(now)
+	l.observeStart(now)
 	c.waiting--
-	if t.Job.Deadline.Sub(now) < margin*c.typical(kind) {
-		l.q.Full(now)
+	if t.Job.Deadline.Sub(now) < deadlineMargin*c.typicalLatency(kind) {
+		l.q.MarkFull(now)
 		l.refund(t)
-		c.decide(t, kinds.Late, c.hint(c.each(now, owned(ls, s), kind)))
+		c.refuseWaiting(t, kinds.DeadlineMissed, c.retryAfter(c.startInterval(now, ownerOf(ls, s), kind)))
 		return true
 	}
-	s.limit[s.kind].Tight() // it waited for a place here
-	ls.spend(kind, c.typical(kind).Seconds())
+	s.limit[s.limitKind].MarkLimited() // the request had to queue for a slot here
+	ls.chargeSlotTime(kind, c.typicalLatency(kind).Seconds())
 	c.start(now, t, s)
-	c.ready = append(c.ready, t)
+	c.decided = append(c.decided, t)
 	return true
 }
 
-// owned returns the server if the lanes are those of its own keys.
-func owned(ls *lanes, s *server) *server {
-	if ls == s.own {
+// ownerOf returns s if the lanes are those of its own keys, else nil.
+func ownerOf(ls *lanePair, s *server) *server {
+	if ls == s.ownLanes {
 		return s
 	}
 	return nil
 }
 
-// Ready returns the tickets decided since the last call, started or refused.
-// The slice is valid until the next call into the core.
+// Ready returns the tickets decided since the last call, started or refused. The slice
+// is valid until the next call into the core.
 func (c *Core) Ready() []*Ticket {
-	done := c.ready
-	c.ready = c.ready[:0]
+	done := c.decided
+	c.decided = c.decided[:0]
 	return done
 }
 
-// Next is when Tick has something to do; zero means nothing is pending.
+// Next returns when Tick has work to do; zero means nothing is pending.
 func (c *Core) Next() time.Time {
 	var next time.Time
-	for _, at := range [...]time.Time{c.soonest, c.judgeAt, c.askAt, c.thinkAt} {
+	for _, at := range [...]time.Time{c.nextExpiry, c.healthCheckAt, c.probeAt, c.reestimateAt} {
 		if next.IsZero() || !at.IsZero() && at.Before(next) {
 			next = at
 		}
@@ -354,31 +354,31 @@
 	return next
 }
 
-// Close refuses all who wait, and all who come later.
+// Close refuses all waiting requests, and all later ones.
 func (c *Core) Close(now time.Time) {
 	c.closed = true
-	c.eachLanes(func(ls *lanes) {
-		for k := range ls.by {
-			l := &ls.by[k]
+	c.forEachLanes(func(ls *lanePair) {
+		for k := range ls.bySize {
+			l := &ls.bySize[k]
 			for it := l.q.Pop(now); it != nil; it = l.q.Pop(now) {
 				c.waiting--
-				c.decide(it.Value, kinds.Closing, time.Second)
+				c.refuseWaiting(it.Value, kinds.Closing, time.Second)
 			}
 		}
 	})
-	c.holds.each(func(h *hold) bool {
-		for _, t := range c.empty(h) {
-			c.decide(t, kinds.Closing, time.Second)
+	c.moveQueues.retain(func(q *moveQueue) bool {
+		for _, t := range c.takeAll(q) {
+			c.refuseWaiting(t, kinds.Closing, time.Second)
 		}
 		return false
 	})
 }
 
-func (c *Core) eachLanes(do func(*lanes)) {
-	do(&c.any)
+func (c *Core) forEachLanes(do func(*lanePair)) {
+	do(&c.shared)
 	for _, s := range c.servers {
-		if s.own != nil {
-			do(s.own)
+		if s.ownLanes != nil {
+			do(s.ownLanes)
 		}
 	}
 }
--- a/internal/load/gate/gate.go
+++ b/internal/load/gate/gate.go
@@ -1,27 +1,26 @@
-// Package gate is the admission point of one service on one entry VM: every
-// request enters here, is started on a backend server at once, waits in a
-// bounded queue, or is refused with the time at which to come back.
+// Package gate is the admission control of one service on one entry VM: every
+// request is started on a backend server at once, waits in a bounded queue, or is
+// refused with the time after which to retry.
 //
-// The load pattern it answers is a service that is asked for more than its few
-// slots can do, by callers who are not equally polite, on servers that are not
-// equally fast. Without it, requests pile up on the backend servers until every
-// answer comes after its caller has gone: the servers stay busy and nobody is
-// served.
+// It protects a service that gets more requests than its few slots can process, from
+// callers of very different rates, on servers of different speed. Without admission
+// control, requests pile up on the backend servers until every answer comes after its
+// caller has gone: the servers stay busy and nobody is served.
 //
-// [Core] decides. It is a single-threaded state machine that is told the time,
-// and composes the pure modules limit, queue, fair, pick, retry, health, sizes
-// and conns. [Gate] is the goroutine-safe shell around it: it locks, waits on
-// the runtime's clock and notices callers who go away.
+// [Core] makes the decisions. It is a single-threaded state machine that is passed the
+// time, and is composed of the packages limit, queue, fair, pick, retry, health, sizes
+// and conns. [Gate] makes it safe for concurrent use: it locks, runs the timer and
+// handles callers that go away.
 //
 //	g := gate.New(gate.Config{Service: "lookup"})
 //	defer g.Close()
 //	g.SetServers([]gate.ServerInfo{{Name: "a", Slots: 4, Conns: 100}})
-//	pass, err := g.Enter(ctx, gate.Job{Caller: "weighbridge", Deadline: by})
+//	permit, err := g.Enter(ctx, gate.Job{Caller: "weighbridge", Deadline: by})
 //	if err != nil {
 //		return err // kinds.Of(err), gate.RetryAfter(err)
 //	}
-//	outcome := forward(pass.Server())
-//	pass.Done(outcome)
+//	outcome := forward(permit.Server())
+//	permit.Done(outcome)
 package gate
 
 import (
@@ -35,168 +34,169 @@
 	"hawthornfield.org/hawthornfield/internal/core/kinds"
 )
 
-// Gate admits the requests of one service. Make one with [New]; all methods
-// may be called from any goroutine.
+// Gate admits the requests of one service. Create one with [New]; its methods are safe
+// for concurrent use.
 type Gate struct {
 	group group.Group
-	kick  chan struct{}
+	rearm chan struct{}
 
-	mu     sync.Mutex
-	core   *Core
-	armed  time.Time
-	free   []*Ticket
-	closed bool
+	mu          sync.Mutex
+	core        *Core
+	nextTick    time.Time
+	freeTickets []*Ticket
+	closed      bool
 }
 
-// New makes a gate without backend servers: until [Gate.SetServers] every
+// New returns a gate without backend servers: until [Gate.SetServers] is called every
 // request is refused with kind NoServer.
 func New(cfg Config) *Gate {
-	g := &Gate{core: NewCore(cfg), kick: make(chan struct{}, 1)}
+	g := &Gate{core: NewCore(cfg), rearm: make(chan struct{}, 1)}
 	g.group.Go(g.run)
 	return g
 }
 
-// Close refuses whoever waits with kind Closing and waits for the gate's
-// timer. Requests that were started keep their place until Done.
+// Close refuses all waiting requests with kind Closing and waits for the timer
+// goroutine to end. Started requests keep their permits until Done.
 func (g *Gate) Close() error {
 	g.mu.Lock()
 	g.closed = true
 	g.core.Close(time.Now())
-	g.wake()
+	g.notifyDecided()
 	g.mu.Unlock()
 	return g.group.Close()
 }
 
-// Enter asks for a place on a backend server and waits for it within the job's
-// deadline. The error is a [*Refusal]: kind Busy (full or over a fair share),
-// Late (the deadline cannot be met), Moving (the key is between owners),
-// NoServer, Closing, or Canceled when ctx ended first. In each case nothing was
-// sent. A caller that goes away frees its place at once.
-func (g *Gate) Enter(ctx context.Context, j Job) (Pass, error) {
+// Enter requests a permit for a backend server and waits for it within the job's
+// deadline. The error is a [*Refusal] of one of the kinds Busy (full, or over a fair
+// share), DeadlineMissed (the deadline cannot be met), Moving (the key is changing
+// owners), NoOwner (the key's owner is not a listed server), NoServer, Closing, or
+// Canceled if ctx ended first. In each case nothing was sent. A caller that goes away
+// gives up its place in the queue at once.
+func (g *Gate) Enter(ctx context.Context, j Job) (Permit, error) {
 	return g.enter(ctx, j, g.core.Offer)
 }
 
-// Await asks for a place like [Gate.Enter], for a request whose key is between
-// owners: the server of the job said that it is not the owner, or could not be
-// reached, or none is known. It waits, bounded, behind those of the key who were
-// asked before, until the key's owner takes requests or the deadline or the
-// patience of the job can no longer be kept (kind Moving).
-func (g *Gate) Await(ctx context.Context, j Job) (Pass, error) {
-	return g.enter(ctx, j, g.core.Await)
+// WaitOwner requests a permit like [Gate.Enter], for a request whose key is between
+// owners: the job's server said that it is not the owner, could not be reached, or is
+// unknown. The request waits, behind earlier requests for the same key, until the key's
+// owner accepts requests. It is refused with kind Moving once the deadline or
+// MaxOwnerWait of the job can no longer be met.
+func (g *Gate) WaitOwner(ctx context.Context, j Job) (Permit, error) {
+	return g.enter(ctx, j, g.core.WaitOwner)
 }
 
-func (g *Gate) enter(ctx context.Context, j Job, offer func(time.Time, *Ticket) Verdict) (Pass, error) {
+func (g *Gate) enter(ctx context.Context, j Job, offer func(time.Time, *Ticket) Verdict) (Permit, error) {
 	g.mu.Lock()
-	t := g.ticket(j)
+	t := g.newTicket(j)
 	gen := t.gen
 	verdict := offer(time.Now(), t)
-	g.wake()
-	g.arm()
+	g.notifyDecided()
+	g.scheduleTick()
 	if verdict != Wait {
-		return g.settle(t, gen)
+		return g.finish(t, gen)
 	}
 	g.mu.Unlock()
-	return g.await(ctx, t, gen)
+	return g.awaitDecision(ctx, t, gen)
 }
 
-// await waits until the core has decided, or the caller goes away.
-func (g *Gate) await(ctx context.Context, t *Ticket, gen uint64) (Pass, error) {
+// awaitDecision waits until the core has decided or ctx ends.
+func (g *Gate) awaitDecision(ctx context.Context, t *Ticket, gen uint64) (Permit, error) {
 	select {
 	case <-t.wake:
 		g.mu.Lock()
-		return g.settle(t, gen)
+		return g.finish(t, gen)
 	case <-ctx.Done():
 	}
 	g.mu.Lock()
 	g.core.Abandon(time.Now(), t)
-	g.wake()
+	g.notifyDecided()
 	select {
-	case <-t.wake: // decided in the same moment: the ticket is reused, its signal is not
+	case <-t.wake: // the decision raced with ctx: drain the signal before the ticket is reused
 	default:
 	}
 	g.recycle(t)
 	g.mu.Unlock()
 	if errors.Is(ctx.Err(), context.DeadlineExceeded) {
-		return Pass{}, refusal(kinds.Late, 0)
+		return Permit{}, refusal(kinds.DeadlineMissed, 0)
 	}
-	return Pass{}, refusal(kinds.Canceled, 0)
+	return Permit{}, refusal(kinds.Canceled, 0)
 }
 
-// settle turns a decided ticket into the answer for the caller. It is called
-// with the lock held and releases it.
-func (g *Gate) settle(t *Ticket, gen uint64) (Pass, error) {
+// finish converts a decided ticket into the caller's result. It is called with g.mu
+// held and releases it.
+func (g *Gate) finish(t *Ticket, gen uint64) (Permit, error) {
 	defer g.mu.Unlock()
-	if t.state == started {
-		return Pass{g: g, t: t, gen: gen, server: t.Server()}, nil
+	if t.state == stateStarted {
+		return Permit{g: g, t: t, gen: gen, server: t.Server()}, nil
 	}
-	err := refusal(t.kind, t.after)
+	err := refusal(t.refusalKind, t.retryAfter)
 	g.recycle(t)
-	return Pass{}, err
+	return Permit{}, err
 }
 
-// SetServers replaces the list of backend servers. A server that is no longer
-// listed, or drains, is given nothing new; what runs there keeps its place.
+// SetServers replaces the list of backend servers. A server that is no longer listed,
+// or drains, gets no new requests; those it is running go on.
 func (g *Gate) SetServers(list []ServerInfo) {
-	g.change(func(now time.Time) { g.core.SetServers(now, list) })
+	g.update(func(now time.Time) { g.core.SetServers(now, list) })
 }
 
-// SetShare says how many entry VMs share the backend servers, and which of them
-// this is, from zero. Connections and long jobs are divided by it.
+// SetShare sets how many entry VMs share the backend servers and the index of this one,
+// from zero. The VMs divide connections and the slots for long requests accordingly.
 func (g *Gate) SetShare(n, index int) {
-	g.change(func(now time.Time) { g.core.SetShare(now, n, index) })
+	g.update(func(now time.Time) { g.core.SetShare(now, n, index) })
 }
 
-// Report notes a backend server's own word on its load: the requests it runs
-// and queues, as of age ago. It can lag or mislead, so it only ever tips the
-// choice between servers that look alike.
+// Report records the load that a backend server reports: the requests it runs and
+// queues, as of age ago. Reports can lag or mislead, so between servers they only break
+// near ties.
 func (g *Gate) Report(s ident.Server, load int, age time.Duration) {
-	g.change(func(now time.Time) { g.core.Report(now, s, load, age) })
+	g.update(func(now time.Time) { g.core.Report(now, s, load, age) })
 }
 
-// Follow sets how the owner of a key is looked up, which must be quick and must
-// not call the gate. Call [Gate.Moved] whenever its answers have changed.
-func (g *Gate) Follow(owner func(ident.Key) (Place, bool)) {
-	g.change(func(now time.Time) { g.core.Follow(now, owner) })
+// SetOwnerLookup sets the function that returns the owner of a key. It must be fast and
+// must not call the gate. Call [Gate.OwnersChanged] whenever its results have changed.
+func (g *Gate) SetOwnerLookup(owner func(ident.Key) (Owner, bool)) {
+	g.update(func(now time.Time) { g.core.SetOwnerLookup(now, owner) })
 }
 
-// Moved says that owners have changed: requests whose key has another one now
-// go there at once.
-func (g *Gate) Moved() { g.change(g.core.Moved) }
+// OwnersChanged tells the gate that owners have changed: waiting requests whose key has
+// a new owner are sent there at once.
+func (g *Gate) OwnersChanged() { g.update(g.core.OwnersChanged) }
 
-// Conns returns how many connections this entry VM may hold open to a server,
-// and how many of them to keep warm while idle.
-func (g *Gate) Conns(s ident.Server) (most, warm int) {
+// Conns returns how many connections this entry VM may hold open to a server, and how
+// many of them to keep open while idle.
+func (g *Gate) Conns(s ident.Server) (limit, idle int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.core.Conns(time.Now(), s)
 }
 
-// HedgeAfter is how long to wait for an answer before [Pass.Hedge] is worth
-// trying, from the latencies seen lately. Zero means not at all.
+// HedgeAfter returns how long to wait for an answer before trying [Permit.Hedge],
+// derived from recent latencies. Zero means not to hedge.
 func (g *Gate) HedgeAfter() time.Duration {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.core.HedgeAfter()
 }
 
-// Sight is what the gate sees of where a request was to go: of its key's owner, or of
-// all servers together.
-type Sight struct {
-	Running int           // requests of this VM there
-	Most    int           // as many may run there
-	Waiting int           // requests of this VM that wait for a place there
-	Load    int           // the server's last word on requests running and waiting there
-	Age     time.Duration // of that word; zero if there was none
-	Far     bool          // it is in another data centre
-	Slots   int           // requests that it works on at once
+// Snapshot is the state of a request's destination as the gate sees it: of its key's
+// owner, or of all servers together.
+type Snapshot struct {
+	Running int           // requests of this VM running there
+	Limit   int           // most requests of this VM that may run there
+	Waiting int           // requests of this VM queued for it
+	Load    int           // requests running and queued there as last reported by the server
+	LoadAge time.Duration // age of that report; zero if there was none
+	Remote  bool          // it is in another data centre
+	Slots   int           // requests that it processes concurrently
 }
 
-// Look returns what decides about requests for a server's keys now, or, for the empty
-// name, about those that may go anywhere.
-func (g *Gate) Look(s ident.Server) Sight {
+// Inspect returns the current state of the named server, or of all servers together for
+// the empty name.
+func (g *Gate) Inspect(s ident.Server) Snapshot {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.core.Look(time.Now(), s)
+	return g.core.Inspect(time.Now(), s)
 }
 
 // Stats returns the gate's counters and gauges.
@@ -206,16 +206,16 @@
 	return g.core.Stats(time.Now())
 }
 
-func (g *Gate) change(do func(now time.Time)) {
+func (g *Gate) update(fn func(now time.Time)) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	do(time.Now())
-	g.wake()
-	g.arm()
+	fn(time.Now())
+	g.notifyDecided()
+	g.scheduleTick()
 }
 
-// run is the gate's timer: it refuses those whose deadline can no longer be
-// met, and moves health and limits along while nothing else happens.
+// run is the gate's timer goroutine. It refuses requests whose deadline can no longer
+// be met, and updates health and limits while no calls come in.
 func (g *Gate) run(ctx context.Context) error {
 	timer := time.NewTimer(time.Hour)
 	defer timer.Stop()
@@ -223,7 +223,7 @@
 		select {
 		case <-ctx.Done():
 			return nil
-		case <-g.kick:
+		case <-g.rearm:
 		case <-timer.C:
 		}
 		timer.Reset(g.tick())
@@ -235,56 +235,56 @@
 	defer g.mu.Unlock()
 	now := time.Now()
 	g.core.Tick(now)
-	g.wake()
+	g.notifyDecided()
 	next := g.core.Next()
 	if next.IsZero() {
-		g.armed = time.Time{}
+		g.nextTick = time.Time{}
 		return time.Hour
 	}
-	g.armed = next
+	g.nextTick = next
 	return max(next.Sub(now), 0)
 }
 
-// arm wakes the timer when the core now wants an earlier tick than it was set
-// for. It is called with the lock held.
-func (g *Gate) arm() {
+// scheduleTick resets the timer if the core needs a tick earlier than the timer is set
+// for. It is called with g.mu held.
+func (g *Gate) scheduleTick() {
 	next := g.core.Next()
-	if next.IsZero() || (!g.armed.IsZero() && !next.Before(g.armed)) {
+	if next.IsZero() || (!g.nextTick.IsZero() && !next.Before(g.nextTick)) {
 		return
 	}
-	g.armed = next
+	g.nextTick = next
 	select {
-	case g.kick <- struct{}{}:
+	case g.rearm <- struct{}{}:
 	default:
 	}
 }
 
-// wake tells the waiting callers whose tickets were decided.
-func (g *Gate) wake() {
+// notifyDecided signals the callers whose tickets were decided.
+func (g *Gate) notifyDecided() {
 	for _, t := range g.core.Ready() {
 		t.wake <- struct{}{}
 	}
 }
 
-// maxFree bounds the tickets kept for reuse; more than this are only in use at
-// once during a burst, and the garbage collector takes them after it.
-const maxFree = 4096
+// maxFreeTickets bounds the tickets kept for reuse. Only a burst uses more at once; the
+// garbage collector frees the rest after it.
+const maxFreeTickets = 4096
 
-func (g *Gate) ticket(j Job) *Ticket {
-	if n := len(g.free); n > 0 {
-		t := g.free[n-1]
-		g.free = g.free[:n-1]
+func (g *Gate) newTicket(j Job) *Ticket {
+	if n := len(g.freeTickets); n > 0 {
+		t := g.freeTickets[n-1]
+		g.freeTickets = g.freeTickets[:n-1]
 		t.Job = j
 		return t
 	}
 	return &Ticket{Job: j, wake: make(chan struct{}, 1)}
 }
 
-// recycle gives the ticket a new generation, so that a Pass that is used once
-// more after Done finds nothing to release twice.
+// recycle resets the ticket and increments its generation, so that a Permit used again
+// after Done releases nothing twice.
 func (g *Gate) recycle(t *Ticket) {
 	t.reset()
-	if len(g.free) < maxFree {
-		g.free = append(g.free, t)
+	if len(g.freeTickets) < maxFreeTickets {
+		g.freeTickets = append(g.freeTickets, t)
 	}
 }
--- a/internal/load/gate/ticket.go
+++ b/internal/load/gate/ticket.go
@@ -13,35 +13,35 @@
 type state uint8
 
 const (
-	idle state = iota
-	waiting
-	held
-	started
-	refused
+	stateIdle state = iota
+	stateQueued
+	stateHeld
+	stateStarted
+	stateRefused
 )
 
 // Ticket is one request inside the core.
 type Ticket struct {
 	Job Job
 
-	wake  chan struct{}
-	gen   uint64
-	state state
-	long  sizes.Kind
-	srv   *server
-	at    time.Time // when it was started
-	kind  kinds.Kind
-	after time.Duration
-
-	in     *lanes
-	item   queue.Item[*Ticket]
-	caller fair.Flow
-	key    fair.Flow
-	guess  bool // let in before it was known how long answers take
-	hold   *hold
+	wake        chan struct{}
+	gen         uint64
+	state       state
+	sizeKind    sizes.Kind
+	srv         *server
+	startedAt   time.Time // when the last attempt was sent
+	refusalKind kinds.Kind
+	retryAfter  time.Duration
+
+	lanes          *lanePair
+	item           queue.Item[*Ticket]
+	callerFlow     fair.Flow
+	keyFlow        fair.Flow
+	latencyUnknown bool // admitted before typical latencies were known
+	moveQueue      *moveQueue
 }
 
-// Server returns where the request was started.
+// Server returns the server on which the request was started.
 func (t *Ticket) Server() ident.Server {
 	if t.srv == nil {
 		return ""
@@ -49,9 +49,9 @@
 	return t.srv.info.Name
 }
 
-// Refusal returns why it was refused, and when to come back; None when it was
-// started.
-func (t *Ticket) Refusal() (kinds.Kind, time.Duration) { return t.kind, t.after }
+// Refusal returns why the request was refused and when to retry; the kind is None if it
+// was started.
+func (t *Ticket) Refusal() (kinds.Kind, time.Duration) { return t.refusalKind, t.retryAfter }
 
 func (t *Ticket) reset() {
 	*t = Ticket{wake: t.wake, gen: t.gen + 1}
--- a/internal/load/gate/pause_test.go
+++ b/internal/load/gate/vmpause_test.go
@@ -10,35 +10,35 @@
 	"hawthornfield.org/hawthornfield/internal/load/health"
 )
 
-// This VM is paused for 300 ms, or a backend server is, while a few lookups run and
-// one waits. All who asked meanwhile are heard at once when it goes on. The server
-// is idle again, and nobody asks for more than it can do; drivers who are told that
-// the service is full would come back a second later for nothing.
-func TestAPauseTurnsNobodyAway(t *testing.T) {
+// Guards against requests refused as Busy after this VM, or a backend server, was
+// paused for 300 ms. Those that arrived meanwhile are handled at once afterwards, but
+// the server is idle and nobody asks for more than it can do; refused drivers would
+// come back a second later for nothing.
+func TestVMPauseRefusesNoRequest(t *testing.T) {
 	const vms, slots, during = 4, 2, 8
 	c, now := NewCore(Config{Seed: 7}), begin
 	c.SetServers(now, []ServerInfo{{Name: "a", Slots: slots, Conns: 45}})
 	c.SetShare(now, vms, 0)
 	var running []*Ticket
 	offer := func() {
-		k := &Ticket{Job: Job{Server: "a", Key: "k"}}
-		switch c.Offer(now, k) {
+		tk := &Ticket{Job: Job{Server: "a", Key: "k"}}
+		switch c.Offer(now, tk) {
 		case Start:
-			running = append(running, k)
+			running = append(running, tk)
 		case Refuse:
-			t.Errorf("refused as %s", k.kind)
+			t.Errorf("refused as %s", tk.refusalKind)
 		default:
 		}
 	}
 	answer := func() {
 		done := running
 		running = nil
-		for _, k := range done {
-			c.Done(now, k, Outcome{Kind: kinds.None})
+		for _, tk := range done {
+			c.Done(now, tk, Outcome{Kind: kinds.None})
 		}
 		running = append(running, c.Ready()...)
 	}
-	for range 200 { // quiet traffic, from which the gate learns what is usual
+	for range 200 { // light load, from which the gate learns the typical latency
 		offer()
 		now = now.Add(6 * time.Millisecond)
 		answer()
@@ -62,36 +62,36 @@
 	assert.Equal(t, c.Stats(now).Waiting, 0)
 }
 
-// This VM is paused for 300 ms while requests run on one of its servers, which
-// answered long ago. What the VM does first when it goes on, reading the answers or
-// judging its servers, is chance. A server that is ejected for that serves one
-// request at a time for a second, and drivers who ask for its keys are turned away.
-func TestAPauseEjectsNobody(t *testing.T) {
+// Guards against a server ejected because this VM was paused for 300 ms, although the
+// server had answered. Whether the VM first reads the answers or first checks health is
+// chance. An ejected server would run one request at a time for a second, and requests
+// for its keys would be refused.
+func TestVMPauseEjectsNoServer(t *testing.T) {
 	for order, readFirst := range map[string]bool{"answers first": true, "judgement first": false} {
 		t.Run(order, func(t *testing.T) {
 			c, now := NewCore(Config{Seed: 7}), begin
 			var list []ServerInfo
-			for i := range servers {
-				list = append(list, ServerInfo{Name: name(i), Slots: 2, Conns: 45})
+			for i := range serverCount {
+				list = append(list, ServerInfo{Name: serverName(i), Slots: 2, Conns: 45})
 			}
 			c.SetServers(now, list)
 			serve := func(i int, took time.Duration) {
-				k := &Ticket{Job: Job{Server: name(i), Key: "k"}}
-				assert.Equal(t, c.Offer(now, k), Start)
+				tk := &Ticket{Job: Job{Server: serverName(i), Key: "k"}}
+				assert.Equal(t, c.Offer(now, tk), Start)
 				now = now.Add(took)
-				if took > Early && !readFirst {
+				if took > DisplaceWindow && !readFirst {
 					c.Tick(now)
 				}
-				c.Done(now, k, Outcome{Kind: kinds.None})
+				c.Done(now, tk, Outcome{Kind: kinds.None})
 				c.Tick(now)
 			}
 			for i := range 300 {
-				serve(i%servers, 6*time.Millisecond)
+				serve(i%serverCount, 6*time.Millisecond)
 			}
 			serve(0, 300*time.Millisecond)
 			for range 3 {
 				serve(0, 6*time.Millisecond)
-				now = now.Add(health.Every)
+				now = now.Add(health.CheckInterval)
 				c.Tick(now)
 				assert.Equal(t, c.Stats(now).Ejected, 0)
 			}
@@ -99,16 +99,16 @@
 	}
 }
 
-// A server answers nothing while this VM is awake. It must be left alone as soon as
-// ever, also when the VM was paused just before.
-func TestAPauseHidesNoFrozenServer(t *testing.T) {
+// Guards against a pause of this VM that hides a frozen server. A server that answers
+// nothing while the VM runs must be ejected as soon as without the pause.
+func TestVMPauseHidesNoFrozenServer(t *testing.T) {
 	c, now := NewCore(Config{Seed: 7}), begin
 	c.SetServers(now, []ServerInfo{{Name: "a", Slots: 2, Conns: 45}, {Name: "b", Slots: 2, Conns: 45}, {Name: "c", Slots: 2, Conns: 45}})
 	for range 100 {
-		k := &Ticket{Job: Job{Server: "a", Key: "k"}}
-		assert.Equal(t, c.Offer(now, k), Start)
+		tk := &Ticket{Job: Job{Server: "a", Key: "k"}}
+		assert.Equal(t, c.Offer(now, tk), Start)
 		now = now.Add(6 * time.Millisecond)
-		c.Done(now, k, Outcome{Kind: kinds.None})
+		c.Done(now, tk, Outcome{Kind: kinds.None})
 		c.Tick(now)
 	}
 	assert.Equal(t, c.Offer(now, &Ticket{Job: Job{Server: "a", Key: "k"}}), Start)
@@ -116,7 +116,7 @@
 	c.Tick(now)
 	assert.Equal(t, c.Stats(now).Ejected, 0)
 	for range 11 {
-		now = now.Add(health.Every / 10)
+		now = now.Add(health.CheckInterval / 10)
 		c.Tick(now)
 	}
 	assert.Equal(t, c.Stats(now).Ejected, 1)
--- a/internal/load/gate/warm.go
+++ b/internal/load/gate/warm.go
@@ -7,41 +7,43 @@
 	"hawthornfield.org/hawthornfield/internal/load/pick"
 )
 
-// The load pattern is a hundred entry VMs, each with a few requests a second, before a
-// hundred servers. Taken in turn, every VM comes to every server once in half a minute,
-// which is longer than a server keeps an idle connection: nearly each request opens a
-// new one, a millisecond of the server's time each. So where the turn comes to a server
-// that this VM has not used for a while, it takes one that it has. It still takes those
-// in turn, so that some ten share its requests, and leaves them as soon as another looks
-// clearly better. Where it has requests enough to keep all warm, turns decide alone: a VM
-// that never tries a server does not learn that it is the better one.
+// This file handles a hundred entry VMs, each with a few requests a second, in front of
+// a hundred servers. With plain turns, every VM reaches every server once in half a
+// minute, which is longer than a server keeps an idle connection: nearly each request
+// opens a new one, which costs the server a millisecond. So if the turn comes to a
+// server that this VM has not used for a while, it takes a recently used one instead.
+// It still takes turns among those, so that some ten servers share its requests, and
+// leaves them as soon as another looks clearly better. A VM with enough requests to
+// keep all connections warm takes plain turns: if it never tries a server it does not
+// learn that it is the better one.
 
 const (
-	// warmFor is for how long after its last request a server counts as warm. Servers
-	// keep an idle connection for whole seconds, and the relay uses none that was idle
-	// for longer than 4 s where they do not say; the rest is for the request's way.
+	// warmFor is how long after its last request a server counts as warm. Servers keep
+	// an idle connection for whole seconds, and the relay uses none that was idle for
+	// longer than 4 s unless the server states its timeout; the difference allows for
+	// the request's way there.
 	warmFor = 3 * time.Second
-	// warmGain is how much worse a warm server may look and still be taken. What a VM
-	// knows of equal servers differs by up to that by chance, see pick.Clear.
-	warmGain = pick.Clear
+	// warmPreference is the factor by which a warm server's score may be worse. Scores
+	// of equal servers differ by up to that by chance, see [pick.BetterFactor].
+	warmPreference = pick.BetterFactor
 )
 
-// warmer returns i, or a warm server to be taken in its place.
-func (c *Core) warmer(now time.Time, i, skip int) int {
-	choice := c.near.Len()
+// preferWarm returns i, or the index of a warm server to use instead.
+func (c *Core) preferWarm(now time.Time, i, skip int) int {
+	candidates := c.availableLocal.Len()
 	if c.cfg.Centre == "" {
-		choice = c.open.Len()
+		candidates = c.available.Len()
 	}
-	if !c.isCold(now, i) || c.recent(now) >= float64(choice) {
+	if !c.isCold(now, i) || c.recentStarts(now) >= float64(candidates) {
 		return i
 	}
-	for c.warm.Len() > 0 {
-		w := c.warm.Two(c.rng, skip, c.score)
+	for c.availableWarm.Len() > 0 {
+		w := c.availableWarm.Choose(c.rng, skip, c.score)
 		if c.isCold(now, w) {
-			c.warm.Put(w, false)
+			c.availableWarm.Put(w, false)
 			continue
 		}
-		if w != skip && c.score(w) <= c.score(i)*warmGain {
+		if w != skip && c.score(w) <= c.score(i)*warmPreference {
 			return w
 		}
 		break
@@ -49,16 +51,16 @@
 	return i
 }
 
-// recent is how many requests were sent lately, older ones for less: at a steady rate as
-// many as in warmFor.
-func (c *Core) recent(now time.Time) float64 {
-	return c.sent * math.Exp(-now.Sub(c.sentAt).Seconds()/warmFor.Seconds())
+// recentStarts returns a decaying count of the requests sent: at a steady rate, as many
+// as are sent within warmFor.
+func (c *Core) recentStarts(now time.Time) float64 {
+	return c.startCount * math.Exp(-now.Sub(c.startCountAt).Seconds()/warmFor.Seconds())
 }
 
-func (c *Core) isCold(now time.Time, i int) bool { return now.Sub(c.servers[i].usedAt) > warmFor }
+func (c *Core) isCold(now time.Time, i int) bool { return now.Sub(c.servers[i].lastStart) > warmFor }
 
-// setWarm notes whether a server that may be preferred was used a moment ago.
-func (c *Core) setWarm(now time.Time, s *server, room bool) {
+// updateWarm records whether a server that may be preferred was used recently.
+func (c *Core) updateWarm(now time.Time, s *server, room bool) {
 	near := c.cfg.Centre == "" || s.info.Centre == c.cfg.Centre
-	c.warm.Put(s.idx, room && near && !c.isCold(now, s.idx))
+	c.availableWarm.Put(s.idx, room && near && !c.isCold(now, s.idx))
 }
--- a/internal/load/gate/warm_test.go
+++ b/internal/load/gate/warm_test.go
@@ -10,9 +10,10 @@
 	"hawthornfield.org/hawthornfield/internal/core/ident"
 )
 
-// few sends five requests a second to a hundred servers for a while, each of which
-// takes a fifth of a second or what took says, and counts where they went.
-func few(t *testing.T, c *Core, now *time.Time, d time.Duration, took func(ident.Server) time.Duration) map[ident.Server]int {
+// runLowTraffic sends five requests a second to a hundred servers for the duration d.
+// Each takes as long as took returns for its server. It returns the number of requests
+// by server.
+func runLowTraffic(t *testing.T, c *Core, now *time.Time, d time.Duration, took func(ident.Server) time.Duration) map[ident.Server]int {
 	went := map[ident.Server]int{}
 	var ends []time.Time
 	var running []*Ticket
@@ -30,7 +31,7 @@
 	return went
 }
 
-func hundred(now time.Time) *Core {
+func newHundredServerCore(now time.Time) *Core {
 	c := NewCore(Config{Seed: 1, Centre: "here"})
 	var list []ServerInfo
 	for i := range 100 {
@@ -41,36 +42,35 @@
 	return c
 }
 
-// A VM has a few requests a second for a hundred servers. Spread over all of them,
-// each would find that its connection has been idle for too long and been closed, and
-// callers pay for a new one with each request.
-func TestAQuietVMKeepsToServersThatItUsed(t *testing.T) {
+// Guards against a VM with few requests that spreads them over a hundred servers: each
+// server has closed its idle connection by then, and callers pay for a new one with
+// each request.
+func TestQuietVMReusesWarmServers(t *testing.T) {
 	now := time.Unix(1000, 0)
-	c := hundred(now)
+	c := newHundredServerCore(now)
 	usual := func(ident.Server) time.Duration { return 450 * time.Millisecond }
-	few(t, c, &now, 10*time.Second, usual)
-	went := few(t, c, &now, time.Minute, usual)
+	runLowTraffic(t, c, &now, 10*time.Second, usual)
+	went := runLowTraffic(t, c, &now, time.Minute, usual)
 	assert.Assert(t, len(went) <= 20, "%d of a hundred servers", len(went))
 }
 
-// Some of the servers that a VM keeps to turn slow. Its callers must not wait for them
-// because they are warm.
-func TestAWarmServerThatIsSlowIsLeft(t *testing.T) {
+// Guards against requests that keep going to warm servers after these have become slow.
+func TestSlowWarmServersAreAvoided(t *testing.T) {
 	now := time.Unix(1000, 0)
-	c := hundred(now)
+	c := newHundredServerCore(now)
 	usual := func(ident.Server) time.Duration { return 150 * time.Millisecond }
-	kept := few(t, c, &now, 10*time.Second, usual)
+	kept := runLowTraffic(t, c, &now, 10*time.Second, usual)
 	slow := func(s ident.Server) time.Duration {
 		if kept[s] > 0 {
 			return 600 * time.Millisecond
 		}
 		return 150 * time.Millisecond
 	}
-	few(t, c, &now, 10*time.Second, slow)
+	runLowTraffic(t, c, &now, 10*time.Second, slow)
 	stuck := 0
-	went := few(t, c, &now, 20*time.Second, slow)
+	went := runLowTraffic(t, c, &now, 20*time.Second, slow)
 	for s := range kept {
 		stuck += went[s]
 	}
-	assert.Assert(t, stuck < 10, "%d of 100 requests still go to slow ones", stuck)
+	assert.Assert(t, stuck < 10, "%d of 100 requests still go to slow servers", stuck)
 }
