--- a/internal/edge/front/body.go
+++ b/internal/edge/front/body.go
@@ -13,33 +13,33 @@
 	"hawthornfield.org/hawthornfield/internal/load/poison"
 )
 
-// smallBody is up to where a body is read whole before the request asks for a
-// place. A caller that sends a few bytes a second would otherwise hold one of a
-// backend server's two or four slots while it does; and only a body that is
-// held can be sent again after a refusal. Larger bodies are streamed.
-const smallBody = 16 << 10
+// defaultBufferLimit is the largest body, in bytes, that is read whole before the request
+// asks for admission. Otherwise a caller that sends a few bytes a second would hold one
+// of a backend server's two or four slots meanwhile. Also, only a buffered body can be
+// sent again after a refusal. Larger bodies are streamed.
+const defaultBufferLimit = 16 << 10
 
-// body is a request's body, held or streamed.
+// body is a request's body, either buffered or streamed.
 type body struct {
-	held    []byte
-	stream  io.Reader
-	digest  *poison.Digest // of a stream whose length is not known
-	started bool
+	buffered []byte
+	stream   io.Reader
+	digest   *poison.Digest // of a stream of unknown length
+	started  bool
 }
 
-// takeBody reads a small body and prepares to stream a large one.
-func (x *exchange) takeBody() error {
+// readBody buffers a small body and prepares to stream a large one.
+func (x *exchange) readBody() error {
 	size := x.r.ContentLength
 	if size == 0 || x.r.Body == nil || x.r.Body == http.NoBody {
 		return nil
 	}
 	if limit := x.f.limits().Body; limit > 0 {
 		if size > limit {
-			return x.doubt(errTooLarge)
+			return x.finalUnlessStale(errBodyTooLarge)
 		}
 		x.r.Body = http.MaxBytesReader(x.w, x.r.Body, limit)
 	}
-	in := &paced{Reader: x.r.Body, rc: http.NewResponseController(x.w), pace: x.f.limits().HeaderTimeout.Duration}
+	in := &timeoutReader{Reader: x.r.Body, rc: http.NewResponseController(x.w), timeout: x.f.limits().HeaderTimeout.Duration}
 	if size > x.f.BufferLimit {
 		x.body.stream = in
 		return nil
@@ -49,15 +49,15 @@
 		x.body.stream = x.body.digest
 		return nil
 	}
-	x.body.held = make([]byte, size)
-	if _, err := io.ReadFull(in, x.body.held); err != nil {
-		return kinds.Wrap(whyUnread(err), err, "read body")
+	x.body.buffered = make([]byte, size)
+	if _, err := io.ReadFull(in, x.body.buffered); err != nil {
+		return kinds.Wrap(readErrorKind(err), err, "read body")
 	}
 	return nil
 }
 
-// whyUnread tells a caller that went away from one that was too slow.
-func whyUnread(err error) kinds.Kind {
+// readErrorKind distinguishes a caller that was too slow from one that went away.
+func readErrorKind(err error) kinds.Kind {
 	var slow interface{ Timeout() bool }
 	if errors.As(err, &slow) && slow.Timeout() {
 		return kinds.DeadlineMissed
@@ -65,43 +65,44 @@
 	return kinds.Canceled
 }
 
-// reader returns the body for one attempt, and false when it was already used.
+// reader returns the body for one attempt, and false if it is a stream that was already
+// used.
 func (b *body) reader() (io.Reader, bool) {
 	if b.stream == nil {
-		if b.held == nil {
+		if b.buffered == nil {
 			return nil, true
 		}
-		return bytes.NewReader(b.held), true
+		return bytes.NewReader(b.buffered), true
 	}
-	return onFirst{b}, !b.started
+	return streamReader{b}, !b.started
 }
 
-// onFirst notes that a streamed body was begun, after which no other attempt
-// can have the whole of it.
-type onFirst struct{ b *body }
+// streamReader reads a streamed body and records that reading began: after that no other
+// attempt can send the whole body.
+type streamReader struct{ b *body }
 
 // Read reads the streamed body.
-func (o onFirst) Read(p []byte) (int, error) {
-	o.b.started = true
-	return o.b.stream.Read(p)
+func (s streamReader) Read(p []byte) (int, error) {
+	s.b.started = true
+	return s.b.stream.Read(p)
 }
 
-// paced ends a read that brings nothing for too long. Without it a caller that
-// stops in the middle of an upload holds a slot for as long as it likes.
-type paced struct {
+// timeoutReader ends a read that returns nothing for too long. Without it a caller that
+// stops in the middle of an upload would hold a slot for as long as it likes.
+type timeoutReader struct {
 	io.Reader
-	rc   *http.ResponseController
-	pace time.Duration
+	rc      *http.ResponseController
+	timeout time.Duration
 }
 
-// Read reads within the pace. At the end the deadline is lifted: net/http goes
-// on reading to notice a caller that hangs up, and would take the deadline for
-// that.
-func (p *paced) Read(b []byte) (int, error) {
-	if p.pace <= 0 {
+// Read reads with a timeout. It clears the deadline after each successful read and at the
+// end: net/http goes on reading to notice a caller that disconnects, and would take an
+// expired deadline for a disconnect.
+func (p *timeoutReader) Read(b []byte) (int, error) {
+	if p.timeout <= 0 {
 		return p.Reader.Read(b)
 	}
-	_ = p.rc.SetReadDeadline(time.Now().Add(p.pace))
+	_ = p.rc.SetReadDeadline(time.Now().Add(p.timeout))
 	n, err := p.Reader.Read(b)
 	if errors.Is(err, io.EOF) || err == nil {
 		_ = p.rc.SetReadDeadline(time.Time{})
@@ -109,59 +110,60 @@
 	return n, err
 }
 
-// A caller must take copySize bytes of an answer within readPaces times the pace
-// at which it must send, or a wireless link's short pause would end an answer.
+// A caller must accept one write, of at most 32 KiB, within writeTimeoutFactor times the
+// header timeout. With a shorter timeout, a brief pause of a wireless link would end an
+// answer.
 const (
-	readPaces = 4
-	// instant is up to where an answer is written without a wait: net/http holds
-	// it, and no deadline needs to be set.
-	instant = 4 << 10
+	writeTimeoutFactor = 4
+	// noDeadlineLength is the longest answer, in bytes, that is written without a write
+	// deadline: net/http buffers it, so the write does not block.
+	noDeadlineLength = 4 << 10
 )
 
-// drained ends a write that the caller takes nothing of for too long. Without it
-// a caller that asks for a large answer and stops reading holds one of a backend
+// timeoutWriter ends a write of which the caller accepts nothing for too long. Without it
+// a caller that asks for a large answer and stops reading would hold one of a backend
 // server's two or four slots until the request's deadline.
-type drained struct {
+type timeoutWriter struct {
 	http.ResponseWriter
-	rc   *http.ResponseController
-	pace time.Duration
+	rc      *http.ResponseController
+	timeout time.Duration
 }
 
-// drain returns where to write an answer of a length, -1 if it is not known, and
-// what ends the writing.
-func (x *exchange) drain(length int64) (http.ResponseWriter, func()) {
-	pace := readPaces * x.f.limits().HeaderTimeout.Duration
-	if pace <= 0 || length >= 0 && length <= instant {
+// answerWriter returns a writer for an answer of the given length, -1 if unknown, and a
+// function to call after the last write.
+func (x *exchange) answerWriter(length int64) (http.ResponseWriter, func()) {
+	timeout := writeTimeoutFactor * x.f.limits().HeaderTimeout.Duration
+	if timeout <= 0 || length >= 0 && length <= noDeadlineLength {
 		return x.w, func() {}
 	}
-	d := &drained{ResponseWriter: x.w, rc: http.NewResponseController(x.w), pace: pace}
+	d := &timeoutWriter{ResponseWriter: x.w, rc: http.NewResponseController(x.w), timeout: timeout}
 	return d, func() {
-		// The connection's next answer sets its own.
+		// The next answer on the connection sets its own deadline.
 		_ = d.rc.SetWriteDeadline(time.Time{})
 	}
 }
 
-// Write writes within the pace.
-func (d *drained) Write(b []byte) (int, error) {
-	_ = d.rc.SetWriteDeadline(time.Now().Add(d.pace))
+// Write writes with a timeout.
+func (d *timeoutWriter) Write(b []byte) (int, error) {
+	_ = d.rc.SetWriteDeadline(time.Now().Add(d.timeout))
 	return d.ResponseWriter.Write(b)
 }
 
-// Flush sends what is held back, within the pace.
-func (d *drained) Flush() {
-	_ = d.rc.SetWriteDeadline(time.Now().Add(d.pace))
+// Flush sends buffered data with a timeout.
+func (d *timeoutWriter) Flush() {
+	_ = d.rc.SetWriteDeadline(time.Now().Add(d.timeout))
 	_ = d.rc.Flush()
 }
 
-// refusal is the body of an answer that the system makes itself.
-type refusal struct {
+// errorBody is the JSON body of an answer that the system itself generates.
+type errorBody struct {
 	Kind string        `json:"kind"`
 	Text string        `json:"text"`
 	Ran  kinds.Ran     `json:"ran"`
 	ID   ident.Request `json:"id"`
 }
 
-func (r refusal) json() []byte {
+func (r errorBody) json() []byte {
 	b, err := json.Marshal(r)
 	if err != nil {
 		return nil // cannot happen: all fields are plain text
--- a/internal/edge/front/time_test.go
+++ b/internal/edge/front/deadline_test.go
@@ -11,26 +11,26 @@
 	"hawthornfield.org/hawthornfield/internal/edge/relay"
 )
 
-// A client library sends the time that its caller will wait with a fraction, in another
-// notation, or longer than anybody waits. Taken for malformed, the request is answered
-// 400, and the caller never asks again for what every backend server would serve.
-func TestACallersOwnTimeIsTakenInAnyNotation(t *testing.T) {
+// Guards against status 400 for a deadline with a fraction, with an exponent, or above
+// the maximum. The caller would never repeat a request that every backend server would
+// serve.
+func TestACallersDeadlineIsAcceptedInAnyNotation(t *testing.T) {
 	for text, want := range map[string]time.Duration{
 		"1500":       1500 * time.Millisecond,
 		"1500.0":     1500 * time.Millisecond,
 		"1500.25":    1500250 * time.Microsecond,
 		"1e3":        time.Second,
 		"1e4":        10 * time.Second,
-		"5000000000": 10 * time.Second, // the rule's
+		"5000000000": 10 * time.Second, // the rule's deadline
 		"1e999":      10 * time.Second,
 	} {
-		run(t, func(t *testing.T, w *world) {
-			w.owner("l1")
+		runWithTestbed(t, func(t *testing.T, w *testbed) {
+			w.setOwner("l1")
 			r := w.request("GET", "/scales/north", nil)
 			r.Header.Set(relay.HeaderDeadline, text)
-			x := w.front.exchange(r, time.Time{})
+			x := w.front.newExchange(r, time.Time{})
 			assert.NilError(t, x.route(), text)
-			assert.Equal(t, x.by.Sub(x.note.At), want, text)
+			assert.Equal(t, x.deadline.Sub(x.decision.At), want, text)
 			resp, body, err := w.do(r)
 			assert.NilError(t, err)
 			assert.Equal(t, resp.StatusCode, http.StatusOK, "%s: %s", text, body)
@@ -38,10 +38,10 @@
 	}
 }
 
-// What is no time at all stays the caller's fault: whoever guesses one may keep a
-// request running for which nobody waits.
-func TestWhatIsNoTimeIsTheCallersFault(t *testing.T) {
-	run(t, func(t *testing.T, w *world) {
+// Guards against guessing a deadline for a header that is not a number: the request might
+// run for longer than its caller waits.
+func TestAMalformedDeadlineIsABadRequest(t *testing.T) {
+	runWithTestbed(t, func(t *testing.T, w *testbed) {
 		for _, text := range []string{"soon", "NaN", "1500ms"} {
 			r := w.request("GET", "/scales/north", nil)
 			r.Header.Set(relay.HeaderDeadline, text)
@@ -52,10 +52,10 @@
 	})
 }
 
-// A caller's time is over when its request arrives. Taken for a caller that names no
-// time, its request runs at a backend server for as long as the rule allows.
-func TestACallerWithoutTimeLeftIsTurnedAwayAtOnce(t *testing.T) {
-	run(t, func(t *testing.T, w *world) {
+// Guards against treating an expired deadline as a missing one: the request would run at
+// a backend server for as long as the rule allows.
+func TestAnExpiredDeadlineIsRefusedAtOnce(t *testing.T) {
+	runWithTestbed(t, func(t *testing.T, w *testbed) {
 		for _, text := range []string{"0", "0.0", "-1", "-inf"} {
 			r := w.request("GET", "/views/north", nil)
 			r.Header.Set(relay.HeaderDeadline, text)
--- a/internal/edge/front/exchange.go
+++ b/internal/edge/front/exchange.go
@@ -20,104 +20,107 @@
 	"hawthornfield.org/hawthornfield/internal/rules/match"
 )
 
-// Bounds on what a caller may send in our own headers.
+// Limits on values that a caller sends in the system's own headers.
 const (
-	maxName     = 128
-	maxDeadline = 24 * time.Hour
+	maxNameLength = 128
+	maxDeadline   = 24 * time.Hour
 )
 
-// exchange is one request on its way.
+// exchange is the state of one request from its arrival to the end of its answer.
 type exchange struct {
-	f    *Front
-	out  writer
-	w    http.ResponseWriter // out
-	r    *http.Request
-	body body
-	line *pipe.Conn // nil where the connection is not read ahead, or the request was
+	f         *Front
+	ginWriter statusWriter
+	w         http.ResponseWriter // ginWriter, or the buffer of a pipelined request
+	r         *http.Request
+	body      body
+	conn      *pipe.Conn // nil for a pipelined request, and on a connection without pipelining
 
-	note record.Decision
-	rule *match.Rule
-	svc  *state.Service
-	key  ident.Key
-	by   time.Time
-	sent bool // the header of an answer has been written to the caller
-	ran  bool // an attempt that brought no answer may have run
-	// told says that the server sent its own word with its answer: how many requests
-	// ran and waited there.
-	told             bool
-	running, waiting int
+	decision        record.Decision
+	rule            *match.Rule
+	svc             *state.Service
+	key             ident.Key
+	deadline        time.Time
+	responseStarted bool // the header of the answer has been written to the caller
+	mayHaveRun      bool // an attempt that got no answer may have run
+	// loadReported says that the server reported its load with its answer: serverRunning
+	// requests ran and serverWaiting requests waited there.
+	loadReported                 bool
+	serverRunning, serverWaiting int
 
-	flight *flight // the attempt under way, in a service divided by key
-	first  flight
-	racers []*try // attempts of a hedged request
+	current       *ownerAttempt // the current attempt, for a service divided by key
+	firstAttempt  ownerAttempt
+	hedgeAttempts []*hedgeAttempt // attempts of a hedged request, in order of their start
 
-	suspect bool // it is known to the Guard
-	crashes int  // servers that broke off under it, as known when the last one did
+	suspect bool // the Guard suspects the request of crashing servers
+	crashes int  // number of servers that crashed while running the request, as last reported by the Guard
 
-	ticket *dedup.Ticket // the claim on the request id, if the rule demands one
-	named  bool          // the caller itself chose the request id
+	ticket       *dedup.Ticket // the claim on the request id, if the rule demands one
+	idFromCaller bool          // the caller chose the request id
 }
 
-// serve takes one request along the line, or passes on what was started of it already.
+// serve handles one request, or delivers the answer that was prepared for it while it was
+// pipelined.
 func (f *Front) serve(w gin.ResponseWriter, r *http.Request) {
-	line := pipe.From(r.Context())
-	run, came := line.Begin(r)
-	defer line.Done()
-	if f.closing.Load() && !line.HasPending() {
+	conn := pipe.From(r.Context())
+	pipelined, arrived := conn.Begin(r)
+	defer conn.Done()
+	if f.closing.Load() && !conn.HasPending() {
 		w.Header().Set("Connection", "close")
 	}
-	if run != nil && run.Deliver(&writer{w}) {
+	if pipelined != nil && pipelined.Deliver(&statusWriter{w}) {
 		return
 	}
-	x := f.exchange(r, came)
-	x.out, x.line = writer{w}, line
-	x.w = &x.out
-	if _, broken := x.answer(); broken {
-		// A normal return would end a chunked answer properly, and the caller
-		// would take the part that arrived for the whole.
+	x := f.newExchange(r, arrived)
+	x.ginWriter, x.conn = statusWriter{w}, conn
+	x.w = &x.ginWriter
+	if _, broken := x.handle(); broken {
+		// A normal return would end a chunked answer properly, and the caller would take
+		// the partial answer for a complete one.
 		panic(http.ErrAbortHandler)
 	}
 }
 
-// serveAhead serves a request that is not the first one of its connection that is not
-// answered yet. It declines what must run once at most: its answer may never reach the
-// caller, if one before it breaks the connection off.
-func (f *Front) serveAhead(w http.ResponseWriter, r *http.Request, at time.Time) (ok, broken bool) {
-	x := f.exchange(r, at)
-	x.w, x.note.Pipelined = w, true
-	return x.answer()
+// servePipelined serves a request that arrived while an earlier one of the same
+// connection is not answered yet. It declines requests that are not idempotent: if an
+// earlier answer breaks the connection off, their answer would be lost although they have
+// run.
+func (f *Front) servePipelined(w http.ResponseWriter, r *http.Request, at time.Time) (ok, broken bool) {
+	x := f.newExchange(r, at)
+	x.w, x.decision.Pipelined = w, true
+	return x.handle()
 }
 
-// exchange begins a request. It came at a time at which nobody read it yet, or now.
-func (f *Front) exchange(r *http.Request, came time.Time) *exchange {
+// newExchange creates the exchange of a request. arrived is when the request arrived if it
+// waited to be read, otherwise zero.
+func (f *Front) newExchange(r *http.Request, arrived time.Time) *exchange {
 	now := time.Now()
 	x := &exchange{f: f, r: r}
-	x.note = record.Decision{Action: record.Route, At: now, VM: f.VM}
-	if !came.IsZero() {
-		x.note.At, x.note.PipelineWait = came, now.Sub(came)
+	x.decision = record.Decision{Action: record.Route, At: now, VM: f.VM}
+	if !arrived.IsZero() {
+		x.decision.At, x.decision.PipelineWait = arrived, now.Sub(arrived)
 	}
 	return x
 }
 
-// answer takes the request along the line. It reports whether that was done at all, and
-// whether the answer broke off.
-func (x *exchange) answer() (ok, broken bool) {
-	x.f.flying.Add(1)
-	defer x.f.flying.Add(-1)
+// handle processes the request and answers it. ok is false if the request was declined
+// for pipelining; broken reports that the answer broke off after it had begun.
+func (x *exchange) handle() (ok, broken bool) {
+	x.f.inFlight.Add(1)
+	defer x.f.inFlight.Add(-1)
 	err := x.run()
-	if errors.Is(err, errInTurn) {
+	if errors.Is(err, errNotPipelined) {
 		return false, false
 	}
-	err = x.truthful(err)
+	err = x.unknownIfRan(err)
 	x.finish(err)
-	return true, err != nil && x.sent
+	return true, err != nil && x.responseStarted
 }
 
-// truthful keeps a refusal of the last attempt from promising what an earlier one
-// may have done: a request that was sent once and then refused elsewhere may have
-// run, and a caller that is told otherwise repeats what is done already.
-func (x *exchange) truthful(err error) error {
-	if x.ran && !x.sent && kinds.Of(err).Answer().Ran == kinds.RanNo {
+// unknownIfRan changes an error that promises "not run" to kind Unknown if an earlier
+// attempt may have run. A caller that is told "not run" repeats a request that may
+// already have taken effect.
+func (x *exchange) unknownIfRan(err error) error {
+	if x.mayHaveRun && !x.responseStarted && kinds.Of(err).Answer().Ran == kinds.RanNo {
 		return kinds.Wrap(kinds.Unknown, err, "an earlier attempt may have run")
 	}
 	return err
@@ -128,172 +131,176 @@
 		return err
 	}
 	if limit := x.f.limits().Header; limit > 0 && headerSize(x.r) > limit {
-		return x.doubt(errHeader)
+		return x.finalUnlessStale(errHeaderTooLarge)
 	}
 	if err := x.route(); err != nil {
 		return err
 	}
-	if x.note.Pipelined && !x.rule.Then.Idempotent {
-		return errInTurn
+	if x.decision.Pipelined && !x.rule.Then.Idempotent {
+		return errNotPipelined
 	}
-	ctx, cancel := context.WithDeadline(x.r.Context(), x.by)
+	ctx, cancel := context.WithDeadline(x.r.Context(), x.deadline)
 	defer cancel()
-	x.line.OnDisconnect(cancel)
-	if err := x.takeBody(); err != nil {
+	x.conn.OnDisconnect(cancel)
+	if err := x.readBody(); err != nil {
 		return err
 	}
-	if err := x.screen(); err != nil {
+	if err := x.checkSuspect(); err != nil {
 		return err
 	}
-	if err := x.promise(ctx); err != nil {
+	if err := x.claimAndRecord(ctx); err != nil {
 		return err
 	}
 	return x.forward(ctx)
 }
 
 var (
-	errNoRules  = kinds.New(kinds.Unavailable, "this VM may not answer: it cannot know the rules in force")
-	errNoRule   = kinds.New(kinds.NoRule, "no rule matches")
-	errDenied   = kinds.New(kinds.Denied, "a rule denies the request")
-	errService  = kinds.New(kinds.NoServer, "the rule's service is not configured here")
-	errNoID     = kinds.New(kinds.BadRequest, "the rule needs a request id from the caller")
-	errTooLarge = kinds.New(kinds.TooLarge, "the body exceeds the limit")
-	errTime     = kinds.New(kinds.BadRequest, "the caller's time is no number of milliseconds")
-	errOver     = kinds.New(kinds.DeadlineMissed, "the caller's time was over when its request came")
-	errHeader   = kinds.New(kinds.LongHeader, "the headers exceed the limit")
+	errRulesUnknown   = kinds.New(kinds.Unavailable, "the rules in force are not known on this VM")
+	errNoRule         = kinds.New(kinds.NoRule, "no rule matches")
+	errDenied         = kinds.New(kinds.Denied, "a rule denies the request")
+	errUnknownService = kinds.New(kinds.NoServer, "the rule's service is not configured on this VM")
+	errNoID           = kinds.New(kinds.BadRequest, "the rule needs a request id from the caller")
+	errBodyTooLarge   = kinds.New(kinds.TooLarge, "the body exceeds the limit")
+	errBadDeadline    = kinds.New(kinds.BadRequest, "the deadline header is not a number of milliseconds")
+	errDeadlinePassed = kinds.New(kinds.DeadlineMissed, "the caller's deadline had passed when the request arrived")
+	errHeaderTooLarge = kinds.New(kinds.LongHeader, "the headers exceed the limit")
 )
 
-// errInTurn is no failure and reaches no caller. It has no kind: errors of one kind are
-// the same to errors.Is, and every fault of our own would be taken for it, dropped
-// without an answer or a line in the log.
-var errInTurn = errors.New("the request is served in its turn")
+// errNotPipelined declines to pipeline a request; it reaches no caller. It has no kind:
+// errors.Is treats errors of one kind as equal, so an internal error would be taken for
+// it and dropped without an answer or a log entry.
+var errNotPipelined = errors.New("the request must not be pipelined")
 
-// promise does what the rule demands before anything may run: a claim on the
-// request id, and a durable record.
-func (x *exchange) promise(ctx context.Context) error {
+// claimAndRecord does what the rule requires before the request may run: it claims the
+// request id and writes a durable record.
+func (x *exchange) claimAndRecord(ctx context.Context) error {
 	then := &x.rule.Then
 	if then.Once == match.OnceStore && x.f.Claims != nil {
-		if !x.named {
-			// Under an id of our own making a repeat would look like a new request.
-			return x.doubt(errNoID)
+		if !x.idFromCaller {
+			// With a generated id a repeated submission would look like a new request.
+			return x.finalUnlessStale(errNoID)
 		}
-		ask := dedup.Request{Service: then.Service, ID: x.note.ID, Rule: x.rule.Name}
+		claim := dedup.Request{Service: then.Service, ID: x.decision.ID, Rule: x.rule.Name}
 		var err error
-		if x.ticket, err = x.f.Claims.Claim(ctx, ask); err != nil {
+		if x.ticket, err = x.f.Claims.Claim(ctx, claim); err != nil {
 			return err
 		}
 	}
 	if then.Durable == match.DurableJournal && x.f.Durable != nil {
-		return x.f.Durable.RecordDurable(ctx, &x.note)
+		return x.f.Durable.RecordDurable(ctx, &x.decision)
 	}
 	return nil
 }
 
-// settleWait bounds how long a refusal waits until the claim is given back.
-const settleWait = 250 * time.Millisecond
+// releaseTimeout is the longest time that a refusal waits for its claim to be released.
+const releaseTimeout = 250 * time.Millisecond
 
-// settle says what became of the claim. A request that did not run gives it
-// back before the caller is told so, or the caller's next try would be taken
-// for a second submission of something that was accepted.
-func (x *exchange) settle() {
+// settleClaim reports to the claim whether the request ran. The claim of a request that
+// did not run is released before the caller is told so; otherwise the caller's next try
+// would be rejected as a second submission.
+func (x *exchange) settleClaim() {
 	if x.ticket == nil {
 		return
 	}
-	switch x.note.Ran {
+	switch x.decision.Ran {
 	case kinds.RanYes:
-		x.ticket.Done(x.note.Status)
+		x.ticket.Done(x.decision.Status)
 	case kinds.RanNo:
-		ctx, cancel := context.WithTimeout(context.WithoutCancel(x.r.Context()), settleWait)
+		ctx, cancel := context.WithTimeout(context.WithoutCancel(x.r.Context()), releaseTimeout)
 		defer cancel()
 		x.ticket.Release(ctx)
 	}
 }
 
-// finish answers what was not answered yet, and records the decision.
+// finish answers the request if that was not done yet, and records the decision.
 func (x *exchange) finish(err error) {
 	k := kinds.Of(err)
-	x.note.Kind, x.note.Took = k.String(), time.Since(x.note.At)
-	x.note.Ran = kinds.RanYes
+	x.decision.Kind, x.decision.Took = k.String(), time.Since(x.decision.At)
+	x.decision.Ran = kinds.RanYes
 	if err != nil {
-		x.note.Ran, x.note.Reason = k.Answer().Ran, err.Error()
-		if notSent(err) {
-			x.note.Ran = kinds.RanNo
+		x.decision.Ran, x.decision.Reason = k.Answer().Ran, err.Error()
+		if didNotRun(err) {
+			x.decision.Ran = kinds.RanNo
 		}
 	}
-	x.settle()
-	x.sight(err)
-	if err != nil && !x.sent {
-		x.note.Status = x.refuse(err)
+	x.settleClaim()
+	x.recordRefusal(err)
+	if err != nil && !x.responseStarted {
+		x.decision.Status = x.writeError(err)
 	}
 	if x.rule != nil {
-		x.note.Keep = x.rule.Then.Keep
-		x.note.Skip = !x.note.Keep.Retains(retain.Case{Key: x.key, Safe: safe(x.r.Method), Succeeded: err == nil && x.note.Status < http.StatusInternalServerError})
+		x.decision.Keep = x.rule.Then.Keep
+		x.decision.Skip = !x.decision.Keep.Retains(retain.Case{Key: x.key, Safe: isSafeMethod(x.r.Method), Succeeded: err == nil && x.decision.Status < http.StatusInternalServerError})
 	}
 	if x.f.Record != nil {
-		x.f.Record.Record(x.note)
+		x.f.Record.Record(x.decision)
 	}
 	if x.f.Meter != nil {
-		x.f.Meter.Answered(&x.note)
+		x.f.Meter.Answered(&x.decision)
 	}
 }
 
-// sight notes what the gate saw when it refused the request: without it a reader of
-// the log knows that it was refused, and not whether rightly.
-func (x *exchange) sight(err error) {
+// recordRefusal records the load that the gate saw when it refused the request. Without
+// it the log tells that the request was refused, but not whether rightly.
+func (x *exchange) recordRefusal(err error) {
 	var refused *gate.Refusal
 	if x.svc == nil || !errors.As(err, &refused) {
 		return
 	}
 	if owner, ok := x.svc.Owner(x.key); x.svc.Divided() && ok {
-		x.note.Server = owner.Server
+		x.decision.Server = owner.Server
 	}
-	s := x.svc.Gate.Inspect(x.note.Server)
-	x.note.Busy, x.note.Limit, x.note.Queue = s.Running, s.Limit, s.Waiting
+	s := x.svc.Gate.Inspect(x.decision.Server)
+	x.decision.Busy, x.decision.Limit, x.decision.Queue = s.Running, s.Limit, s.Waiting
 }
 
-// safe reports whether a method asks for nothing to be changed (RFC 9110, 9.2.1).
-func safe(method string) bool {
+// isSafeMethod reports whether a method is safe as defined by RFC 9110, section 9.2.1: it
+// asks for nothing to be changed.
+func isSafeMethod(method string) bool {
 	return method == http.MethodGet || method == http.MethodHead || method == http.MethodOptions
 }
 
-func notSent(err error) bool {
+func didNotRun(err error) bool {
 	var fail *relay.Failure
 	return errors.As(err, &fail) && (!fail.Sent || fail.Refused)
 }
 
-// soon is when to come back to a server that had a free slot as it refused.
-const soon = 100 * time.Millisecond
+// freeSlotRetryAfter is the Retry-After value for a refusal by a server that reported a
+// free slot.
+const freeSlotRetryAfter = 100 * time.Millisecond
 
-// roomy reports whether the server that refused the request said that it has a free slot.
-func (x *exchange) roomy(err error) bool {
+// hasFreeSlot reports whether the server that refused the request also reported a free
+// slot.
+func (x *exchange) hasFreeSlot(err error) bool {
 	var fail *relay.Failure
-	return errors.As(err, &fail) && fail.Refused && x.told && x.running+x.waiting < x.svc.Gate.Inspect(x.note.Server).Slots
+	return errors.As(err, &fail) && fail.Refused && x.loadReported && x.serverRunning+x.serverWaiting < x.svc.Gate.Inspect(x.decision.Server).Slots
 }
 
-// refuse answers with the kind's row and returns the status.
-func (x *exchange) refuse(err error) int {
+// writeError writes the answer that the table of kinds defines for the error, and returns
+// its status.
+func (x *exchange) writeError(err error) int {
 	k := kinds.Of(err)
 	a := k.Answer()
 	after := a.Retry
 	if hint := gate.RetryAfter(err); hint > 0 {
 		after = hint
 	}
-	if x.roomy(err) {
-		after = soon
+	if x.hasFreeSlot(err) {
+		after = freeSlotRetryAfter
 	}
-	if left := barredFor(err); left > 0 {
-		after = left
+	if remaining := quarantineLeft(err); remaining > 0 {
+		after = remaining
 	}
 	h := x.w.Header()
 	if x.f.Headers.Ran != "" {
-		h.Set(x.f.Headers.Ran, string(x.note.Ran))
+		h.Set(x.f.Headers.Ran, string(x.decision.Ran))
 	}
-	h.Set(x.f.Headers.ID, string(x.note.ID))
+	h.Set(x.f.Headers.ID, string(x.decision.ID))
 	h.Set("Content-Type", "application/json")
 	if after > 0 {
 		h.Set("Retry-After", x.f.FormatRetryAfter(after))
 	}
 	x.w.WriteHeader(a.Status)
-	_, _ = x.w.Write(refusal{Kind: k.String(), Text: a.Text, Ran: x.note.Ran, ID: x.note.ID}.json())
+	_, _ = x.w.Write(errorBody{Kind: k.String(), Text: a.Text, Ran: x.decision.Ran, ID: x.decision.ID}.json())
 	return a.Status
 }
--- a/internal/edge/front/forward.go
+++ b/internal/edge/front/forward.go
@@ -19,52 +19,54 @@
 )
 
 var (
-	errNoAddr = kinds.New(kinds.NoServer, "the server's address is not known here")
-	errSpent  = kinds.New(kinds.Unknown, "the body was already streamed once")
+	errNoAddr       = kinds.New(kinds.NoServer, "the server's address is not known on this VM")
+	errBodyConsumed = kinds.New(kinds.Unknown, "the body was streamed already and cannot be sent again")
 )
 
-// forward makes attempts until one is answered, or none may follow.
+// forward makes attempts until one is answered or no further one is allowed.
 func (x *exchange) forward(ctx context.Context) error {
 	if x.svc.Divided() && x.key != "" {
-		return x.toOwner(ctx)
+		return x.sendToOwner(ctx)
 	}
-	asked := time.Now()
-	pass, err := x.svc.Gate.Enter(ctx, x.job(""))
-	x.waited(asked)
+	start := time.Now()
+	permit, err := x.svc.Gate.Enter(ctx, x.job(""))
+	x.addWait(start)
 	if err != nil {
 		return err
 	}
 	for {
 		var outcome gate.Outcome
-		if x.hedges() {
-			pass, outcome, err = x.hedged(ctx, pass)
+		if x.mayHedge() {
+			permit, outcome, err = x.sendHedged(ctx, permit)
 		} else {
-			outcome, err = x.toServer(ctx, pass)
+			outcome, err = x.sendToServer(ctx, permit)
 		}
-		if err == nil || !x.mayRepeat(err) || x.note.Attempts > x.repeats(err) {
-			pass.Done(outcome)
+		if err == nil || !x.mayRetry(err) || x.decision.Attempts > x.maxRetries(err) {
+			permit.Done(outcome)
 			return err
 		}
-		next, ok := x.retry(ctx, pass, outcome)
+		next, ok := x.retry(ctx, permit, outcome)
 		if !ok {
 			return err
 		}
-		pass = next
+		permit = next
 	}
 }
 
-// waited adds the time since a place was asked for to what the request waited here.
-func (x *exchange) waited(asked time.Time) { x.note.Wait += time.Since(asked) }
+// addWait adds the time since admission was requested to the time that the request waited
+// on this VM.
+func (x *exchange) addWait(start time.Time) { x.decision.Wait += time.Since(start) }
 
-// retry asks for a place for another attempt.
-func (x *exchange) retry(ctx context.Context, pass gate.Permit, o gate.Outcome) (gate.Permit, bool) {
-	defer x.waited(time.Now())
-	return pass.Retry(ctx, o)
+// retry asks the gate to admit another attempt.
+func (x *exchange) retry(ctx context.Context, permit gate.Permit, o gate.Outcome) (gate.Permit, bool) {
+	defer x.addWait(time.Now())
+	return permit.Retry(ctx, o)
 }
 
-// repeats is how often the request may be tried again. What never left this VM
-// may try another server once, whatever the rule says: it is not sent again.
-func (x *exchange) repeats(err error) int {
+// maxRetries returns how often the request may be retried after the error. A request that
+// never left this VM may be tried on another server once whatever the rule says, because
+// it was never sent.
+func (x *exchange) maxRetries(err error) int {
 	var fail *relay.Failure
 	if errors.As(err, &fail) && !fail.Sent {
 		return max(x.rule.Then.Retry, 1)
@@ -72,111 +74,113 @@
 	return x.rule.Then.Retry
 }
 
-// toServer makes one attempt at the server that the gate picked.
-func (x *exchange) toServer(ctx context.Context, pass gate.Permit) (gate.Outcome, error) {
+// sendToServer makes one attempt at the server that the gate picked.
+func (x *exchange) sendToServer(ctx context.Context, permit gate.Permit) (gate.Outcome, error) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	return x.attempt(ctx, cancel, pass, table.Owner{Server: pass.Server()})
+	return x.attempt(ctx, cancel, permit, table.Owner{Server: permit.Server()})
 }
 
-// defaultPatience is how long a request waits for its key to get an owner when
-// the rule does not say. A lost owner is replaced within a second when one thing
-// fails; twice that turns a lost server into a slow answer also on a busy
-// machine. Waiting longer only holds back an answer that the caller can use.
-const defaultPatience = 2 * time.Second
+// defaultMaxOwnerWait is how long a request waits for its key to get an owner when the
+// rule does not say. A lost owner is replaced within a second when a single component
+// fails; twice that also covers a busy machine, so that the loss of a server shows as a
+// slow answer and not as an error. A longer wait would only delay an error answer that
+// the caller can act on.
+const defaultMaxOwnerWait = 2 * time.Second
 
-// toOwner sends the request to the key's owner. While the key is between owners
-// nothing can run, so the request waits in the gate for the next owner and goes
-// there, until one takes it or its patience ends.
-func (x *exchange) toOwner(ctx context.Context) error {
-	pass, err := x.enterOwner(ctx)
+// sendToOwner sends the request to the key's owner. While the key has no owner the
+// request cannot run anywhere, so it waits in the gate for the next owner and is sent
+// there, until an owner accepts it or the wait exceeds its limit.
+func (x *exchange) sendToOwner(ctx context.Context) error {
+	permit, err := x.enterOwner(ctx)
 	for err == nil {
-		outcome, failed := x.askOwner(ctx, pass)
+		outcome, failed := x.attemptOwner(ctx, permit)
 		switch {
-		case failed == nil || !x.mayRepeat(failed):
-			pass.Done(outcome)
+		case failed == nil || !x.mayRetry(failed):
+			permit.Done(outcome)
 			return failed
-		case reroutable(failed):
-			asked := time.Now()
-			pass, err = pass.WaitOwner(ctx, outcome)
-			x.waited(asked)
-		case x.note.Attempts > x.rule.Then.Retry:
-			pass.Done(outcome)
+		case mayReroute(failed):
+			start := time.Now()
+			permit, err = permit.WaitOwner(ctx, outcome)
+			x.addWait(start)
+		case x.decision.Attempts > x.rule.Then.Retry:
+			permit.Done(outcome)
 			return failed
 		default:
-			next, ok := x.retry(ctx, pass, outcome)
+			next, ok := x.retry(ctx, permit, outcome)
 			if !ok {
 				return failed
 			}
-			pass = next
+			permit = next
 		}
 	}
 	return err
 }
 
-// enterOwner asks for a place at the key's owner. The gate can know less than
-// the table: a server that it does not list yet is waited for like a move.
+// enterOwner asks the gate for admission to the key's owner. The table may name an owner
+// that the gate does not list yet: the request then waits as during a move.
 func (x *exchange) enterOwner(ctx context.Context) (gate.Permit, error) {
-	defer x.waited(time.Now())
+	defer x.addWait(time.Now())
 	owner, ok := x.owner()
 	if !ok {
-		return x.svc.Gate.WaitOwner(ctx, x.jobAt(owner))
+		return x.svc.Gate.WaitOwner(ctx, x.ownerJob(owner))
 	}
-	pass, err := x.svc.Gate.Enter(ctx, x.jobAt(owner))
-	if err != nil && reroutable(err) {
-		return x.svc.Gate.WaitOwner(ctx, x.jobAt(owner))
+	permit, err := x.svc.Gate.Enter(ctx, x.ownerJob(owner))
+	if err != nil && mayReroute(err) {
+		return x.svc.Gate.WaitOwner(ctx, x.ownerJob(owner))
 	}
-	return pass, err
+	return permit, err
 }
 
-// owner looks the key's owner up, and notes it for the record.
+// owner looks up the key's owner and records its slice and epoch in the decision.
 func (x *exchange) owner() (table.Owner, bool) {
 	owner, ok := x.svc.Owner(x.key)
-	x.note.Slice, x.note.Epoch = owner.Slice, owner.Epoch
+	x.decision.Slice, x.decision.Epoch = owner.Slice, owner.Epoch
 	return owner, ok
 }
 
-// askOwner makes one attempt at the server that the gate gave a place on, which
-// is the key's owner unless it changed in that very moment.
-func (x *exchange) askOwner(ctx context.Context, pass gate.Permit) (gate.Outcome, error) {
+// attemptOwner makes one attempt at the server that the gate admitted the request to, if
+// that is still the key's owner.
+func (x *exchange) attemptOwner(ctx context.Context, permit gate.Permit) (gate.Outcome, error) {
 	owner, ok := x.owner()
-	if !ok || owner.Server != pass.Server() {
-		return gate.Cancel(), errMoved
+	if !ok || owner.Server != permit.Server() {
+		return gate.Cancel(), errOwnerChanged
 	}
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	fl := x.newFlight(owner.Server, cancel)
-	all := x.f.flightsOf(x.svc.Name)
-	all.add(fl)
-	defer all.remove(fl)
-	x.flight = fl
-	return x.attempt(ctx, cancel, pass, owner)
+	a := x.newOwnerAttempt(owner.Server, cancel)
+	attempts := x.f.attemptsOf(x.svc.Name)
+	attempts.add(a)
+	defer attempts.remove(a)
+	x.current = a
+	return x.attempt(ctx, cancel, permit, owner)
 }
 
-// newFlight returns the flight of the next attempt. The first one is part of
-// the exchange; a later one may still be looked at while the next begins.
-func (x *exchange) newFlight(to ident.Server, cancel context.CancelCauseFunc) *flight {
-	fl := &x.first
-	if x.flight != nil || fl.cancel != nil {
-		fl = &flight{}
-	}
-	fl.key, fl.server, fl.safe, fl.cancel = x.key, to, x.rule.Then.Idempotent, cancel
-	return fl
+// newOwnerAttempt returns the ownerAttempt for the next attempt. The first one is
+// embedded in the exchange; a later attempt gets a new one, because the previous one may
+// still be in use by followOwners.
+func (x *exchange) newOwnerAttempt(to ident.Server, cancel context.CancelCauseFunc) *ownerAttempt {
+	a := &x.firstAttempt
+	if x.current != nil || a.cancel != nil {
+		a = &ownerAttempt{}
+	}
+	a.key, a.server, a.idempotent, a.cancel = x.key, to, x.rule.Then.Idempotent, cancel
+	return a
 }
 
-// reroutable reports whether another owner would help.
-func reroutable(err error) bool {
+// mayReroute reports whether the request may succeed at another owner.
+func mayReroute(err error) bool {
 	switch kinds.Of(err) {
 	case kinds.NoOwner, kinds.Misrouted, kinds.NoServer:
 		return true
 	}
-	return errors.Is(err, errMoved)
+	return errors.Is(err, errOwnerChanged)
 }
 
-// mayRepeat reports whether the request certainly did not run, or may run
-// twice, and its body can be sent again.
-func (x *exchange) mayRepeat(err error) bool {
-	if x.sent || x.crashes > 1 || barredFor(err) > 0 {
+// mayRetry reports whether the request certainly did not run or is idempotent, and its
+// body can be sent again.
+func (x *exchange) mayRetry(err error) bool {
+	if x.responseStarted || x.crashes > 1 || quarantineLeft(err) > 0 {
 		return false
 	}
 	if _, again := x.body.reader(); !again {
@@ -189,36 +193,37 @@
 	return !fail.Sent || fail.Refused || x.rule.Then.Idempotent
 }
 
-// job describes the request to the gate.
+// job returns the description of the request for the gate.
 func (x *exchange) job(owner ident.Server) gate.Job {
 	return gate.Job{
-		Service: x.svc.Name, Caller: x.note.Caller, Key: x.key, Slice: x.note.Slice,
-		Class: class(x.rule.Then.Class), Server: owner, Deadline: x.by, LatencyTarget: x.rule.Then.Aim, Size: x.size(), Bytes: x.r.ContentLength,
+		Service: x.svc.Name, Caller: x.decision.Caller, Key: x.key, Slice: x.decision.Slice,
+		Class: gateClass(x.rule.Then.Class), Server: owner, Deadline: x.deadline, LatencyTarget: x.rule.Then.Aim, Size: x.jobSize(), Bytes: x.r.ContentLength,
 		Idempotent: x.rule.Then.Idempotent,
 	}
 }
 
-// jobAt describes a request for a key to the gate.
-func (x *exchange) jobAt(owner table.Owner) gate.Job {
+// ownerJob returns the description of a request for a key for the gate.
+func (x *exchange) ownerJob(owner table.Owner) gate.Job {
 	j := x.job(owner.Server)
 	j.Epoch, j.HotKey = owner.Epoch, owner.Hot
 	j.MaxOwnerWait = cmp.Or(x.rule.Then.Wait, x.f.MaxOwnerWait)
 	return j
 }
 
-// size is the body's length; a rule that calls its requests long makes the
-// length of a short body meaningless.
-func (x *exchange) size() int64 {
+// jobSize returns the length of the body in bytes, as an estimate of the work. A rule
+// that declares its requests long or short overrides it, because the length then says
+// nothing about the work.
+func (x *exchange) jobSize() int64 {
 	switch x.rule.Then.Size {
 	case match.Long:
 		return sizes.LongBytes
 	case match.Short:
-		return 0 // whatever it weighs, its work is no longer than others'
+		return 0 // its work is short whatever the length of the body
 	}
 	return x.r.ContentLength
 }
 
-func class(c match.Class) gate.Class {
+func gateClass(c match.Class) gate.Class {
 	switch c {
 	case match.Urgent:
 		return gate.High
@@ -229,79 +234,79 @@
 	}
 }
 
-// attempt sends the request to one server and passes its answer on.
+// attempt sends the request to one server and copies its answer to the caller.
 func (x *exchange) attempt(
-	ctx context.Context, cancel context.CancelCauseFunc, pass gate.Permit, owner table.Owner,
+	ctx context.Context, cancel context.CancelCauseFunc, permit gate.Permit, owner table.Owner,
 ) (out gate.Outcome, err error) {
-	x.note.Attempts++
-	x.note.Server = pass.Server()
-	sight := x.svc.Gate.Inspect(pass.Server())
-	x.note.Remote, x.note.Load, x.note.LoadAge = sight.Remote, sight.Load, sight.LoadAge
-	to, ok := x.svc.Addr(pass.Server())
+	x.decision.Attempts++
+	x.decision.Server = permit.Server()
+	snapshot := x.svc.Gate.Inspect(permit.Server())
+	x.decision.Remote, x.decision.Load, x.decision.LoadAge = snapshot.Remote, snapshot.Load, snapshot.LoadAge
+	to, ok := x.svc.Addr(permit.Server())
 	if !ok {
 		return gate.Outcome{Kind: kinds.NoServer}, errNoAddr
 	}
-	// A panic between here and Done would keep the place for ever.
+	// A panic between here and Done would otherwise leak the slot.
 	defer func() {
 		if v := recover(); v != nil {
-			pass.Done(gate.Outcome{Kind: kinds.Internal})
+			permit.Done(gate.Outcome{Kind: kinds.Internal})
 			panic(v)
 		}
 	}()
-	answer, err := x.ask(ctx, cancel, to, owner)
+	answer, err := x.send(ctx, cancel, to, owner)
 	if err != nil {
-		return x.failed(pass, err), x.diverted(ctx, err)
+		return x.handleFailure(permit, err), x.canceledByMove(ctx, err)
 	}
-	return x.passOn(pass, answer)
+	return x.copyAnswer(permit, answer)
 }
 
-// diverted tells an attempt that was ended because its key moved from one whose
-// caller went away. It may have run, unless nothing was sent.
-func (x *exchange) diverted(ctx context.Context, err error) error {
+// canceledByMove distinguishes an attempt that was canceled because its key moved from
+// one whose caller went away. Unless nothing was sent, the request may have run.
+func (x *exchange) canceledByMove(ctx context.Context, err error) error {
 	var fail *relay.Failure
-	if !errors.Is(context.Cause(ctx), errMoved) || !errors.As(err, &fail) {
+	if !errors.Is(context.Cause(ctx), errOwnerChanged) || !errors.As(err, &fail) {
 		return err
 	}
 	if !fail.Sent || x.rule.Then.Idempotent {
-		return errMoved
+		return errOwnerChanged
 	}
-	return kinds.Wrap(kinds.Unknown, err, "the server is silent and its keys have moved")
+	return kinds.Wrap(kinds.Unknown, err, "the server does not respond and its keys have moved")
 }
 
-func (x *exchange) ask(
+func (x *exchange) send(
 	ctx context.Context, cancel context.CancelCauseFunc, to netip.AddrPort, owner table.Owner,
 ) (*relay.Response, error) {
 	body, ok := x.body.reader()
 	if !ok {
-		return nil, errSpent
+		return nil, errBodyConsumed
 	}
-	if err := x.barred(); err != nil {
+	if err := x.checkQuarantine(); err != nil {
 		return nil, err
 	}
-	if x.flight != nil && !x.flight.departs() {
-		return nil, errMoved
+	if x.current != nil && !x.current.markSent() {
+		return nil, errOwnerChanged
 	}
 	answer, err := x.f.Relay.Send(ctx, cancel, x.r, body, to, &relay.Meta{
-		ID: x.note.ID, Caller: x.note.Caller, Service: x.svc.Name,
-		Key: x.key, Slice: owner.Slice, Epoch: owner.Epoch, Deadline: x.by, Server: owner.Server,
+		ID: x.decision.ID, Caller: x.decision.Caller, Service: x.svc.Name,
+		Key: x.key, Slice: owner.Slice, Epoch: owner.Epoch, Deadline: x.deadline, Server: owner.Server,
 	})
 	if err == nil {
-		err = x.whole(answer)
+		err = x.bufferAnswer(answer)
 	}
-	if err == nil && x.flight != nil && !x.flight.lands() {
+	if err == nil && x.current != nil && !x.current.markAnswered() {
 		answer.Close()
-		return nil, x.overtaken()
+		return nil, x.answeredAfterMove()
 	}
 	return answer, err
 }
 
-// holdAnswer is up to where an answer is taken whole before its caller gets the
-// first byte of it. A server that breaks off is then noticed while the caller can
-// still be told so, or the request be sent again; larger answers are streamed.
-const holdAnswer = 64 << 10
+// maxBufferedAnswer is the longest answer, in bytes, that is read whole before its first
+// byte is sent to the caller. If the server breaks off, the caller can then still be told
+// so, or the request be sent again. Larger answers are streamed.
+const maxBufferedAnswer = 64 << 10
 
-// report hands a server's own word on its load to the gate.
-func (x *exchange) report(s ident.Server, h http.Header) {
+// reportLoad passes the load that a server reported to the gate.
+func (x *exchange) reportLoad(s ident.Server, h http.Header) {
 	if x.f.Headers.Load == nil {
 		return
 	}
@@ -309,92 +314,92 @@
 	if ok {
 		x.svc.Gate.Report(s, running+waiting, 0)
 	}
-	x.told, x.running, x.waiting = ok, running, waiting
+	x.loadReported, x.serverRunning, x.serverWaiting = ok, running, waiting
 }
 
-// whole takes a short answer in.
-func (x *exchange) whole(answer *relay.Response) error {
-	x.report(answer.Server(), answer.Header())
-	if err := answer.Buffer(holdAnswer); err != nil {
+// bufferAnswer buffers a short answer.
+func (x *exchange) bufferAnswer(answer *relay.Response) error {
+	x.reportLoad(answer.Server(), answer.Header())
+	if err := answer.Buffer(maxBufferedAnswer); err != nil {
 		answer.Close()
 		return err
 	}
 	return nil
 }
 
-// overtaken is for an answer that began in the moment in which its attempt was
-// ended: its body would break off.
-func (x *exchange) overtaken() error {
+// answeredAfterMove returns the error for an answer that began just as its attempt was
+// canceled: its body would break off.
+func (x *exchange) answeredAfterMove() error {
 	if x.rule.Then.Idempotent {
-		return errMoved
+		return errOwnerChanged
 	}
-	return kinds.New(kinds.Unknown, "the server is silent and its keys have moved")
+	return kinds.New(kinds.Unknown, "the server does not respond and its keys have moved")
 }
 
-// failed tells the gate how an attempt without an answer ended, and the server
-// that nobody waits for its work any more.
-func (x *exchange) failed(pass gate.Permit, err error) gate.Outcome {
+// handleFailure returns the outcome, for the gate, of an attempt without an answer, and
+// tells the server to stop work on a request that it may still run.
+func (x *exchange) handleFailure(permit gate.Permit, err error) gate.Outcome {
 	var fail *relay.Failure
-	if barredFor(err) > 0 {
-		return gate.Cancel() // it says nothing about the server
+	if quarantineLeft(err) > 0 {
+		return gate.Cancel() // a quarantine says nothing about the server
 	}
 	if !errors.As(err, &fail) {
 		return gate.Outcome{Kind: kinds.Of(err)}
 	}
 	if fail.ConnClosed {
-		x.accuse(pass.Server())
+		x.reportCrash(permit.Server())
 	}
 	if fail.Sent && !fail.Refused {
-		x.ran = true
-		x.cancel(pass.Server())
+		x.mayHaveRun = true
+		x.cancelOnServer(permit.Server())
 	}
 	switch {
 	case fail.Refused:
-		x.svc.RecordAttempt(pass.Server(), true)
-		x.report(pass.Server(), fail.Header)
+		x.svc.RecordAttempt(permit.Server(), true)
+		x.reportLoad(permit.Server(), fail.Header)
 	case fail.Kind == kinds.NoServer, fail.Kind == kinds.Unknown:
-		x.svc.RecordAttempt(pass.Server(), false)
+		x.svc.RecordAttempt(permit.Server(), false)
 	}
 	return gate.Outcome{Kind: fail.Kind, Refused: fail.Refused}
 }
 
-func (x *exchange) cancel(s ident.Server) {
+func (x *exchange) cancelOnServer(s ident.Server) {
 	if x.f.Cancel != nil {
-		x.f.Cancel.Cancel(x.svc.Name, s, x.note.ID)
+		x.f.Cancel.Cancel(x.svc.Name, s, x.decision.ID)
 	}
 }
 
-// nameOf is the request id as the value of a header.
-func (x *exchange) nameOf() []string {
-	if x.named {
+// idHeader returns the request id as the value of a header.
+func (x *exchange) idHeader() []string {
+	if x.idFromCaller {
 		return x.r.Header[x.f.Headers.ID][:1:1]
 	}
-	return []string{string(x.note.ID)}
+	return []string{string(x.decision.ID)}
 }
 
-// passOn copies the answer to the caller. A server that answers with its own
-// fault counts as failing, however quickly it does so.
-func (x *exchange) passOn(pass gate.Permit, answer *relay.Response) (gate.Outcome, error) {
-	x.sent = true
-	x.svc.RecordAttempt(pass.Server(), true)
-	if x.f.OnAnswer != nil && x.told {
-		x.f.OnAnswer(pass.Server(), assign.EstimateWork(answer.FirstByte, x.running, x.waiting))
-	}
-	x.note.Status = answer.Status()
-	x.w.Header()[x.f.Headers.ID] = x.nameOf()
-	w, end := x.drain(answer.Length())
+// copyAnswer copies the answer to the caller. A status of 500 or above counts as a
+// failure of the server, however quickly it came.
+func (x *exchange) copyAnswer(permit gate.Permit, answer *relay.Response) (gate.Outcome, error) {
+	x.responseStarted = true
+	x.svc.RecordAttempt(permit.Server(), true)
+	if x.f.OnAnswer != nil && x.loadReported {
+		x.f.OnAnswer(permit.Server(), assign.EstimateWork(answer.FirstByte, x.serverRunning, x.serverWaiting))
+	}
+	x.decision.Status = answer.Status()
+	x.w.Header()[x.f.Headers.ID] = x.idHeader()
+	w, end := x.answerWriter(answer.Length())
 	n, err := answer.Copy(w)
 	end()
 	out := gate.Outcome{Kind: kinds.Of(err), Latency: answer.FirstByte, Bytes: n + max(x.r.ContentLength, 0)}
-	x.note.FirstByte, x.note.Bytes = answer.FirstByte, out.Bytes
+	x.decision.FirstByte, x.decision.Bytes = answer.FirstByte, out.Bytes
 	if err != nil {
-		x.cancel(pass.Server())
+		x.cancelOnServer(permit.Server())
 	}
 	if err == nil && answer.Status() >= http.StatusInternalServerError {
 		out.Kind = kinds.Internal
 	}
 	if out.Kind == kinds.None {
-		x.acquit()
+		x.reportAnswered()
 	}
 	return out, err
 }
--- a/internal/edge/front/front.go
+++ b/internal/edge/front/front.go
@@ -1,7 +1,7 @@
-// Package front is the callers' side of an entry VM. Each request goes along
-// one line: identify the caller, match the rule, find the owner of its key or
-// let the gate pick a server, be admitted, be forwarded, be answered, be
-// recorded. Every way off that line is one kind of core/kinds, whose table
+// Package front handles callers' requests on an entry VM. Each request goes through the
+// same steps: identify the caller, match a rule, find the owner of the request's key or
+// let the gate pick a server, wait for admission, forward the request, copy the answer,
+// record the decision. Every failure has one of the kinds of core/kinds, whose table
 // alone decides what the caller is told.
 package front
 
@@ -27,7 +27,7 @@
 	"hawthornfield.org/hawthornfield/internal/edge/state"
 )
 
-// Recorder takes decisions off the request path, as *record.Writer does.
+// Recorder writes decisions outside the request path. *record.Writer implements it.
 type Recorder interface {
 	Record(d record.Decision) bool
 }
@@ -37,16 +37,16 @@
 	Answered(d *record.Decision)
 }
 
-// Claimer keeps a request id from running twice, as *once.Guard does. Claim
-// fails with kind Repeated when the id was claimed before, and with kind
-// Undurable when that cannot be found out now. The ticket is settled once it is
-// known whether the request ran.
+// Claimer ensures that a request id runs at most once. *dedup.Guard implements it. Claim
+// fails with kind Repeated when the id was claimed before, and with kind NotDurable when
+// that cannot be determined now. The ticket is settled once it is known whether the
+// request ran.
 type Claimer interface {
 	Claim(ctx context.Context, ask dedup.Request) (*dedup.Ticket, error)
 }
 
-// DurableRecorder makes a decision durable before the request is forwarded, as
-// *ledger.Journal does. It fails with kind Undurable when it cannot.
+// DurableRecorder makes a decision durable before the request is forwarded.
+// *ledger.Journal implements it. RecordDurable fails with kind NotDurable when it cannot.
 type DurableRecorder interface {
 	RecordDurable(ctx context.Context, d *record.Decision) error
 }
@@ -57,8 +57,8 @@
 	Cancel(svc ident.Service, s ident.Server, id ident.Request)
 }
 
-// Front serves callers. Fill in the exported fields, then call Start and Handler;
-// State and Relay are required, a nil for the others leaves that step out.
+// Front serves callers. Set the exported fields, then call Start and Handler. State and
+// Relay are required; the step of any other dependency that is nil is skipped.
 type Front struct {
 	VM     ident.VM
 	Centre ident.Centre
@@ -73,41 +73,45 @@
 	Cancel  Canceler
 	Guard   Guard
 
-	// Identify names the caller; nil takes IdentifyHeader.
+	// Identify returns the caller of a request; nil means IdentifyHeader.
 	Identify func(*http.Request) ident.Caller
-	// Headers are the headers spoken, the relay's; the zero value is the system's own.
+	// Headers are the header names in use, the same as the relay's. The zero value means
+	// relay.DefaultHeaders.
 	Headers relay.Headers
-	// BufferLimit is up to where a body is read whole before the request asks for a place,
-	// in bytes; zero takes smallBody.
+	// BufferLimit is the largest body, in bytes, that is read whole before the request
+	// asks for admission; zero means defaultBufferLimit.
 	BufferLimit int64
-	// MaxOwnerWait bounds the wait for a key's owner where the rule does not say; zero
-	// takes defaultPatience.
+	// MaxOwnerWait is the longest wait for a key to get an owner when the rule sets none;
+	// zero means defaultMaxOwnerWait.
 	MaxOwnerWait time.Duration
-	// FormatRetryAfter renders Retry-After; nil rounds up to whole seconds, as RFC 9110 has it.
+	// FormatRetryAfter formats the Retry-After header; nil rounds up to whole seconds,
+	// the only form that RFC 9110 allows.
 	FormatRetryAfter func(time.Duration) string
-	// OnKeyRequest, if set, hears of each request for a key of a divided service.
+	// OnKeyRequest, if set, is called for each request for a key of a service divided by
+	// key.
 	OnKeyRequest func(svc ident.Service, key ident.Key)
 
-	// OnAnswer, if set, hears how long a server worked on a request, as far as its
-	// answer's time and its own word on who else waited there tell.
+	// OnAnswer, if set, is called with the time that a server worked on a request,
+	// estimated from the time of its answer and the load that the server reported with
+	// it.
 	OnAnswer func(s ident.Server, took time.Duration)
 
-	limit   atomic.Pointer[config.Limit] // in place of Limit, once set
-	group   group.Group
-	flights sync.Map // ident.Service -> *flights, of the services divided by key
-	turns   sync.Map // name of a rule -> *atomic.Uint64, its requests
-	closing atomic.Bool
-	flying  atomic.Int64
-	serial  atomic.Uint64
-	prefix  string
+	limitOverride atomic.Pointer[config.Limit] // replaces Limit once SetLimit was called
+	group         group.Group
+	ownerAttempts sync.Map // ident.Service -> *ownerAttempts, for services divided by key
+	requestCounts sync.Map // name of a rule -> *atomic.Uint64, the number of its requests
+	closing       atomic.Bool
+	inFlight      atomic.Int64
+	idCounter     atomic.Uint64
+	idPrefix      string
 }
 
-// SetLimit changes the bounds on what callers may send, from the next request on.
-func (f *Front) SetLimit(l config.Limit) { f.limit.Store(&l) }
+// SetLimit changes the limits on callers' requests, starting with the next request.
+func (f *Front) SetLimit(l config.Limit) { f.limitOverride.Store(&l) }
 
-// limits are the bounds in force.
+// limits returns the limits in force.
 func (f *Front) limits() *config.Limit {
-	if l := f.limit.Load(); l != nil {
+	if l := f.limitOverride.Load(); l != nil {
 		return l
 	}
 	return &f.Limit
@@ -122,75 +126,77 @@
 		f.Headers = relay.DefaultHeaders()
 	}
 	if f.BufferLimit <= 0 {
-		f.BufferLimit = smallBody
+		f.BufferLimit = defaultBufferLimit
 	}
 	if f.MaxOwnerWait <= 0 {
-		f.MaxOwnerWait = defaultPatience
+		f.MaxOwnerWait = defaultMaxOwnerWait
 	}
 	if f.FormatRetryAfter == nil {
-		f.FormatRetryAfter = wholeSeconds
+		f.FormatRetryAfter = retryAfterSeconds
 	}
-	// Two starts of one VM name never give the same request id.
-	f.prefix = string(f.VM) + "-" + strconv.FormatInt(time.Now().UnixMicro(), 36) + "-"
+	// Request ids stay unique when a VM with the same name restarts.
+	f.idPrefix = string(f.VM) + "-" + strconv.FormatInt(time.Now().UnixMicro(), 36) + "-"
 	gin.SetMode(gin.ReleaseMode)
 	engine := gin.New()
 	engine.RedirectTrailingSlash = false
-	// Rules route, not paths: every path and method lands here.
+	// Requests are routed by the rules, not by gin: every path and method is served here.
 	engine.NoRoute(func(c *gin.Context) { f.serve(c.Writer, c.Request) })
 	return engine
 }
 
-// Pipeline returns what reads callers' connections ahead for the handler: further lookups on
-// a connection are worked on before the first is answered. None are begun once the front
-// end is closing.
+// Pipeline returns a reader that serves pipelined requests through the handler: further
+// lookups on a connection are processed before the first one is answered. It starts none
+// after SetClosing.
 func (f *Front) Pipeline() *pipe.Reader {
-	return &pipe.Reader{Serve: f.serveAhead, Allow: func() bool { return !f.IsClosing() }}
+	return &pipe.Reader{Serve: f.servePipelined, Allow: func() bool { return !f.IsClosing() }}
 }
 
-// wholeSeconds renders a pause rounded up, the only form that RFC 9110 knows.
-func wholeSeconds(d time.Duration) string {
+// retryAfterSeconds formats a duration rounded up to seconds, the only form that RFC 9110
+// allows.
+func retryAfterSeconds(d time.Duration) string {
 	return strconv.FormatInt(int64((d+time.Second-1)/time.Second), 10)
 }
 
-// turn counts a rule's requests from a random number on, so that VMs that start
-// together do not all begin a split with the same part.
-func (f *Front) turn(rule string) uint64 {
-	n, ok := f.turns.Load(rule)
+// nextCount increments and returns the request counter of a rule. Counters start at a
+// random number, so that VMs that start together do not all begin a split with the same
+// part.
+func (f *Front) nextCount(rule string) uint64 {
+	n, ok := f.requestCounts.Load(rule)
 	if !ok {
 		first := &atomic.Uint64{}
 		first.Store(rand.Uint64())
-		n, _ = f.turns.LoadOrStore(rule, first)
+		n, _ = f.requestCounts.LoadOrStore(rule, first)
 	}
 	return n.(*atomic.Uint64).Add(1)
 }
 
-// writer sends the status at once. gin otherwise keeps it back, and puts its
-// own text into an answer with status 404 and no body.
-type writer struct{ gin.ResponseWriter }
+// statusWriter sends the status immediately. gin otherwise defers it, and adds its own
+// text to an answer with status 404 and no body.
+type statusWriter struct{ gin.ResponseWriter }
 
 // WriteHeader sends the status and the headers.
-func (w *writer) WriteHeader(code int) {
+func (w *statusWriter) WriteHeader(code int) {
 	w.ResponseWriter.WriteHeader(code)
 	w.WriteHeaderNow()
 }
 
 // Unwrap lets http.ResponseController reach the connection.
-func (w *writer) Unwrap() http.ResponseWriter { return w.ResponseWriter }
+func (w *statusWriter) Unwrap() http.ResponseWriter { return w.ResponseWriter }
 
-// SetClosing makes every further answer ask its caller to open no more requests
-// on the connection. Requests are still served: the balancer needs time to
-// notice, and whoever it sends until then must not be turned away.
+// SetClosing makes every further answer ask its caller to open no more requests on the
+// connection. Requests are still served: the load balancer takes some time to notice the
+// shutdown, and the requests that it sends until then must not be refused.
 func (f *Front) SetClosing() { f.closing.Store(true) }
 
-// IsClosing reports whether Closing was called.
+// IsClosing reports whether SetClosing was called.
 func (f *Front) IsClosing() bool { return f.closing.Load() }
 
-// InFlight counts the requests in flight.
-func (f *Front) InFlight() int { return int(f.flying.Load()) }
+// InFlight returns the number of requests in progress.
+func (f *Front) InFlight() int { return int(f.inFlight.Load()) }
 
-// IdentifyHeader takes the caller's name from the header that the balancer
-// sets, and falls back to the address that the request came from. The balancer
-// must drop the header from what callers send.
+// IdentifyHeader returns the caller's name from the header that the load balancer sets,
+// or the address that the request came from if the header is missing. The load balancer
+// must remove the header from what callers send.
 func IdentifyHeader(r *http.Request) ident.Caller {
 	if name := r.Header.Get(relay.HeaderCaller); name != "" {
 		return ident.Caller(name)
--- a/internal/edge/front/front_test.go
+++ b/internal/edge/front/front_test.go
@@ -21,8 +21,8 @@
 	"hawthornfield.org/hawthornfield/internal/plat/server"
 )
 
-func TestARequestGoesAlongTheWholeLine(t *testing.T) {
-	run(t, func(t *testing.T, w *world) {
+func TestARequestIsRoutedAnsweredAndRecorded(t *testing.T) {
+	runWithTestbed(t, func(t *testing.T, w *testbed) {
 		r := w.request("GET", "/scales/north", nil)
 		r.Header.Set(relay.HeaderID, "req-1")
 		r.Header.Set(relay.HeaderCaller, "hauler")
@@ -31,7 +31,7 @@
 		assert.Equal(t, resp.StatusCode, http.StatusOK)
 		assert.Equal(t, body, "l1 served req-1 key=north\n")
 		assert.Assert(t, resp.Trailer.Get(origin.TrailerSum) != "")
-		d := w.log.last()
+		d := w.decisions.last()
 		assert.Equal(t, d.Server, ident.Server("l1"))
 		assert.Equal(t, d.Rule, "lookups")
 		assert.Equal(t, d.Rev, ident.Revision(7))
@@ -46,8 +46,8 @@
 	})
 }
 
-func TestRefusalsComeFromTheOneTable(t *testing.T) {
-	run(t, func(t *testing.T, w *world) {
+func TestRefusalsFollowTheTableOfKinds(t *testing.T) {
+	runWithTestbed(t, func(t *testing.T, w *testbed) {
 		bad := w.request("GET", "/scales/north", nil)
 		bad.Header.Set(relay.HeaderDeadline, "soon")
 		big := w.request("POST", "/lab/x", strings.NewReader(strings.Repeat("x", 1<<20+1)))
@@ -64,7 +64,7 @@
 			assert.NilError(t, err)
 			assert.Equal(t, resp.StatusCode, tc.kind.Answer().Status)
 			assert.Equal(t, resp.Header.Get(kinds.HeaderRan), string(kinds.RanNo))
-			var got refusal
+			var got errorBody
 			assert.NilError(t, json.Unmarshal([]byte(body), &got))
 			assert.Equal(t, got.Kind, tc.kind.String())
 		}
@@ -75,7 +75,7 @@
 }
 
 func TestAnEmptyAnswerStaysEmpty(t *testing.T) {
-	run(t, func(t *testing.T, w *world) {
+	runWithTestbed(t, func(t *testing.T, w *testbed) {
 		resp, body, err := w.do(w.request("GET", "/lab/x?status=404&size=0", nil))
 		assert.NilError(t, err)
 		assert.Equal(t, resp.StatusCode, http.StatusNotFound)
@@ -83,16 +83,16 @@
 	})
 }
 
-// A key moves while an entry VM still sends its requests to the former owner,
-// which refuses them. The caller must not see that: the request waits for the
-// news of the next owner, and runs there once.
+// A key moves while the entry VM still sends its requests to the former owner, which
+// refuses them. The caller must not notice: the request waits until the VM learns of the
+// next owner, and runs there once.
 func TestARequestFollowsItsKeyToTheNextOwner(t *testing.T) {
-	run(t, func(t *testing.T, w *world) {
-		w.owner("l2")
-		w.see("l1")
+	runWithTestbed(t, func(t *testing.T, w *testbed) {
+		w.setOwner("l2")
+		w.setView("l1")
 		w.group.Go(func(context.Context) error {
 			time.Sleep(50 * time.Millisecond)
-			w.see("l2")
+			w.setView("l2")
 			return nil
 		})
 		_, body, err := w.do(w.request("POST", "/scales/north", strings.NewReader("load")))
@@ -106,24 +106,23 @@
 	})
 }
 
-// An owner freezes with requests in its hands, and its keys go to another
-// server. Callers must not stare at a dead screen until their deadlines: what
-// may run twice is sent to the next owner at once, what may not is answered as
-// unknown as soon as the server is known to be silent, and what was still
-// queueing for the frozen server runs at the next one.
+// Guards against requests that wait for a frozen owner until their deadlines although
+// their keys have moved. Idempotent requests are repeated at the next owner, other
+// requests that were sent are answered as unknown once the server is known to be
+// unresponsive, and requests still queued for the frozen server run at the next owner.
 func TestRequestsLeaveAFrozenOwner(t *testing.T) {
 	for sent, status := range map[string]int{
 		"/scales/sent":   http.StatusOK,
 		"/receipts/sent": kinds.Unknown.Answer().Status,
 	} {
 		t.Run(sent, func(t *testing.T) {
-			run(t, func(t *testing.T, w *world) { leaveFrozen(t, w, sent, status) })
+			runWithTestbed(t, func(t *testing.T, w *testbed) { testFrozenOwner(t, w, sent, status) })
 		})
 	}
 }
 
-func leaveFrozen(t *testing.T, w *world, sent string, status int) {
-	w.compileAt(8, rules+`
+func testFrozenOwner(t *testing.T, w *testbed, sent string, status int) {
+	w.setRulesAt(8, rules+`
 [[rule]]
 name = "receipts"
 when = { path = "/receipts/{scale}" }
@@ -133,59 +132,58 @@
 	w.origins["l1"].Freeze(true)
 	start := time.Now()
 	var g group.Group
-	ask := func(path string, status int, by time.Duration) {
+	send := func(path string, status int, within time.Duration) {
 		g.Go(func(context.Context) error {
 			resp, _, err := w.do(w.request("GET", path, nil))
 			assert.NilError(t, err)
 			assert.Equal(t, resp.StatusCode, status, path)
-			assert.Assert(t, time.Since(start) <= by, "%s took %v", path, time.Since(start))
+			assert.Assert(t, time.Since(start) <= within, "%s took %v", path, time.Since(start))
 			return nil
 		})
 		synctest.Wait()
 	}
-	ask(sent, status, 3*time.Second+silentEvery)
+	send(sent, status, 3*time.Second+recheckInterval)
 	for i := range 4 {
-		ask(fmt.Sprintf("/scales/%d", i), http.StatusOK, time.Second+grace)
+		send(fmt.Sprintf("/scales/%d", i), http.StatusOK, time.Second+formerOwnerGrace)
 	}
 	time.Sleep(time.Second)
 	o := w.origins["l2"]
 	all := []ident.Slice{0, 1, 2, 3, 4, 5, 6, 7}
 	assert.Assert(t, o.Grant(server.Order{Lessor: "l2", Mark: o.Read().Mark, TTL: time.Hour, Full: true, Rev: 2, Slices: all}).Done)
-	w.see("l2")
+	w.setView("l2")
 	time.Sleep(2 * time.Second)
 	svc.SetUnresponsive("l1", true)
 	assert.NilError(t, g.Wait())
 	w.origins["l1"].Freeze(false)
 }
 
-// The key's new owner is not known for long. Holding the request back until its
-// deadline would only keep the caller from asking again, so it gets its answer
-// when the patience of its rule has ended, with the time to come back.
-func TestPatienceForAnOwnerEnds(t *testing.T) {
-	run(t, func(t *testing.T, w *world) {
-		w.owner("l2")
-		w.see("l1")
+// The key's new owner stays unknown. The request must be answered with a Retry-After when
+// the wait for an owner has reached its limit, not at its deadline: until then the caller
+// cannot retry.
+func TestTheWaitForAnOwnerIsBounded(t *testing.T) {
+	runWithTestbed(t, func(t *testing.T, w *testbed) {
+		w.setOwner("l2")
+		w.setView("l1")
 		start := time.Now()
 		resp, _, err := w.do(w.request("GET", "/scales/north", nil))
 		assert.NilError(t, err)
 		assert.Equal(t, resp.StatusCode, kinds.Misrouted.Answer().Status)
 		assert.Equal(t, resp.Header.Get(kinds.HeaderRan), string(kinds.RanNo))
 		assert.Assert(t, resp.Header.Get("Retry-After") != "")
-		assert.Assert(t, time.Since(start) <= defaultPatience)
+		assert.Assert(t, time.Since(start) <= defaultMaxOwnerWait)
 		assert.Equal(t, len(w.origins["l1"].Record.All()), 0)
 	})
 }
 
-// The backend server dies in the middle of an answer. The caller sees its
-// connection break; a grower who reads half a list as the whole list believes
-// that loads are missing.
+// A backend server breaks off in the middle of an answer. The caller's connection must
+// break too, or the caller takes part of a list for the whole list.
 func TestATruncatedAnswerBreaksTheCallersConnection(t *testing.T) {
-	run(t, func(t *testing.T, w *world) {
+	runWithTestbed(t, func(t *testing.T, w *testbed) {
 		w.origins["u1"].Truncate(1)
 		_, body, err := w.do(w.request("GET", "/lab/x?size=50000", nil))
-		assert.Assert(t, err != nil, "a part of %d bytes looked whole", len(body))
+		assert.Assert(t, err != nil, "a truncated answer of %d bytes looked complete", len(body))
 		synctest.Wait()
-		assert.Equal(t, w.log.last().Kind, kinds.Truncated.String())
+		assert.Equal(t, w.decisions.last().Kind, kinds.Truncated.String())
 		resp, body, err := w.do(w.request("GET", "/lab/x?size=50000", nil))
 		assert.NilError(t, err)
 		assert.Equal(t, len(body), 50000)
@@ -193,10 +191,10 @@
 	})
 }
 
-// The connection to the server breaks after a truckload was sent on it. Nobody
-// knows whether it was credited, so the answer says so and nothing is repeated.
+// The connection to the server breaks after a submission was sent on it. It may have run,
+// so the answer says so and the request is not repeated.
 func TestALostAnswerIsUnknownAndNotRepeated(t *testing.T) {
-	run(t, func(t *testing.T, w *world) {
+	runWithTestbed(t, func(t *testing.T, w *testbed) {
 		w.origins["u1"].Break(1)
 		r := w.request("POST", "/lab/receipt", strings.NewReader("load"))
 		r.Header.Set(relay.HeaderID, "load-7")
@@ -208,17 +206,17 @@
 	})
 }
 
-// The owner of a key answers and the connection breaks on the way. A lookup may run
-// twice and there is time to ask again; without that the driver sees an error although
-// nothing is wrong any more.
+// The connection to the owner of a key breaks before the answer arrives. An idempotent
+// request must be retried within its deadline; otherwise the caller sees an error
+// although the owner works again.
 func TestALookupWhoseAnswerWasLostIsAskedAgainAtItsOwner(t *testing.T) {
-	run(t, func(t *testing.T, w *world) {
+	runWithTestbed(t, func(t *testing.T, w *testbed) {
 		w.origins["l1"].Break(1)
 		resp, _, err := w.do(w.request("GET", "/again/7", nil))
 		assert.NilError(t, err)
 		assert.Equal(t, resp.StatusCode, http.StatusOK)
 		synctest.Wait()
-		assert.Equal(t, w.log.last().Attempts, 2)
+		assert.Equal(t, w.decisions.last().Attempts, 2)
 		w.origins["l1"].Break(2)
 		resp, _, err = w.do(w.request("GET", "/again/7", nil))
 		assert.NilError(t, err)
@@ -226,11 +224,10 @@
 	})
 }
 
-// A driver gives up and the phone closes its connection while the server still
-// works. The place must be free for the next driver at once, not when the work
-// is done.
+// A caller disconnects while the server still works. The slot must be free for the next
+// caller at once, not when the work is done.
 func TestACallerThatHangsUpFreesItsPlaceAtOnce(t *testing.T) {
-	run(t, func(t *testing.T, w *world) {
+	runWithTestbed(t, func(t *testing.T, w *testbed) {
 		svc, _ := w.state.Service("upload")
 		ctx, cancel := context.WithCancel(t.Context())
 		var g group.Group
@@ -246,16 +243,16 @@
 		assert.NilError(t, g.Wait())
 		synctest.Wait()
 		assert.Equal(t, svc.Gate.Stats().Running, 0)
-		assert.Equal(t, w.front.Relay.OpenConns(third), 0, "an abandoned connection was kept")
+		assert.Equal(t, w.front.Relay.OpenConns(u1Addr), 0, "an abandoned connection was kept")
 		assert.Equal(t, time.Since(before), time.Duration(0))
 	})
 }
 
-// A caller sends the first bytes of a small body and then nothing. If it were
-// given a slot first, a few such callers would keep a server idle.
+// A caller sends the first bytes of a small body and then nothing. If such callers held
+// slots, a few of them would keep a server idle.
 func TestASlowCallerHoldsNoSlot(t *testing.T) {
-	run(t, func(t *testing.T, w *world) {
-		c, err := w.net.Dial(t.Context(), entry)
+	runWithTestbed(t, func(t *testing.T, w *testbed) {
+		c, err := w.net.Dial(t.Context(), entryAddr)
 		assert.NilError(t, err)
 		defer c.Close()
 		_, err = io.WriteString(c, "POST /lab/x HTTP/1.1\r\nHost: x\r\nContent-Length: 10\r\n\r\nhalf")
@@ -270,12 +267,11 @@
 	})
 }
 
-// A caller asks for a large answer and then reads nothing, as a telephone does
-// that was put away. A few of them would keep all slots of a server busy with
-// nothing, and every other caller would be refused.
+// A caller asks for a large answer and then reads nothing. If such callers kept their
+// slots, a few of them would block a server, and every other caller would be refused.
 func TestACallerThatStopsReadingFreesItsPlace(t *testing.T) {
-	run(t, func(t *testing.T, w *world) {
-		c, err := w.net.Dial(t.Context(), entry)
+	runWithTestbed(t, func(t *testing.T, w *testbed) {
+		c, err := w.net.Dial(t.Context(), entryAddr)
 		assert.NilError(t, err)
 		defer c.Close()
 		_, err = io.WriteString(c, "GET /lab/x?size=1000000 HTTP/1.1\r\nHost: x\r\nHawthorn-Deadline: 600000\r\n\r\n")
@@ -283,12 +279,12 @@
 		time.Sleep(time.Second)
 		svc, _ := w.state.Service("upload")
 		assert.Equal(t, svc.Gate.Stats().Running, 1)
-		time.Sleep(readPaces * 5 * time.Second)
+		time.Sleep(writeTimeoutFactor * 5 * time.Second)
 		assert.Equal(t, svc.Gate.Stats().Running, 0)
-		assert.Equal(t, w.front.Relay.OpenConns(third), 0, "an abandoned connection was kept")
+		assert.Equal(t, w.front.Relay.OpenConns(u1Addr), 0, "an abandoned connection was kept")
 
-		// One that reads slowly, but reads, gets the whole.
-		slow, err := w.net.Dial(t.Context(), entry)
+		// A caller that reads slowly but steadily gets the whole answer.
+		slow, err := w.net.Dial(t.Context(), entryAddr)
 		assert.NilError(t, err)
 		defer slow.Close()
 		_, err = io.WriteString(slow, "GET /lab/x?size=100000 HTTP/1.1\r\nHost: x\r\nConnection: close\r\nHawthorn-Deadline: 600000\r\n\r\n")
@@ -305,11 +301,11 @@
 	})
 }
 
-// A caller trickles its headers, or sends far too many of them. The entry VM
-// ends both by itself within bounded time and memory, and goes on serving.
+// A caller sends its headers too slowly, or too many of them. The entry VM must end both
+// within bounded time and memory, and go on serving.
 func TestHeadersAreBoundedInTimeAndSize(t *testing.T) {
-	run(t, func(t *testing.T, w *world) {
-		slow, err := w.net.Dial(t.Context(), entry)
+	runWithTestbed(t, func(t *testing.T, w *testbed) {
+		slow, err := w.net.Dial(t.Context(), entryAddr)
 		assert.NilError(t, err)
 		_, err = io.WriteString(slow, "GET /lab/x HTTP/1.1\r\nHost:")
 		assert.NilError(t, err)
@@ -330,13 +326,13 @@
 	})
 }
 
-// One server is slow for a moment while another one is idle. A lookup that may
-// run twice is raced by a second attempt; the driver gets the first answer, and
-// the slow server's place is free again at once.
-func TestASlowAnswerIsRacedByASecondAttempt(t *testing.T) {
-	run(t, func(t *testing.T, w *world) {
+// One server is slow for a moment while another one is idle. An idempotent lookup is
+// hedged with a second attempt: the caller gets the first answer, and the slow server's
+// slot is free again at once.
+func TestASlowAnswerIsHedged(t *testing.T) {
+	runWithTestbed(t, func(t *testing.T, w *testbed) {
 		svc, _ := w.state.Service("viewer")
-		for range 20 { // so that both servers are known and connected
+		for range 20 { // so that both servers are measured and connected
 			_, _, err := w.do(w.request("GET", "/views/north", nil))
 			assert.NilError(t, err)
 		}
@@ -352,7 +348,7 @@
 				slow++
 			}
 			synctest.Wait()
-			assert.Equal(t, svc.Gate.Stats().Running, 0, "a place was kept")
+			assert.Equal(t, svc.Gate.Stats().Running, 0, "a slot was kept")
 		}
 		t.Logf("%d of 6 raced, %v in all, %d hedges", slow, time.Since(start), svc.Gate.Stats().Hedges)
 		assert.Assert(t, svc.Gate.Stats().Hedges > 0)
@@ -360,10 +356,10 @@
 	})
 }
 
-// The winner of a race has a long answer and its caller reads slowly. The loser
-// must not keep its server's place for all that time.
-func TestTheLoserOfARaceEndsBeforeTheWinnersAnswer(t *testing.T) {
-	run(t, func(t *testing.T, w *world) {
+// The winning attempt has a long answer and its caller reads slowly. The losing attempt
+// must not hold its server's slot for that time.
+func TestTheLosingAttemptEndsBeforeTheWinnersAnswer(t *testing.T) {
+	runWithTestbed(t, func(t *testing.T, w *testbed) {
 		svc, _ := w.state.Service("viewer")
 		w.origins["v1"].Slow(time.Hour)
 		for svc.Gate.Stats().Hedges == 0 {
--- a/internal/edge/front/guard.go
+++ b/internal/edge/front/guard.go
@@ -11,109 +11,115 @@
 	"hawthornfield.org/hawthornfield/internal/load/poison"
 )
 
-// Guard knows the requests that crash servers, see package poison. Its methods are
-// called on the request path and must not block.
+// Guard tracks requests that crash servers, see package poison. Its methods are called on
+// the request path and must not block.
 type Guard interface {
-	// Suspects reports whether a request with this head is under suspicion. A nil head
-	// asks whether any request is.
+	// Suspects reports whether a request with this head is suspected of crashing servers.
+	// A nil head asks whether any request is.
 	Suspects(h *poison.Head) bool
-	// QuarantineLeft is for how much longer a request may reach no server.
+	// QuarantineLeft returns for how much longer a request must not be sent to any
+	// server; zero means that it may be sent.
 	QuarantineLeft(p poison.Fingerprint) time.Duration
-	// ReportCrash takes in that a server broke off under a request, and returns how many have.
+	// ReportCrash records that a server closed the connection while it ran the request,
+	// and returns how many servers have.
 	ReportCrash(p poison.Fingerprint, s ident.Server, id ident.Request) int
-	// Answered takes in that a suspect was answered by a server, and not with a fault.
+	// Answered records that a server answered a suspected request, and not with an error
+	// of its own.
 	Answered(p poison.Fingerprint)
 }
 
-// barredError refuses a request that may reach no server.
-type barredError struct {
-	left time.Duration
-	err  error
+// quarantineError is the error of a request that is quarantined.
+type quarantineError struct {
+	remaining time.Duration
+	err       error
 }
 
-// Error says for how much longer.
-func (b *barredError) Error() string { return b.err.Error() + " for " + b.left.String() }
+// Error includes the remaining time.
+func (q *quarantineError) Error() string { return q.err.Error() + " for " + q.remaining.String() }
 
-// Unwrap returns an error of kind Harmful.
-func (b *barredError) Unwrap() error { return b.err }
+// Unwrap returns an error of kind Quarantined.
+func (q *quarantineError) Unwrap() error { return q.err }
 
-var errHarmful = kinds.New(kinds.Quarantined, "the request is quarantined")
+var errQuarantined = kinds.New(kinds.Quarantined, "the request is quarantined")
 
-// barredFor is when a quarantined request may come back, zero for other errors.
-func barredFor(err error) time.Duration {
-	var b *barredError
-	if errors.As(err, &b) {
-		return b.left
+// quarantineLeft returns the remaining time of a quarantineError, zero for other errors.
+func quarantineLeft(err error) time.Duration {
+	var q *quarantineError
+	if errors.As(err, &q) {
+		return q.remaining
 	}
 	return 0
 }
 
-// screen refuses a request that may reach no server, before it waits for a place at one.
-func (x *exchange) screen() error {
+// checkSuspect refuses a quarantined request before it asks for admission. For a
+// suspected request it also records the fingerprint in the decision.
+func (x *exchange) checkSuspect() error {
 	if x.f.Guard == nil || !x.f.Guard.Suspects(nil) {
 		return nil
 	}
-	head := x.headOf()
+	head := x.poisonHead()
 	if !x.f.Guard.Suspects(&head) {
 		return nil
 	}
-	if err := x.readStream(); err != nil {
+	if err := x.bufferStream(); err != nil {
 		return err
 	}
-	if p, ok := x.print(); ok {
-		x.suspect, x.note.Fingerprint = true, p.AnyCaller().String()
+	if p, ok := x.fingerprint(); ok {
+		x.suspect, x.decision.Fingerprint = true, p.AnyCaller().String()
 	}
-	return x.barred()
+	return x.checkQuarantine()
 }
 
-// barred is the same for a request that waited meanwhile. It changes nothing in the
-// exchange, whose attempts may run beside each other.
-func (x *exchange) barred() error {
+// checkQuarantine refuses a quarantined request just before it is sent: it may have been
+// quarantined while it waited. It does not modify the exchange, whose attempts may run
+// concurrently.
+func (x *exchange) checkQuarantine() error {
 	if x.f.Guard == nil || !x.f.Guard.Suspects(nil) {
 		return nil
 	}
-	p, ok := x.print()
+	p, ok := x.fingerprint()
 	if !ok {
 		return nil
 	}
-	if left := x.f.Guard.QuarantineLeft(p); left > 0 {
-		return &barredError{left: left, err: errHarmful}
+	if remaining := x.f.Guard.QuarantineLeft(p); remaining > 0 {
+		return &quarantineError{remaining: remaining, err: errQuarantined}
 	}
 	return nil
 }
 
-// accuse notes that a server broke off under the request.
-func (x *exchange) accuse(s ident.Server) {
+// reportCrash reports that a server closed the connection while it ran the request.
+func (x *exchange) reportCrash(s ident.Server) {
 	if x.f.Guard == nil {
 		return
 	}
-	p, ok := x.print()
+	p, ok := x.fingerprint()
 	if !ok {
-		return // the server had not read the body to its end, so it had not begun
+		return // the server had not read the whole body, so it had not begun
 	}
-	x.note.Fingerprint = p.AnyCaller().String()
-	x.crashes = x.f.Guard.ReportCrash(p, s, x.note.ID)
+	x.decision.Fingerprint = p.AnyCaller().String()
+	x.crashes = x.f.Guard.ReportCrash(p, s, x.decision.ID)
 	x.suspect = true
 }
 
-// acquit notes that the request was answered. A server's fault is no such answer: it may
-// have been given before the request was begun.
-func (x *exchange) acquit() {
+// reportAnswered reports that a suspected request was answered. It is not called for a
+// server's error, which may have been sent before the request began to run.
+func (x *exchange) reportAnswered() {
 	if !x.suspect {
 		return
 	}
-	if p, ok := x.print(); ok {
+	if p, ok := x.fingerprint(); ok {
 		x.f.Guard.Answered(p)
 	}
 }
 
-// print identifies the request over its repeats. It is not known before a body of
-// unknown length was read to its end. A body too long to be held counts by its length.
-func (x *exchange) print() (poison.Fingerprint, bool) {
-	head, caller := x.headOf(), string(x.note.Caller)
+// fingerprint identifies the request across its retries. It returns false while a body of
+// unknown length has not been read to its end. A body that is too long to buffer is
+// identified by its length.
+func (x *exchange) fingerprint() (poison.Fingerprint, bool) {
+	head, caller := x.poisonHead(), string(x.decision.Caller)
 	switch {
 	case x.body.stream == nil:
-		return head.Fingerprint(caller, poison.BodyOf(x.body.held)), true
+		return head.Fingerprint(caller, poison.BodyOf(x.body.buffered)), true
 	case x.body.digest == nil:
 		return head.Fingerprint(caller, poison.LengthOf(x.r.ContentLength)), true
 	}
@@ -121,23 +127,23 @@
 	return head.Fingerprint(caller, body), whole
 }
 
-func (x *exchange) headOf() poison.Head {
+func (x *exchange) poisonHead() poison.Head {
 	return poison.HeadOf(x.r.Method, x.r.Host, x.r.URL.RequestURI())
 }
 
-// readStream reads a body of unknown length, so that it is known which one it is.
-func (x *exchange) readStream() error {
+// bufferStream reads a body of unknown length, so that the request can be identified.
+func (x *exchange) bufferStream() error {
 	if x.body.digest == nil || x.body.started {
 		return nil
 	}
-	held, err := io.ReadAll(io.LimitReader(x.body.digest, x.f.BufferLimit+1))
+	data, err := io.ReadAll(io.LimitReader(x.body.digest, x.f.BufferLimit+1))
 	if err != nil {
-		return kinds.Wrap(whyUnread(err), err, "read body")
+		return kinds.Wrap(readErrorKind(err), err, "read body")
 	}
-	if int64(len(held)) > x.f.BufferLimit {
-		x.body.stream = io.MultiReader(bytes.NewReader(held), x.body.digest)
+	if int64(len(data)) > x.f.BufferLimit {
+		x.body.stream = io.MultiReader(bytes.NewReader(data), x.body.digest)
 		return nil
 	}
-	x.body = body{held: held}
+	x.body = body{buffered: data}
 	return nil
 }
--- a/internal/edge/front/hedge.go
+++ b/internal/edge/front/hedge.go
@@ -10,64 +10,64 @@
 	"hawthornfield.org/hawthornfield/internal/owner/table"
 )
 
-// try is one of two attempts that race for the same answer.
-type try struct {
-	pass   gate.Permit
+// hedgeAttempt is one of two concurrent attempts of a hedged request.
+type hedgeAttempt struct {
+	permit gate.Permit
 	cancel context.CancelCauseFunc
 	answer *relay.Response
 	err    error
 }
 
-// hedges reports whether a slow answer may be raced by a second attempt.
-func (x *exchange) hedges() bool {
+// mayHedge reports whether a second attempt may be started when the answer is slow.
+func (x *exchange) mayHedge() bool {
 	return x.rule.Then.Hedge > 0 && x.rule.Then.Idempotent && x.body.stream == nil
 }
 
-// race makes an attempt and, when no answer has begun after the rule's time, a
-// second one on another server, if the gate has a place and budget for it. The
-// first answer wins; the other attempt is cancelled and gives its place back at
-// once. It returns the winner, or the last failure.
+// race makes an attempt and, if no answer has begun after the time that the rule sets, a
+// second one at another server, if the gate has a slot and budget for it. The first
+// answer wins; the other attempt is canceled and its slot released at once. It returns
+// the winner, or the last failure.
 //
-// The load pattern is a lookup that one server, slow for a moment, would hold
-// up: the hundredth driver waits although fifteen other servers are idle.
-func (x *exchange) race(ctx context.Context, pass gate.Permit) *try {
-	done := make(chan *try, 2)
-	x.launch(ctx, pass, done)
+// This serves lookups that one briefly slow server would delay although other servers are
+// idle, for example one lookup in a hundred with fifteen other servers idle.
+func (x *exchange) race(ctx context.Context, permit gate.Permit) *hedgeAttempt {
+	done := make(chan *hedgeAttempt, 2)
+	x.startAttempt(ctx, permit, done)
 	wait := max(x.rule.Then.Hedge, x.svc.Gate.HedgeAfter())
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
-	flying := 1
+	running := 1
 	for {
 		select {
 		case t := <-done:
-			flying--
-			if t.err == nil || flying == 0 {
-				x.abandon(flying, done)
+			running--
+			if t.err == nil || running == 0 {
+				x.releaseLosers(running, done)
 				return t
 			}
-			t.pass.Done(x.failed(t.pass, t.err))
+			t.permit.Done(x.handleFailure(t.permit, t.err))
 		case <-timer.C:
-			second, ok := pass.Hedge()
+			second, ok := permit.Hedge()
 			if !ok {
-				timer.Reset(wait) // nobody was free; somebody may be soon
+				timer.Reset(wait) // no server had a free slot; one may have soon
 				continue
 			}
-			x.launch(ctx, second, done)
-			flying++
+			x.startAttempt(ctx, second, done)
+			running++
 		}
 	}
 }
 
-// launch starts an attempt beside this goroutine.
-func (x *exchange) launch(ctx context.Context, pass gate.Permit, done chan<- *try) {
-	x.note.Attempts++
+// startAttempt starts an attempt in a goroutine.
+func (x *exchange) startAttempt(ctx context.Context, permit gate.Permit, done chan<- *hedgeAttempt) {
+	x.decision.Attempts++
 	ctx, cancel := context.WithCancelCause(ctx)
-	t := &try{pass: pass, cancel: cancel}
-	x.racers = append(x.racers, t)
+	t := &hedgeAttempt{permit: permit, cancel: cancel}
+	x.hedgeAttempts = append(x.hedgeAttempts, t)
 	x.f.group.Go(func(context.Context) error {
-		to, ok := x.svc.Addr(pass.Server())
+		to, ok := x.svc.Addr(permit.Server())
 		if ok {
-			t.answer, t.err = x.ask(ctx, cancel, to, table.Owner{Server: pass.Server()})
+			t.answer, t.err = x.send(ctx, cancel, to, table.Owner{Server: permit.Server()})
 		} else {
 			t.err = errNoAddr
 		}
@@ -76,43 +76,43 @@
 	})
 }
 
-// abandon cancels the attempts that lost and gives their places back when they
-// have ended.
-func (x *exchange) abandon(flying int, done <-chan *try) {
-	if flying == 0 {
+// releaseLosers waits for the attempts that lost, releases their slots and tells their
+// servers to stop.
+func (x *exchange) releaseLosers(running int, done <-chan *hedgeAttempt) {
+	if running == 0 {
 		return
 	}
-	svc, f, id := x.svc, x.f, x.note.ID
+	svc, f, id := x.svc, x.f, x.decision.ID
 	f.group.Go(func(context.Context) error {
-		for range flying {
+		for range running {
 			t := <-done
 			if t.answer != nil {
 				t.answer.Close()
 			}
-			t.pass.Done(gate.Cancel())
+			t.permit.Done(gate.Cancel())
 			if f.Cancel != nil {
-				f.Cancel.Cancel(svc.Name, t.pass.Server(), id)
+				f.Cancel.Cancel(svc.Name, t.permit.Server(), id)
 			}
 		}
 		return nil
 	})
 }
 
-// hedged is toServer with a race. The losers are cancelled before the winner's
-// answer is passed on: it can take long.
-func (x *exchange) hedged(ctx context.Context, pass gate.Permit) (gate.Permit, gate.Outcome, error) {
-	t := x.race(ctx, pass)
-	x.note.Server = t.pass.Server()
+// sendHedged is like sendToServer, with a race. The losers are canceled before the
+// winner's answer is copied, because that can take long.
+func (x *exchange) sendHedged(ctx context.Context, permit gate.Permit) (gate.Permit, gate.Outcome, error) {
+	t := x.race(ctx, permit)
+	x.decision.Server = t.permit.Server()
 	if t.err != nil {
-		return t.pass, x.failed(t.pass, t.err), t.err
+		return t.permit, x.handleFailure(t.permit, t.err), t.err
 	}
-	for _, loser := range x.racers {
+	for _, loser := range x.hedgeAttempts {
 		if loser != t {
-			loser.cancel(errLost)
+			loser.cancel(errHedgeLost)
 		}
 	}
-	out, err := x.passOn(t.pass, t.answer)
-	return t.pass, out, err
+	out, err := x.copyAnswer(t.permit, t.answer)
+	return t.permit, out, err
 }
 
-var errLost = kinds.New(kinds.Canceled, "another attempt answered first")
+var errHedgeLost = kinds.New(kinds.Canceled, "another attempt answered first")
--- a/internal/edge/front/limit_test.go
+++ b/internal/edge/front/limit_test.go
@@ -11,11 +11,11 @@
 	"hawthornfield.org/hawthornfield/internal/core/kinds"
 )
 
-// The operator lowers what callers may send while the VM runs. From the next request
-// on, whoever sends more is told so, and nothing of it reaches a backend server; the
-// others notice nothing.
+// The operator lowers the limits while the VM runs. From the next request on, larger
+// requests must be refused and none of their bytes may reach a backend server; the others
+// are served.
 func TestLimitsChangeWhileRunning(t *testing.T) {
-	run(t, func(t *testing.T, w *world) {
+	runWithTestbed(t, func(t *testing.T, w *testbed) {
 		send := func(header, body int) int {
 			r := w.request("POST", "/lab/x", strings.NewReader(strings.Repeat("x", body)))
 			r.Header.Set("X-Note", strings.Repeat("x", header))
--- a/internal/edge/front/move_test.go
+++ b/internal/edge/front/move_test.go
@@ -17,32 +17,32 @@
 )
 
 const (
-	moveCallers = 24
-	moveAsks    = 100
-	movePause   = 2 * time.Millisecond
+	moveCallers  = 24
+	moveRequests = 100
+	movePause    = 2 * time.Millisecond
 )
 
-// All keys move while 24 callers ask for them. The former owner gives its lease
-// back, the news of the next owner comes 3 ms later, and its lease another while
-// later. Callers must notice no more than that gap: each request runs once, at
-// an owner, and those who waited go as soon as the next owner takes them.
+// All keys move while 24 callers send requests for them. The former owner gives its lease
+// back, the entry VM learns of the next owner 3 ms later, and that owner gets its lease
+// some time later. Each request must run once, at an owner, and none may wait much longer
+// than the gap between the leases.
 func TestAMoveUnderLoad(t *testing.T) {
 	for name, gap := range map[string]time.Duration{"planned": 6 * time.Millisecond, "slow": 100 * time.Millisecond} {
 		t.Run(name, func(t *testing.T) {
-			run(t, func(t *testing.T, w *world) { moveUnderLoad(t, w, gap) })
+			runWithTestbed(t, func(t *testing.T, w *testbed) { moveUnderLoad(t, w, gap) })
 		})
 	}
 }
 
-func moveUnderLoad(t *testing.T, w *world, gap time.Duration) {
+func moveUnderLoad(t *testing.T, w *testbed, gap time.Duration) {
 	all := []ident.Slice{0, 1, 2, 3, 4, 5, 6, 7}
 	order := server.Order{Lessor: "l1", Mark: w.origins["l1"].Read().Mark, TTL: time.Hour, Full: true, Rev: 1}
 	var g group.Group
 	var worst [moveCallers]time.Duration
 	for c := range moveCallers {
 		g.Go(func(context.Context) error {
-			for n := range moveAsks {
-				worst[c] = max(worst[c], w.post(c, n))
+			for n := range moveRequests {
+				worst[c] = max(worst[c], w.timedPost(c, n))
 				time.Sleep(movePause)
 			}
 			return nil
@@ -51,7 +51,7 @@
 	time.Sleep(100 * time.Millisecond)
 	assert.Assert(t, w.origins["l1"].Revoke(order).Done)
 	time.Sleep(3 * time.Millisecond)
-	w.see("l2")
+	w.setView("l2")
 	time.Sleep(gap)
 	order.Lessor, order.Slices, order.Mark = "l2", all, w.origins["l2"].Read().Mark
 	assert.Assert(t, w.origins["l2"].Grant(order).Done)
@@ -63,7 +63,7 @@
 			ran[s.ID]++
 		}
 	}
-	assert.Equal(t, len(ran), moveCallers*moveAsks)
+	assert.Equal(t, len(ran), moveCallers*moveRequests)
 	for id, n := range ran {
 		assert.Equal(t, n, 1, "%s ran %d times", id, n)
 	}
@@ -71,22 +71,22 @@
 	for _, d := range worst {
 		longest = max(longest, d)
 	}
-	turned := w.origins["l1"].Stats().Misses + w.origins["l2"].Stats().Misses
-	t.Logf("lease gone for %v: longest answer %v, %d requests turned away", 3*time.Millisecond+gap, longest, turned)
-	assert.Assert(t, longest <= 3*time.Millisecond+gap+mostWait, "longest answer %v", longest)
-	assert.Assert(t, turned <= mostTurned, "%d requests turned away", turned)
+	misrouted := w.origins["l1"].Stats().Misses + w.origins["l2"].Stats().Misses
+	t.Logf("lease gone for %v: longest answer %v, %d requests misrouted", 3*time.Millisecond+gap, longest, misrouted)
+	assert.Assert(t, longest <= 3*time.Millisecond+gap+maxExtraWait, "longest answer %v", longest)
+	assert.Assert(t, misrouted <= maxMisrouted, "%d requests misrouted", misrouted)
 }
 
-// Bounds of a move: the gate asks again each 40 ms at most, and besides the
-// callers who came in the moments of the revocation and of the news, one of each
-// slice does.
+// Limits on the effects of a move. The gate retries every 40 ms at most. Apart from the
+// requests that arrive around the revocation and around the change of the table, one
+// request of each slice probes the new owner.
 const (
-	mostWait   = 41 * time.Millisecond
-	mostTurned = 2*moveCallers + 8*5
+	maxExtraWait = 41 * time.Millisecond
+	maxMisrouted = 2*moveCallers + 8*5
 )
 
-// post asks for a key once and returns how long the answer took.
-func (w *world) post(c, n int) time.Duration {
+// timedPost sends a request for a key and returns how long the answer took.
+func (w *testbed) timedPost(c, n int) time.Duration {
 	r := w.request("POST", fmt.Sprintf("/scales/%d", c), strings.NewReader("load"))
 	r.Header.Set("Hawthorn-Id", fmt.Sprintf("%d-%d", c, n))
 	start := time.Now()
--- a/internal/edge/front/once_test.go
+++ b/internal/edge/front/once_test.go
@@ -17,18 +17,18 @@
 	"hawthornfield.org/hawthornfield/internal/fake/objmem"
 )
 
-const receipts = `
+const receiptRules = `
 [[rule]]
 name = "receipts"
 when = { method = ["POST"], path = "/lab/{rest...}" }
 then = { service = "upload", once = "store", durable = "journal" }
 `
 
-// The same truckload is sent again and again: after it ran, after its answer
-// was lost, after a refusal, and while the store is away. It runs once in each
-// of the first two cases, and the refusals leave it free to be sent again.
+// Guards against a submission that runs twice. The same request is repeated after it ran,
+// after its answer was lost, after a refusal, and while the object store is down. It runs
+// once in the first two cases, and after a refusal it may be sent again.
 func TestASubmissionRunsAtMostOnce(t *testing.T) {
-	run(t, func(t *testing.T, w *world) {
+	runWithTestbed(t, func(t *testing.T, w *testbed) {
 		store := objmem.New()
 		quiet := slog.New(slog.NewJSONHandler(io.Discard, nil))
 		guard := dedup.New(store, "vm-1", quiet)
@@ -38,7 +38,7 @@
 			assert.NilError(t, guard.Close())
 			assert.NilError(t, journal.Close())
 		}()
-		w.compileAt(9, receipts)
+		w.setRulesAt(9, receiptRules)
 		send := func(id string) (code int, ran string) {
 			r := w.request("POST", "/lab/receipt", strings.NewReader("load"))
 			r.Header.Set(relay.HeaderID, id)
@@ -70,7 +70,8 @@
 		code, _ = send("load-3")
 		assert.Equal(t, code, 200)
 
-		// Claimed, then refused for want of a durable record: given back.
+		// The id is claimed, then the request is refused because no durable record can be
+		// written: the claim is released.
 		store.SetFault(func(op objmem.Op, name string) objmem.Fault {
 			return objmem.Fault{Down: op == objmem.Put && strings.HasPrefix(name, ledger.LogPrefix)}
 		})
--- a/internal/edge/front/keep_test.go
+++ b/internal/edge/front/retention_test.go
@@ -11,18 +11,17 @@
 	"hawthornfield.org/hawthornfield/internal/core/retain"
 )
 
-// An operator's rule keeps submissions and failures, another one a key in 16.
-// Each decision must carry what its rule says, whatever way it left the line: a
-// failure that was taken for a plain lookup would be missing when somebody asks
-// for it.
-func TestEachDecisionCarriesWhatItsRuleKeeps(t *testing.T) {
-	run(t, func(t *testing.T, w *world) {
+// Guards against a decision that is recorded with the wrong retention. One rule keeps
+// submissions and failures, another one key in 16; a failure that was treated as a plain
+// lookup would be missing from the log.
+func TestDecisionsFollowTheRetentionOfTheirRule(t *testing.T) {
+	runWithTestbed(t, func(t *testing.T, w *testbed) {
 		send := func(method, path string) record.Decision {
 			_, _, err := w.do(w.request(method, path, nil))
 			assert.NilError(t, err)
-			w.log.mu.Lock()
-			defer w.log.mu.Unlock()
-			return w.log.all[len(w.log.all)-1]
+			w.decisions.mu.Lock()
+			defer w.decisions.mu.Unlock()
+			return w.decisions.list[len(w.decisions.list)-1]
 		}
 		for _, c := range []struct {
 			method, path string
--- a/internal/edge/front/route.go
+++ b/internal/edge/front/route.go
@@ -14,26 +14,26 @@
 	"hawthornfield.org/hawthornfield/internal/rules/revs"
 )
 
-// identify names the request and its caller.
+// identify determines the request id and the caller.
 func (x *exchange) identify() error {
 	id := x.r.Header.Get(x.f.Headers.ID)
-	x.named = id != ""
-	if !x.named {
-		id = x.f.prefix + strconv.FormatUint(x.f.serial.Add(1), 36)
+	x.idFromCaller = id != ""
+	if !x.idFromCaller {
+		id = x.f.idPrefix + strconv.FormatUint(x.f.idCounter.Add(1), 36)
 	}
-	if !plain(id) {
+	if !isPlainName(id) {
 		return kinds.New(kinds.BadRequest, "the request id is malformed")
 	}
-	x.note.ID = ident.Request(id)
-	x.note.Caller = x.f.Identify(x.r)
-	if !plain(string(x.note.Caller)) {
+	x.decision.ID = ident.Request(id)
+	x.decision.Caller = x.f.Identify(x.r)
+	if !isPlainName(string(x.decision.Caller)) {
 		return kinds.New(kinds.Denied, "the caller's name is malformed")
 	}
 	return nil
 }
 
-// headerSize is how many bytes the headers took on the wire, the request line and the
-// host included.
+// headerSize returns the size of the headers on the wire in bytes, including the request
+// line and the Host header.
 func headerSize(r *http.Request) int {
 	const between = 4 // colon, space, end of line
 	n := len(r.Method) + len(r.RequestURI) + len(r.Proto) + between + len("Host") + len(r.Host) + between
@@ -45,10 +45,10 @@
 	return n
 }
 
-// plain accepts short printable ASCII without spaces, the only names that are
-// safe in a header, a log line and the name of an object.
-func plain(s string) bool {
-	if s == "" || len(s) > maxName {
+// isPlainName reports whether s is short printable ASCII without spaces, the only names
+// that are safe in a header, a log line and an object name.
+func isPlainName(s string) bool {
+	if s == "" || len(s) > maxNameLength {
 		return false
 	}
 	for i := range len(s) {
@@ -59,59 +59,59 @@
 	return true
 }
 
-// route matches the rule and reads the key.
+// route matches the rule, chooses the service, and reads the key and the deadline.
 func (x *exchange) route() error {
-	book := &x.f.State.Rules
-	if book.State() != revs.Serve {
-		return errNoRules
+	holder := &x.f.State.Rules
+	if holder.State() != revs.Serve {
+		return errRulesUnknown
 	}
-	rules, ok := book.Current(), false
-	x.noteRev()
+	rules, ok := holder.Current(), false
+	x.recordRevision()
 	req := match.Request{
 		Service: ident.Service(x.header(x.f.Headers.Service)),
 		Method:  x.r.Method, Host: x.r.Host, Path: x.r.URL.EscapedPath(), Query: x.r.URL.RawQuery,
-		Header: x.r.Header, Caller: x.note.Caller, Centre: x.f.Centre,
+		Header: x.r.Header, Caller: x.decision.Caller, Centre: x.f.Centre,
 	}
 	if x.rule, ok = rules.Set.Match(&req); !ok {
-		return x.doubt(errNoRule)
+		return x.finalUnlessStale(errNoRule)
 	}
-	x.note.Rule = x.rule.Name
+	x.decision.Rule = x.rule.Name
 	if err := x.rule.Check(); err != nil {
 		return err
 	}
 	if x.rule.Then.Deny {
-		return x.doubt(errDenied)
+		return x.finalUnlessStale(errDenied)
 	}
-	x.note.Service = x.rule.Then.Service
+	x.decision.Service = x.rule.Then.Service
 	if len(x.rule.Then.Split) > 0 {
-		x.note.Service = x.rule.Then.Target(x.f.turn(x.rule.Name))
+		x.decision.Service = x.rule.Then.Target(x.f.nextCount(x.rule.Name))
 	}
-	if x.svc, ok = x.f.State.Service(x.note.Service); !ok {
-		return errService
+	if x.svc, ok = x.f.State.Service(x.decision.Service); !ok {
+		return errUnknownService
 	}
 	if err := x.readKey(&req); err != nil {
 		return err
 	}
-	return x.deadline()
+	return x.setDeadline()
 }
 
-// readKey reads the key that the rule asks for. A rule that splits asks for the sake of
-// the parts that are divided by key: the others serve requests without one, whose callers
-// would take a refusal for final.
+// readKey reads the key that the rule names. In a rule that splits its requests among
+// services, only the services divided by key need it: the others serve requests without a
+// key, and their callers would treat a refusal as final.
 func (x *exchange) readKey(req *match.Request) error {
-	divided := x.svc.Divided() // once: newer rules may say otherwise in between
+	divided := x.svc.Divided() // read once, as newer rules may change it in between
 	key, err := match.KeyOf(x.rule, req)
 	if err != nil && (divided || len(x.rule.Then.Split) == 0) {
-		return x.doubt(err)
+		return x.finalUnlessStale(err)
 	}
-	x.key, x.note.Key = key, key
+	x.key, x.decision.Key = key, key
 	if !divided {
 		return nil
 	}
 	if x.f.OnKeyRequest != nil {
 		x.f.OnKeyRequest(x.svc.Name, x.key)
 	}
-	if x.key == "" && x.f.State.Rules.Current().Rev > x.note.Rev {
+	if x.key == "" && x.f.State.Rules.Current().Rev > x.decision.Rev {
 		return kinds.New(kinds.StaleRules, "newer rules divide the service by key")
 	}
 	if x.key == "" {
@@ -120,27 +120,29 @@
 	return nil
 }
 
-// noteRev notes the revision decided by, and the newest that exists where that is another.
-func (x *exchange) noteRev() {
-	book := &x.f.State.Rules
-	x.note.Rev = book.Current().Rev
-	if newest := book.Newest(); newest > x.note.Rev {
-		x.note.Newest = newest
+// recordRevision records the revision of the rules in use, and the newest known one if
+// that is newer.
+func (x *exchange) recordRevision() {
+	holder := &x.f.State.Rules
+	x.decision.Rev = holder.Current().Rev
+	if newest := holder.Newest(); newest > x.decision.Rev {
+		x.decision.Newest = newest
 	}
 }
 
-// doubt takes an answer by which the rules put the caller at fault. Callers never ask
-// again after one, so while the rules here may be old it becomes one after which they
-// do, and another VM or a later moment may serve them.
-func (x *exchange) doubt(final error) error {
-	if why := x.f.State.Rules.CheckFresh(clock.Now()); why != nil {
-		x.noteRev()
-		return kinds.Wrap(kinds.StaleRules, final, why.Error())
+// finalUnlessStale returns the error, by which the rules put the caller at fault, or an
+// error of kind StaleRules if the rules on this VM may be outdated. Callers never repeat
+// a request after the first; after the second they do, and another VM, or this one later,
+// may serve them.
+func (x *exchange) finalUnlessStale(final error) error {
+	if stale := x.f.State.Rules.CheckFresh(clock.Now()); stale != nil {
+		x.recordRevision()
+		return kinds.Wrap(kinds.StaleRules, final, stale.Error())
 	}
 	return final
 }
 
-// header reads one of the system's own headers, empty when it has no name.
+// header returns a header of the system's own, empty if it has no name in this setup.
 func (x *exchange) header(name string) string {
 	if name == "" {
 		return ""
@@ -148,39 +150,41 @@
 	return x.r.Header.Get(name)
 }
 
-// deadline takes the earliest of the caller's, the rule's and the default.
-func (x *exchange) deadline() error {
-	left := x.f.limits().Request.Duration
+// setDeadline sets the deadline to the earlier of the caller's and the rule's.
+// Limit.Request takes the place of a rule without one, and maxDeadline applies if there
+// is none at all.
+func (x *exchange) setDeadline() error {
+	timeout := x.f.limits().Request.Duration
 	if x.rule.Then.Deadline > 0 {
-		left = x.rule.Then.Deadline
+		timeout = x.rule.Then.Deadline
 	}
 	if text := x.header(x.f.Headers.Deadline); text != "" {
-		asked, err := timeLeft(text)
+		requested, err := parseDeadline(text)
 		if err != nil {
 			return err
 		}
-		if asked <= 0 {
-			return errOver
+		if requested <= 0 {
+			return errDeadlinePassed
 		}
-		if left <= 0 || asked < left {
-			left = asked
+		if timeout <= 0 || requested < timeout {
+			timeout = requested
 		}
 	}
-	if left <= 0 {
-		left = maxDeadline
+	if timeout <= 0 {
+		timeout = maxDeadline
 	}
-	x.by = x.note.At.Add(left)
+	x.deadline = x.decision.At.Add(timeout)
 	return nil
 }
 
-// timeLeft reads a caller's own time, in milliseconds. Any notation of a number will do,
-// more than the longest time counts as that, and less than none as none: callers never
-// ask again after a 400, and what they mean is plain.
-func timeLeft(text string) (time.Duration, error) {
+// parseDeadline parses a caller's remaining time in milliseconds. It accepts any notation
+// of a number and clamps it to the range from 0 to maxDeadline: callers never repeat a
+// request after status 400, and the meaning of such numbers is clear.
+func parseDeadline(text string) (time.Duration, error) {
 	ms, err := strconv.ParseFloat(text, 64)
 	tooLong := errors.Is(err, strconv.ErrRange)
 	if err != nil && !tooLong || math.IsNaN(ms) {
-		return 0, errTime
+		return 0, errBadDeadline
 	}
 	longest := float64(maxDeadline / time.Millisecond)
 	return time.Duration(min(max(ms, 0), longest) * float64(time.Millisecond)), nil
--- a/internal/edge/front/doubt_test.go
+++ b/internal/edge/front/stale_rules_test.go
@@ -11,34 +11,34 @@
 	"hawthornfield.org/hawthornfield/internal/core/kinds"
 )
 
-// A VM has heard that newer rules exist and is still without them. The caller of a
-// route that they add, or who sends what only they allow, is told 404, 403, 400, 413 or
-// 431: that the fault is its own, and never to ask again. It is the VM that is behind.
-func TestAVMThatIsBehindDoesNotTellCallersThatTheyAreWrong(t *testing.T) {
-	const asked = rules + `
+// Guards against status 404, 403, 400, 413 or 431 by outdated rules. The VM knows that
+// newer rules exist and does not have them yet; a caller whose request only they allow
+// would never repeat it after such a status.
+func TestAVMWithStaleRulesDoesNotBlameCallers(t *testing.T) {
+	const keyRules = rules + `
 [[rule]]
 name = "asked"
 when = { path = "/asked" }
 then = { service = "upload", key = "query:ward" }
 `
-	run(t, func(t *testing.T, w *world) {
-		w.compileAt(8, asked)
+	runWithTestbed(t, func(t *testing.T, w *testbed) {
+		w.setRulesAt(8, keyRules)
 		w.front.SetLimit(config.Limit{Header: 2000, Body: 2000, Request: w.front.Limit.Request})
-		finals := map[string]*http.Request{
+		cases := map[string]*http.Request{
 			"no rule":     w.request("GET", "/nobody/7", nil),
 			"denied":      w.request("GET", "/closed", nil),
 			"long body":   w.request("POST", "/lab/x", strings.NewReader(strings.Repeat("x", 3000))),
 			"long header": w.request("GET", "/lab/x", nil),
 			"no key":      w.request("GET", "/asked", nil),
 		}
-		finals["long header"].Header.Set("X-Note", strings.Repeat("x", 3000))
-		for what, r := range finals {
+		cases["long header"].Header.Set("X-Note", strings.Repeat("x", 3000))
+		for what, r := range cases {
 			resp, _, err := w.do(r.Clone(t.Context()))
 			assert.NilError(t, err)
 			assert.Assert(t, resp.StatusCode >= 400 && resp.StatusCode < 500, "%s: %d", what, resp.StatusCode)
 		}
 		w.state.Rules.NoteRevision(9)
-		for what, r := range finals {
+		for what, r := range cases {
 			if r.GetBody != nil {
 				r.Body, _ = r.GetBody()
 			}
@@ -46,12 +46,12 @@
 			assert.NilError(t, err)
 			assert.Equal(t, resp.StatusCode, http.StatusServiceUnavailable, what)
 			assert.Assert(t, resp.Header.Get("Retry-After") != "", what)
-			d := w.log.last()
+			d := w.decisions.last()
 			assert.Equal(t, d.Ran, kinds.RanNo, what)
 			assert.Equal(t, int(d.Rev), 8)
 			assert.Equal(t, int(d.Newest), 9)
 		}
-		w.compileAt(9, asked)
+		w.setRulesAt(9, keyRules)
 		resp, _, err := w.do(w.request("GET", "/nobody/7", nil))
 		assert.NilError(t, err)
 		assert.Equal(t, resp.StatusCode, http.StatusNotFound, "no longer behind")
--- a/internal/edge/front/stream_test.go
+++ b/internal/edge/front/stream_test.go
@@ -9,18 +9,19 @@
 	"gotest.tools/v3/assert"
 )
 
-// Most memory that one upload may cost an entry VM, callers' and server's side
-// of the test included.
-const uploadMemory = 16 << 20
+// maxUploadMemory is the most memory, in bytes, that one upload may take, including the
+// test's own client and server.
+const maxUploadMemory = 16 << 20
 
-// watched counts the bytes of a body and the most heap seen while it was read.
-type watched struct {
+// zeroBody is a body of zeros. It counts the bytes read and samples the largest heap, in
+// bytes, while it is read.
+type zeroBody struct {
 	left, read int64
-	most       uint64
+	maxHeap    uint64
 }
 
-// Read gives zeros.
-func (w *watched) Read(b []byte) (int, error) {
+// Read returns zeros.
+func (w *zeroBody) Read(b []byte) (int, error) {
 	if w.left == 0 {
 		return 0, io.EOF
 	}
@@ -29,57 +30,56 @@
 	w.left -= int64(n)
 	w.read += int64(n)
 	if w.read>>20 != (w.read-int64(n))>>20 {
-		w.most = max(w.most, heap())
+		w.maxHeap = max(w.maxHeap, heapAlloc())
 	}
 	return n, nil
 }
 
-func heap() uint64 {
+func heapAlloc() uint64 {
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
 	return m.HeapAlloc
 }
 
-// A laboratory uploads a morning's images as one body. If the entry VM collected
-// the body before sending it on, a few such uploads at once would end its
-// process, and every other caller's request with it.
+// Guards against buffering a large upload in memory before it is sent on: a few of them
+// at once would end the entry VM's process and every other request with it.
 func TestALargeUploadCostsLittleMemory(t *testing.T) {
 	size := int64(200 << 20)
 	if testing.Short() {
-		size = 3 * uploadMemory
+		size = 3 * maxUploadMemory
 	}
 	for name, length := range map[string]int64{"with its length": size, "chunked": -1} {
 		t.Run(name, func(t *testing.T) {
-			run(t, func(t *testing.T, w *world) {
+			runWithTestbed(t, func(t *testing.T, w *testbed) {
 				w.front.Limit.Body = 1 << 30
-				body := &watched{left: size}
+				body := &zeroBody{left: size}
 				r := w.request("POST", "/lab/images", body)
 				r.ContentLength = length
 				runtime.GC()
-				before := heap()
+				before := heapAlloc()
 				resp, _, err := w.do(r)
 				assert.NilError(t, err)
 				assert.Equal(t, resp.StatusCode, http.StatusOK)
 				assert.Equal(t, w.origins["u1"].Record.All()[0].Bytes, size)
-				grown := int64(body.most) - int64(before)
+				grown := int64(body.maxHeap) - int64(before)
 				t.Logf("%d MB uploaded, heap grew by %d KB at most", size>>20, grown>>10)
-				assert.Assert(t, grown < uploadMemory)
+				assert.Assert(t, grown < maxUploadMemory)
 			})
 		})
 	}
 }
 
-// A body without a length turns out larger than allowed. Part of it has reached
-// the server, so the caller is not told that nothing ran.
+// A body of unknown length exceeds the limit while it is streamed. Part of it has reached
+// the server, so the caller must not be told that the request did not run.
 func TestABodyThatGrowsTooLargeIsCutOff(t *testing.T) {
-	run(t, func(t *testing.T, w *world) {
-		r := w.request("POST", "/lab/images", &watched{left: 2 << 20})
+	runWithTestbed(t, func(t *testing.T, w *testbed) {
+		r := w.request("POST", "/lab/images", &zeroBody{left: 2 << 20})
 		r.ContentLength = -1
 		resp, _, err := w.do(r)
 		if err == nil {
 			assert.Assert(t, resp.StatusCode >= http.StatusBadRequest)
 		}
-		assert.Equal(t, w.log.last().Ran != "no", true)
+		assert.Equal(t, w.decisions.last().Ran != "no", true)
 		assert.Equal(t, w.origins["u1"].Record.All()[0].Bytes, int64(0))
 	})
 }
--- a/internal/edge/front/world_test.go
+++ b/internal/edge/front/testbed_test.go
@@ -59,52 +59,54 @@
 `
 
 var (
-	entry  = netip.MustParseAddrPort("10.0.0.1:80")
-	first  = netip.MustParseAddrPort("10.0.0.2:80")
-	second = netip.MustParseAddrPort("10.0.0.3:80")
-	fourth = netip.MustParseAddrPort("10.0.0.5:80")
-	fifth  = netip.MustParseAddrPort("10.0.0.6:80")
-	third  = netip.MustParseAddrPort("10.0.0.4:80")
+	entryAddr = netip.MustParseAddrPort("10.0.0.1:80")
+	l1Addr    = netip.MustParseAddrPort("10.0.0.2:80")
+	l2Addr    = netip.MustParseAddrPort("10.0.0.3:80")
+	v1Addr    = netip.MustParseAddrPort("10.0.0.5:80")
+	v2Addr    = netip.MustParseAddrPort("10.0.0.6:80")
+	u1Addr    = netip.MustParseAddrPort("10.0.0.4:80")
 )
 
-// world is one entry VM between callers and three backend servers, in memory.
-type world struct {
-	t       *testing.T
-	net     pipes.Net
-	group   group.Group
-	front   *Front
-	web     *http.Server
-	state   *state.State
-	table   table.Table
-	origins map[ident.Server]*origin.Origin
-	client  *http.Client
-	log     notes
+// testbed is one entry VM between callers and five backend servers, with connections in
+// memory.
+type testbed struct {
+	t         *testing.T
+	net       pipes.Net
+	group     group.Group
+	front     *Front
+	server    *http.Server
+	state     *state.State
+	table     table.Table
+	origins   map[ident.Server]*origin.Origin
+	client    *http.Client
+	decisions decisionLog
 }
 
-type notes struct {
-	mu  sync.Mutex
-	all []record.Decision
+type decisionLog struct {
+	mu   sync.Mutex
+	list []record.Decision
 }
 
-func (n *notes) Record(d record.Decision) bool {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	n.all = append(n.all, d)
+func (l *decisionLog) Record(d record.Decision) bool {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.list = append(l.list, d)
 	return true
 }
 
-func (n *notes) last() record.Decision {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	return n.all[len(n.all)-1]
+func (l *decisionLog) last() record.Decision {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.list[len(l.list)-1]
 }
 
-func build(t *testing.T) *world {
-	w := &world{t: t, origins: map[ident.Server]*origin.Origin{}}
+// newTestbed starts the entry VM and its backend servers.
+func newTestbed(t *testing.T) *testbed {
+	w := &testbed{t: t, origins: map[ident.Server]*origin.Origin{}}
 	w.state = state.New([]config.Service{
-		{Name: "lookup", Divided: true, Slices: 8, Servers: []config.Server{{Name: "l1", Data: first}, {Name: "l2", Data: second}}},
-		{Name: "upload", Servers: []config.Server{{Name: "u1", Data: third}}},
-		{Name: "viewer", Servers: []config.Server{{Name: "v1", Data: fourth}, {Name: "v2", Data: fifth}}},
+		{Name: "lookup", Divided: true, Slices: 8, Servers: []config.Server{{Name: "l1", Data: l1Addr}, {Name: "l2", Data: l2Addr}}},
+		{Name: "upload", Servers: []config.Server{{Name: "u1", Data: u1Addr}}},
+		{Name: "viewer", Servers: []config.Server{{Name: "v1", Data: v1Addr}, {Name: "v2", Data: v2Addr}}},
 	})
 	for _, svc := range w.state.Services() {
 		svc.Gate = gate.New(gate.Config{Service: svc.Name})
@@ -117,26 +119,26 @@
 		}
 		svc.Gate.SetServers(infos)
 	}
-	w.compile(rules)
-	w.owner("l1")
+	w.setRules(rules)
+	w.setOwner("l1")
 	w.front = &Front{
-		VM: "vm-1", State: w.state, Record: &w.log, Relay: relay.New(relay.Config{Open: w.net.Dial}),
+		VM: "vm-1", State: w.state, Record: &w.decisions, Relay: relay.New(relay.Config{Open: w.net.Dial}),
 		Limit: config.Limit{Request: config.SpanOf(30 * time.Second), HeaderTimeout: config.SpanOf(5 * time.Second), Body: 1 << 20, Queue: 100},
 	}
 	w.front.Start()
-	w.web = &http.Server{Handler: w.front.Handler(), ReadHeaderTimeout: 5 * time.Second, MaxHeaderBytes: 8 << 10}
-	l := w.net.Listen(entry)
+	w.server = &http.Server{Handler: w.front.Handler(), ReadHeaderTimeout: 5 * time.Second, MaxHeaderBytes: 8 << 10}
+	l := w.net.Listen(entryAddr)
 	w.group.Go(func(context.Context) error {
-		_ = w.web.Serve(l)
+		_ = w.server.Serve(l)
 		return nil
 	})
 	w.client = &http.Client{Transport: &http.Transport{DialContext: w.net.DialText}}
 	return w
 }
 
-func (w *world) close() {
+func (w *testbed) close() {
 	w.client.CloseIdleConnections()
-	assert.NilError(w.t, w.web.Close())
+	assert.NilError(w.t, w.server.Close())
 	assert.NilError(w.t, w.group.Close())
 	assert.NilError(w.t, w.front.Close())
 	assert.NilError(w.t, w.front.Relay.Close())
@@ -146,12 +148,13 @@
 	for _, svc := range w.state.Services() {
 		assert.NilError(w.t, svc.Gate.Close())
 	}
-	time.Sleep(time.Minute) // net/http lingers on a connection that it ended itself
+	time.Sleep(time.Minute) // net/http waits a while before it closes a connection that it ended itself
 }
 
-func (w *world) compile(text string) { w.compileAt(7, text) }
+// setRules puts rules in force under revision 7.
+func (w *testbed) setRules(text string) { w.setRulesAt(7, text) }
 
-func (w *world) compileAt(rev ident.Revision, text string) {
+func (w *testbed) setRulesAt(rev ident.Revision, text string) {
 	f, err := match.Parse([]byte(text))
 	if err != nil {
 		panic(err)
@@ -164,9 +167,9 @@
 	w.state.Rules.SetState(revs.Serve)
 }
 
-// owner gives every slice of the divided service to one server, which gets a
-// lease for all of it; the other's lease ends.
-func (w *world) owner(to ident.Server) {
+// setOwner gives every slice of the divided service to one server, which gets a lease for
+// all of them; the other server's lease ends.
+func (w *testbed) setOwner(to ident.Server) {
 	all := make([]ident.Slice, 8)
 	for i := range all {
 		all[i] = ident.Slice(i)
@@ -181,11 +184,11 @@
 		}
 		assert.Assert(w.t, o.Revoke(order).Done)
 	}
-	w.see(to)
+	w.setView(to)
 }
 
-// see makes the entry VM believe that one server owns every slice.
-func (w *world) see(to ident.Server) {
+// setView makes the entry VM believe that one server owns every slice.
+func (w *testbed) setView(to ident.Server) {
 	rev := w.table.Rev
 	tab, err := table.New("lookup", 8, "l1", "l2")
 	assert.NilError(w.t, err)
@@ -199,7 +202,7 @@
 	assert.Assert(w.t, svc.SetView(table.NewView(tab)))
 }
 
-func (w *world) do(r *http.Request) (*http.Response, string, error) {
+func (w *testbed) do(r *http.Request) (*http.Response, string, error) {
 	resp, err := w.client.Do(r)
 	if err != nil {
 		return nil, "", err
@@ -209,15 +212,16 @@
 	return resp, string(b), err
 }
 
-func (w *world) request(method, path string, body io.Reader) *http.Request {
-	r, err := http.NewRequestWithContext(w.t.Context(), method, "http://"+entry.String()+path, body)
+func (w *testbed) request(method, path string, body io.Reader) *http.Request {
+	r, err := http.NewRequestWithContext(w.t.Context(), method, "http://"+entryAddr.String()+path, body)
 	assert.NilError(w.t, err)
 	return r
 }
 
-func run(t *testing.T, test func(t *testing.T, w *world)) {
+// runWithTestbed runs a test in a synctest bubble with a testbed.
+func runWithTestbed(t *testing.T, test func(t *testing.T, w *testbed)) {
 	synctest.Test(t, func(t *testing.T) {
-		w := build(t)
+		w := newTestbed(t)
 		defer w.close()
 		test(t, w)
 	})
