--- a/internal/edge/relay/header.go
+++ b/internal/edge/relay/header.go
@@ -9,43 +9,43 @@
 	"hawthornfield.org/hawthornfield/internal/core/kinds"
 )
 
-// Headers of the data path between the system and its neighbours.
+// Headers of requests between the system and its callers and backend servers.
 const (
-	HeaderID       = "Hawthorn-Id"       // request id, from the caller or given by the entry VM
-	HeaderCaller   = "Hawthorn-Caller"   // who sent it
-	HeaderKey      = "Hawthorn-Key"      // key that a divided service owns
-	HeaderService  = "Hawthorn-Service"  // service that the request names, or was sent to
+	HeaderID       = "Hawthorn-Id"       // request id, set by the caller or else by the entry VM
+	HeaderCaller   = "Hawthorn-Caller"   // name of the caller
+	HeaderKey      = "Hawthorn-Key"      // key, in a service divided by key
+	HeaderService  = "Hawthorn-Service"  // service that the request names, or was routed to
 	HeaderSlice    = "Hawthorn-Slice"    // slice of the key
-	HeaderFence    = "Hawthorn-Fence"    // epoch under which the owner was found
-	HeaderDeadline = "Hawthorn-Deadline" // milliseconds left
+	HeaderFence    = "Hawthorn-Fence"    // epoch of the ownership under which the owner was found
+	HeaderDeadline = "Hawthorn-Deadline" // time left until the deadline, in milliseconds
 )
 
-// Headers are the headers by which a platform's callers and backend servers speak of
-// what the system adds, and how they are read. An empty name is neither sent nor
-// read. The zero value of Names stands for the system's own, see OwnNames.
+// Headers are the names of the headers that the system adds for callers and backend
+// servers, and the functions that read them. A header with an empty name is neither sent
+// nor read. The zero value stands for DefaultHeaders.
 type Headers struct {
 	ID       string // request id
-	Caller   string // who sent it
-	Key      string // key that a divided service owns
-	Service  string // service that the request names, or was sent to
+	Caller   string // name of the caller
+	Key      string // key, in a service divided by key
+	Service  string // service that the request names, or was routed to
 	Slice    string // slice of the key
-	Fence    string // epoch under which the owner was found
-	Deadline string // milliseconds left
-	Server   string // the one server that may run the request
-	Ran      string // the promise in the system's own answers
+	Fence    string // epoch of the ownership under which the owner was found
+	Deadline string // time left until the deadline, in milliseconds
+	Server   string // the only server that may run the request
+	Ran      string // whether the request ran, in the system's own answers
 
-	// Refused reports whether an answer says that the server ran nothing.
+	// Refused reports whether an answer says that the server did not run the request.
 	Refused func(status int, h http.Header) bool
-	// Load reads a server's own word on its load: requests running and waiting.
+	// Load reads the load that a server reports: requests running and waiting.
 	Load func(h http.Header) (running, waiting int, ok bool)
-	// CloseDelimited says that an answer may end with its connection. One whose connection
-	// was reset is not whole; one whose connection was closed in order is.
+	// CloseDelimited allows an answer whose end is the end of its connection. It is
+	// complete if the connection was closed in order, and incomplete if it was reset.
 	CloseDelimited bool
-	// EchoesID says that every answer repeats the request's id, so that one without
-	// it belongs to no request.
+	// EchoesID says that every answer repeats the request id, so that an answer without
+	// it cannot be attributed to a request.
 	EchoesID bool
-	// PassThrough are the headers of the system's own that the caller sends and that reach
-	// the server as they are.
+	// PassThrough are the system's own headers that are passed from the caller to the
+	// server unchanged.
 	PassThrough []string
 }
 
@@ -60,21 +60,21 @@
 	}
 }
 
-// own lists the headers that only the system may set.
-func (n *Headers) own() []string {
-	all := []string{n.ID, n.Caller, n.Key, n.Service, n.Slice, n.Fence, n.Deadline, n.Server}
-	return slices.DeleteFunc(all, func(name string) bool { return name == "" || slices.Contains(n.PassThrough, name) })
+// reserved returns the headers that only the system may set.
+func (h *Headers) reserved() []string {
+	all := []string{h.ID, h.Caller, h.Key, h.Service, h.Slice, h.Fence, h.Deadline, h.Server}
+	return slices.DeleteFunc(all, func(name string) bool { return name == "" || slices.Contains(h.PassThrough, name) })
 }
 
-// hop are the headers that concern one connection only, by RFC 9110, section
-// 7.6.1, and the older ones that are still in use.
-var hop = []string{
+// hopHeaders are the hop-by-hop headers of RFC 9110, section 7.6.1, and older ones that
+// are still in use.
+var hopHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Connection", "Proxy-Authenticate",
 	"Proxy-Authorization", "Te", "Trailer", "Transfer-Encoding", "Upgrade",
 }
 
-// stripHop removes what concerns one connection only, including what the
-// Connection header names.
+// stripHop removes the hop-by-hop headers, including those that the Connection header
+// names.
 func stripHop(h http.Header) {
 	for _, line := range h["Connection"] {
 		for name := range strings.SplitSeq(line, ",") {
@@ -83,30 +83,29 @@
 			}
 		}
 	}
-	for _, name := range hop {
+	for _, name := range hopHeaders {
 		delete(h, name)
 	}
 }
 
-// The headers that make net/http think that a request may be sent twice.
+// replayHints are the headers that make net/http consider a request safe to repeat.
 var replayHints = []string{"Idempotency-Key", "X-Idempotency-Key"}
 
-// outHeader makes the header for the backend server. A caller that sends a header
-// that only the system may set, ours, could otherwise claim a key that the rule
-// did not read.
+// requestHeader returns the header for the backend server. Reserved headers from the
+// caller are dropped: with them it could claim a key that the rule did not read.
 //
-// net/http repeats a request without a body, on another connection, when it
-// carries an idempotency key. The permit would stop the second attempt; to keep
-// it from being tried at all, the key travels under its lower-case spelling,
-// which is the same header to the server and unknown to net/http.
-func outHeader(in http.Header, names *Headers, ours []string, meta *Meta) http.Header {
-	h := make(http.Header, len(in)+len(ours))
+// net/http repeats a request without a body on another connection if it carries an
+// idempotency key. The permit would stop the second attempt; to prevent the attempt
+// itself, the key is sent under its lower-case spelling, which is the same header to the
+// server but unknown to net/http.
+func requestHeader(in http.Header, headers *Headers, reserved []string, meta *Meta) http.Header {
+	h := make(http.Header, len(in)+len(reserved))
 	for name, values := range in {
 		h[name] = values
 	}
 	stripHop(h)
 	delete(h, "Expect")
-	for _, name := range ours {
+	for _, name := range reserved {
 		delete(h, name)
 	}
 	for _, name := range replayHints {
@@ -116,17 +115,18 @@
 		}
 	}
 	if _, ok := h["User-Agent"]; !ok {
-		h["User-Agent"] = noAgent
+		h["User-Agent"] = noUserAgent
 	}
-	meta.set(h, names)
+	meta.set(h, headers)
 	return h
 }
 
-// noAgent keeps net/http from naming itself as the caller's program.
-var noAgent = []string{""}
+// noUserAgent keeps net/http from adding its own User-Agent.
+var noUserAgent = []string{""}
 
-// copyAnswer copies a backend server's header to the caller's answer.
-func copyAnswer(dst, src http.Header, ran string) {
+// copyResponseHeader copies the end-to-end headers of a backend server's answer, except
+// the header that only the system's own answers carry.
+func copyResponseHeader(dst, src http.Header, ran string) {
 	for name, values := range src {
 		dst[name] = values
 	}
--- a/internal/edge/relay/permit.go
+++ b/internal/edge/relay/permit.go
@@ -10,42 +10,41 @@
 	"hawthornfield.org/hawthornfield/internal/core/kinds"
 )
 
-// errNoPermit is what a connection answers when net/http tries to write a
-// request on it that may already have been written on another.
+// errNoPermit is returned by a connection on which net/http tries to write a request that
+// may already have been written to another one.
 var errNoPermit = kinds.New(kinds.Unknown, "a second attempt was stopped")
 
 // States of a permit.
 const (
 	unused  int32 = iota // nothing was written, and something may be
-	used                 // some byte was handed to the connection
+	used                 // at least one byte was passed to the connection
 	revoked              // nothing was written, and nothing will be
 )
 
-// permit allows one attempt to write on one connection.
+// permit allows one attempt to write to one connection.
 //
-// net/http writes from a goroutine of its own, and for some requests tries a
-// second connection by itself. So after an error nobody can say from outside
-// whether bytes were written, or still will be. The permit makes that question
-// exact: whoever revokes it first wins, and a revoked permit lets no byte
-// through. Without it, "not run" would be a guess, and a receipt whose
-// connection broke could run twice.
+// net/http writes in a goroutine of its own, and repeats some requests on a second
+// connection by itself. So after an error it is unknown whether bytes were written or
+// still will be. The permit decides this atomically: once revoked, it lets no byte
+// through, and revoke reports whether any was written before. Without it the answer "not
+// run" would be a guess, and a submission whose connection broke could run twice.
 type permit struct{ state atomic.Int32 }
 
 func (p *permit) use() bool {
 	return p.state.CompareAndSwap(unused, used) || p.state.Load() == used
 }
 
-// revoke ends an unused permit and reports whether it had been used.
+// revoke revokes an unused permit and reports whether the permit had been used.
 func (p *permit) revoke() bool {
 	return !p.state.CompareAndSwap(unused, revoked) && p.state.Load() == used
 }
 
-// attempt follows one request over the connections that net/http tries.
+// attempt tracks one request over the connections that net/http tries.
 type attempt struct {
-	cancel context.CancelCauseFunc
-	line   *line
-	trace  httptrace.ClientTrace
-	answer Response
+	cancel   context.CancelCauseFunc
+	upstream *upstream
+	trace    httptrace.ClientTrace
+	answer   Response
 
 	mu    sync.Mutex
 	first permit
@@ -53,18 +52,18 @@
 	sent  bool
 }
 
-// gotConn gives the attempt a permit for the connection that it is about to be
-// written on. A connection after one that was written on gets none, and the
-// request is cancelled.
+// gotConn gives the attempt a permit for the connection that it is about to be written
+// to. If the request may have been written to an earlier connection, there is no second
+// permit and the request is canceled.
 func (a *attempt) gotConn(info httptrace.GotConnInfo) {
 	c, ok := info.Conn.(*conn)
 	if !ok {
 		return
 	}
-	if info.Reused && info.IdleTime > a.line.idle() {
-		// The server may be about to close it: a request that crosses the close may
-		// have run. Closed from here before anything is written, the transport takes
-		// another connection.
+	if info.Reused && info.IdleTime > a.upstream.maxReuseIdle() {
+		// The server may be about to close the connection, and a request that crosses the
+		// close may have run. When it is closed on this side before anything is written,
+		// the transport takes another connection.
 		c.permit.Store(nil)
 		_ = c.Close()
 		return
@@ -85,9 +84,9 @@
 	c.permit.Store(a.last)
 }
 
-// end stops the attempt from writing and reports whether any byte of it may
-// have reached the server.
-func (a *attempt) end() bool {
+// stop prevents further writes of the attempt and reports whether any byte of it may have
+// reached the server.
+func (a *attempt) stop() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.last != nil && a.last.revoke() {
@@ -96,12 +95,12 @@
 	return a.sent
 }
 
-// conn is a connection to a backend server that writes only under a permit and
-// counts against the server's cap until it is closed.
+// conn is a connection to a backend server. It writes only under a permit, and counts
+// toward the server's connection limit until it is closed.
 type conn struct {
 	net.Conn
 	permit atomic.Pointer[permit]
-	seats  *seats
+	limit  *connLimit
 	once   sync.Once
 }
 
@@ -114,24 +113,24 @@
 	return c.Conn.Write(b)
 }
 
-// Close closes the connection and frees its place under the cap.
+// Close closes the connection and releases its slot in the connection limit.
 func (c *conn) Close() error {
-	c.once.Do(c.seats.release)
+	c.once.Do(c.limit.release)
 	return c.Conn.Close()
 }
 
-// seats caps the open connections to one server. Zero most means no cap.
-type seats struct {
+// connLimit limits the open connections to one server. A limit of zero means no limit.
+type connLimit struct {
 	mu    sync.Mutex
 	open  int
-	most  int
-	freed chan struct{} // closed when a place may be free; nil if nobody waits
+	limit int
+	freed chan struct{} // closed when a slot may be free; nil if nobody waits
 }
 
-// acquire waits for a place under the cap.
-func (s *seats) acquire(ctx context.Context) error {
+// acquire waits for a slot.
+func (l *connLimit) acquire(ctx context.Context) error {
 	for {
-		freed := s.try()
+		freed := l.tryAcquire()
 		if freed == nil {
 			return nil
 		}
@@ -143,45 +142,46 @@
 	}
 }
 
-// try takes a place, or returns what to wait for.
-func (s *seats) try() <-chan struct{} {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if s.most <= 0 || s.open < s.most {
-		s.open++
+// tryAcquire takes a slot, or returns a channel to wait on.
+func (l *connLimit) tryAcquire() <-chan struct{} {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if l.limit <= 0 || l.open < l.limit {
+		l.open++
 		return nil
 	}
-	if s.freed == nil {
-		s.freed = make(chan struct{})
+	if l.freed == nil {
+		l.freed = make(chan struct{})
 	}
-	return s.freed
+	return l.freed
 }
 
-func (s *seats) release() {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.open--
-	s.wake()
+func (l *connLimit) release() {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.open--
+	l.notify()
 }
 
-// resize changes the cap and reports whether fewer places are left than taken.
-func (s *seats) resize(most int) bool {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.most = most
-	s.wake()
-	return most > 0 && s.open > most
+// setLimit changes the limit and reports whether more connections are open than it
+// allows.
+func (l *connLimit) setLimit(limit int) bool {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.limit = limit
+	l.notify()
+	return limit > 0 && l.open > limit
 }
 
-func (s *seats) wake() {
-	if s.freed != nil {
-		close(s.freed)
-		s.freed = nil
+func (l *connLimit) notify() {
+	if l.freed != nil {
+		close(l.freed)
+		l.freed = nil
 	}
 }
 
-func (s *seats) count() int {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.open
+func (l *connLimit) count() int {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.open
 }
--- a/internal/edge/relay/relay.go
+++ b/internal/edge/relay/relay.go
@@ -1,11 +1,11 @@
-// Package relay sends one request to one backend server and brings the answer
-// back: exactly one attempt, the whole answer or a visible failure.
+// Package relay sends one request to one backend server and returns the answer: it makes
+// exactly one attempt, and delivers either the whole answer or an error.
 //
-// It is built on net/http's Transport, whose habits suit a browser rather than
-// a router: it repeats requests that it deems harmless, follows an answer that
-// ends with its connection, and cannot say whether a failed request was sent.
-// Each habit is disarmed here; docs/design/request.md lists them. What remains
-// is what net/http does well: parsing, framing and the reuse of connections.
+// It is built on net/http's Transport, some of whose behavior suits a browser rather than
+// a router: it repeats requests that it considers harmless, accepts an answer that ends
+// with its connection, and cannot say whether a failed request was sent. Each of these is
+// disabled here; docs/design/request.md lists them. The Transport still does the parsing,
+// the framing and the reuse of connections.
 package relay
 
 import (
@@ -30,63 +30,63 @@
 
 // Defaults of Config.
 const (
-	DefaultDial   = 500 * time.Millisecond
-	DefaultIdle   = 90 * time.Second
-	DefaultQuiet  = 4 * time.Second
-	DefaultHeader = 64 << 10
+	DefaultDial      = 500 * time.Millisecond
+	DefaultIdle      = 90 * time.Second
+	DefaultReuseIdle = 4 * time.Second
+	DefaultHeader    = 64 << 10
 )
 
-// Config bounds a relay. The zero value works.
+// Config holds the settings of a relay. The zero value works.
 type Config struct {
-	Dial time.Duration // longest wait for a new connection to open
-	Idle time.Duration // idle connections are closed after this
-	// Quiet is how long a connection may have been idle and still be used for a
-	// server that does not say when it closes idle ones; zero is DefaultQuiet.
-	Quiet   time.Duration
-	Header  int64   // largest header of an answer, in bytes
-	Headers Headers // headers spoken; the zero value is OwnNames
-	// OpenConns opens connections; nil means TCP. Tests hand in connections in memory.
+	Dial time.Duration // timeout for opening a connection
+	Idle time.Duration // an idle connection is closed after this time
+	// ReuseIdle is the longest time that a connection may have been idle and still be
+	// used, for a server that does not announce its idle timeout. Zero means
+	// DefaultReuseIdle.
+	ReuseIdle time.Duration
+	Header    int64   // largest header of an answer, in bytes
+	Headers   Headers // header names; the zero value means DefaultHeaders
+	// Open opens connections; nil means TCP. Tests use connections in memory.
 	Open func(ctx context.Context, to netip.AddrPort) (net.Conn, error)
 }
 
-// Relay sends requests. Make one with New; all methods may be called from any
-// goroutine.
+// Relay sends requests. Create one with New; all methods are safe for concurrent use.
 type Relay struct {
-	cfg  Config
-	ours []string
+	cfg      Config
+	reserved []string
 
-	mu    sync.RWMutex
-	lines map[netip.AddrPort]*line
+	mu        sync.RWMutex
+	upstreams map[netip.AddrPort]*upstream
 }
 
-// line is what leads to one backend server: its connections and their cap.
-type line struct {
+// upstream is one backend server as seen by the relay: its connections and their limit.
+type upstream struct {
 	host      string
-	seats     seats
+	limit     connLimit
 	transport *http.Transport
-	quiet     atomic.Int64 // idle time up to which a connection is used
+	reuseIdle atomic.Int64 // longest idle time of a connection that is reused, in nanoseconds
 }
 
-// keepPart is the part of the time that a server states for idle connections after
-// which none is used any more; the rest covers a request's way there.
-const keepPart = 0.7
+// keepAliveFraction is the fraction of a server's announced idle timeout after which its
+// connections are not reused any more. The rest covers the time that a request takes to
+// reach the server.
+const keepAliveFraction = 0.7
 
-// stated takes in the time after which the server closes idle connections, as its
-// Keep-Alive header says.
-func (l *line) stated(h http.Header) {
+// readKeepAlive reads the server's idle timeout from its Keep-Alive header.
+func (u *upstream) readKeepAlive(h http.Header) {
 	_, after, found := strings.Cut(h.Get("Keep-Alive"), "timeout=")
 	if !found {
 		return
 	}
 	number, _, _ := strings.Cut(after, ",")
 	if s, err := strconv.Atoi(strings.TrimSpace(number)); err == nil && s > 0 {
-		l.quiet.Store(int64(float64(s) * keepPart * float64(time.Second)))
+		u.reuseIdle.Store(int64(float64(s) * keepAliveFraction * float64(time.Second)))
 	}
 }
 
-func (l *line) idle() time.Duration { return time.Duration(l.quiet.Load()) }
+func (u *upstream) maxReuseIdle() time.Duration { return time.Duration(u.reuseIdle.Load()) }
 
-// New makes a relay without connections.
+// New returns a relay without connections.
 func New(cfg Config) *Relay {
 	if cfg.Dial <= 0 {
 		cfg.Dial = DefaultDial
@@ -94,8 +94,8 @@
 	if cfg.Idle <= 0 {
 		cfg.Idle = DefaultIdle
 	}
-	if cfg.Quiet <= 0 {
-		cfg.Quiet = DefaultQuiet
+	if cfg.ReuseIdle <= 0 {
+		cfg.ReuseIdle = DefaultReuseIdle
 	}
 	if cfg.Header <= 0 {
 		cfg.Header = DefaultHeader
@@ -108,90 +108,92 @@
 		cfg.Open = func(ctx context.Context, to netip.AddrPort) (net.Conn, error) {
 			c, err := d.DialContext(ctx, "tcp", to.String())
 			if tcp, ok := c.(*net.TCPConn); ok {
-				// Reset when it is closed: a request that nobody waits for any more, held
-				// up by a cut, would otherwise reach its server as the cut heals.
+				// Reset the connection when it is closed. Otherwise an abandoned request
+				// that a network partition holds up would reach its server when the
+				// partition heals.
 				err = tcp.SetLinger(0)
 			}
 			return c, err
 		}
 	}
-	return &Relay{cfg: cfg, ours: cfg.Headers.own(), lines: map[netip.AddrPort]*line{}}
+	return &Relay{cfg: cfg, reserved: cfg.Headers.reserved(), upstreams: map[netip.AddrPort]*upstream{}}
 }
 
-// Close closes idle connections. Requests in flight are not touched.
+// Close closes idle connections. Requests in flight are not affected.
 func (r *Relay) Close() error {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
-	for _, l := range r.lines {
-		l.transport.CloseIdleConnections()
+	for _, u := range r.upstreams {
+		u.transport.CloseIdleConnections()
 	}
 	return nil
 }
 
-// Limit caps the connections to a server; zero lifts the cap. When the cap
-// shrinks, idle connections are closed at once and busy ones as they end.
-func (r *Relay) Limit(to netip.AddrPort, most int) {
-	l := r.line(to)
-	if l.seats.resize(most) {
-		l.transport.CloseIdleConnections()
+// Limit sets the maximum number of connections to a server; zero means no limit. When the
+// limit shrinks, idle connections are closed at once and busy ones as their requests end.
+func (r *Relay) Limit(to netip.AddrPort, limit int) {
+	u := r.upstream(to)
+	if u.limit.setLimit(limit) {
+		u.transport.CloseIdleConnections()
 	}
 }
 
-// OpenConns counts the open connections to a server.
-func (r *Relay) OpenConns(to netip.AddrPort) int { return r.line(to).seats.count() }
+// OpenConns returns the number of open connections to a server.
+func (r *Relay) OpenConns(to netip.AddrPort) int { return r.upstream(to).limit.count() }
 
-func (r *Relay) line(to netip.AddrPort) *line {
+func (r *Relay) upstream(to netip.AddrPort) *upstream {
 	r.mu.RLock()
-	l := r.lines[to]
+	u := r.upstreams[to]
 	r.mu.RUnlock()
-	if l != nil {
-		return l
+	if u != nil {
+		return u
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if l = r.lines[to]; l == nil {
-		l = r.newLine(to)
-		r.lines[to] = l
+	if u = r.upstreams[to]; u == nil {
+		u = r.newUpstream(to)
+		r.upstreams[to] = u
 	}
-	return l
+	return u
 }
 
-// maxIdle is above any cap: the cap alone decides how many connections stay.
-const maxIdle = 1 << 16
+// maxIdleConns is above any connection limit, so that the limit alone decides how many
+// connections are kept.
+const maxIdleConns = 1 << 16
 
-func (r *Relay) newLine(to netip.AddrPort) *line {
-	l := &line{host: to.String()}
-	l.quiet.Store(int64(r.cfg.Quiet))
-	l.transport = &http.Transport{
+func (r *Relay) newUpstream(to netip.AddrPort) *upstream {
+	u := &upstream{host: to.String()}
+	u.reuseIdle.Store(int64(r.cfg.ReuseIdle))
+	u.transport = &http.Transport{
 		DialContext: func(ctx context.Context, _, _ string) (net.Conn, error) {
-			return r.dial(ctx, l, to)
+			return r.dial(ctx, u, to)
 		},
-		DisableCompression:     true, // the answer is the server's, byte for byte
-		MaxIdleConns:           maxIdle,
-		MaxIdleConnsPerHost:    maxIdle,
+		DisableCompression:     true, // answers are passed on byte for byte
+		MaxIdleConns:           maxIdleConns,
+		MaxIdleConnsPerHost:    maxIdleConns,
 		IdleConnTimeout:        r.cfg.Idle,
 		MaxResponseHeaderBytes: r.cfg.Header,
 		ReadBufferSize:         copySize / 4,
 		WriteBufferSize:        copySize / 4,
 	}
-	return l
+	return u
 }
 
-func (r *Relay) dial(ctx context.Context, l *line, to netip.AddrPort) (net.Conn, error) {
-	if err := l.seats.acquire(ctx); err != nil {
+func (r *Relay) dial(ctx context.Context, u *upstream, to netip.AddrPort) (net.Conn, error) {
+	if err := u.limit.acquire(ctx); err != nil {
 		return nil, err
 	}
 	ctx, cancel := context.WithTimeout(ctx, r.cfg.Dial)
 	defer cancel()
 	c, err := r.cfg.Open(ctx, to)
 	if err != nil {
-		l.seats.release()
+		u.limit.release()
 		return nil, err
 	}
-	return &conn{Conn: c, seats: &l.seats}, nil
+	return &conn{Conn: c, limit: &u.limit}, nil
 }
 
-// Meta is what the system adds to a request.
+// Meta holds the values of the headers that the system adds to a request.
 type Meta struct {
 	ID       ident.Request
 	Caller   ident.Caller
@@ -200,14 +202,14 @@
 	Slice    ident.Slice
 	Epoch    ident.Epoch
 	Deadline time.Time
-	Server   ident.Server // the one that may run it
+	Server   ident.Server // the only one that may run the request
 }
 
-// set writes the headers. Their values share one array: a slice of its own for
-// each was a tenth of what the request path allocated.
-func (m *Meta) set(h http.Header, names *Headers) {
-	const most = 8 // headers below
-	all := make([]string, 0, most)
+// set sets the headers. Their values share one array: a separate slice for each was a
+// tenth of the allocations of the request path.
+func (m *Meta) set(h http.Header, headers *Headers) {
+	const maxHeaders = 8 // number of headers set below
+	all := make([]string, 0, maxHeaders)
 	put := func(name, value string) {
 		if name == "" {
 			return
@@ -215,78 +217,78 @@
 		all = append(all, value)
 		h[name] = all[len(all)-1 : len(all) : len(all)]
 	}
-	put(names.ID, string(m.ID))
-	put(names.Caller, string(m.Caller))
-	put(names.Service, string(m.Service))
-	put(names.Server, string(m.Server))
+	put(headers.ID, string(m.ID))
+	put(headers.Caller, string(m.Caller))
+	put(headers.Service, string(m.Service))
+	put(headers.Server, string(m.Server))
 	if m.Key != "" {
-		put(names.Key, string(m.Key))
-		put(names.Slice, strconv.FormatUint(uint64(m.Slice), 10))
-		put(names.Fence, ident.Fence{Epoch: m.Epoch}.String())
+		put(headers.Key, string(m.Key))
+		put(headers.Slice, strconv.FormatUint(uint64(m.Slice), 10))
+		put(headers.Fence, ident.Fence{Epoch: m.Epoch}.String())
 	}
 	if !m.Deadline.IsZero() {
-		put(names.Deadline, strconv.FormatInt(max(time.Until(m.Deadline).Milliseconds(), 0), 10))
+		put(headers.Deadline, strconv.FormatInt(max(time.Until(m.Deadline).Milliseconds(), 0), 10))
 	}
 }
 
-// Response is a backend server's answer whose header has arrived. Hand it to
-// Copy, or Close it; a connection whose answer was not read to its end is
-// closed, never used again.
+// Response is a backend server's answer whose header has arrived. Call Copy or Close on
+// it. A connection whose answer was not read to its end is closed and never reused.
 type Response struct {
 	resp      *http.Response
-	names     *Headers
+	headers   *Headers
 	server    ident.Server
-	held      []byte // the whole body, when Hold found its end
+	buffered  []byte // the whole body, if Buffer read it to its end
 	cancel    context.CancelCauseFunc
-	FirstByte time.Duration // from sending to the header's arrival
+	FirstByte time.Duration // time from sending the request to the arrival of the header
 }
 
-// Status is the answer's HTTP status.
-func (a *Response) Status() int { return a.resp.StatusCode }
+// Status returns the HTTP status.
+func (r *Response) Status() int { return r.resp.StatusCode }
 
-// Length is the length of the body, -1 if it is not known.
-func (a *Response) Length() int64 { return a.resp.ContentLength }
+// Length returns the length of the body in bytes, -1 if it is not known.
+func (r *Response) Length() int64 { return r.resp.ContentLength }
 
-// Server is the one that the request was meant for.
-func (a *Response) Server() ident.Server { return a.server }
+// Server returns the server that the request was sent to.
+func (r *Response) Server() ident.Server { return r.server }
 
-// Header is the answer's header as the server sent it. Treat it as read-only.
-func (a *Response) Header() http.Header { return a.resp.Header }
+// Header returns the header as the server sent it. Treat it as read-only.
+func (r *Response) Header() http.Header { return r.resp.Header }
 
-// Close abandons what was not read.
-func (a *Response) Close() error {
-	a.cancel(nil)
-	return a.resp.Body.Close()
+// Close discards the part of the answer that was not read.
+func (r *Response) Close() error {
+	r.cancel(nil)
+	return r.resp.Body.Close()
 }
 
-// Send makes one attempt. The error carries one of these kinds:
+// Send makes one attempt. The error has one of these kinds:
 //
-//   - NoServer, Late, Canceled before anything was written: nothing ran;
-//   - Misrouted or Busy: the server said that it ran nothing;
+//   - NoServer, DeadlineMissed, or Canceled before anything was written: the request did
+//     not run;
+//   - Misrouted or Busy: the server said that it did not run the request;
 //   - Unknown: the request may have run;
-//   - Canceled after it was written: the caller went away.
+//   - Canceled after something was written: the caller went away.
 //
-// Failure.Sent tells the two cases of Canceled apart. The body is read once, by
-// the attempt alone.
+// Failure.Sent distinguishes the two cases of Canceled. The body is read only by this
+// attempt.
 //
-// The context is the attempt's own: cancel ends it, is called by the relay when
-// the attempt is over, and by the caller to give it up.
+// The context must belong to this attempt alone. cancel ends it: the relay calls it when
+// the attempt is over, and the caller may call it to give the attempt up.
 func (r *Relay) Send(
 	ctx context.Context, cancel context.CancelCauseFunc, in *http.Request, body io.Reader, to netip.AddrPort, meta *Meta,
 ) (*Response, error) {
-	l := r.line(to)
-	a := &attempt{cancel: cancel, line: l}
+	u := r.upstream(to)
+	a := &attempt{cancel: cancel, upstream: u}
 	a.trace.GotConn = a.gotConn
 	start := time.Now()
-	resp, err := l.transport.RoundTrip(r.outgoing(httptrace.WithClientTrace(ctx, &a.trace), in, body, l.host, meta)) //nolint:bodyclose // Answer.Close does
+	resp, err := u.transport.RoundTrip(r.outgoing(httptrace.WithClientTrace(ctx, &a.trace), in, body, u.host, meta)) //nolint:bodyclose // Response.Close does
 	if err != nil {
-		sent := a.end()
-		err = failure(ctx, err, sent)
+		sent := a.stop()
+		err = newFailure(ctx, err, sent)
 		cancel(nil)
 		return nil, err
 	}
-	l.stated(resp.Header)
-	a.answer = Response{resp: resp, names: &r.cfg.Headers, server: meta.Server, cancel: cancel, FirstByte: time.Since(start)}
+	u.readKeepAlive(resp.Header)
+	a.answer = Response{resp: resp, headers: &r.cfg.Headers, server: meta.Server, cancel: cancel, FirstByte: time.Since(start)}
 	answer := &a.answer
 	if err := r.cfg.Headers.check(resp, in.Method, meta.ID); err != nil {
 		answer.Close()
@@ -295,7 +297,7 @@
 	return answer, nil
 }
 
-// outgoing makes the request for the backend server.
+// outgoing returns the request for the backend server.
 func (r *Relay) outgoing(ctx context.Context, in *http.Request, body io.Reader, host string, meta *Meta) *http.Request {
 	out := new(http.Request).WithContext(ctx)
 	out.Method, out.Host = in.Method, in.Host
@@ -304,20 +306,20 @@
 		Scheme: "http", Host: host,
 		Path: in.URL.Path, RawPath: in.URL.RawPath, RawQuery: in.URL.RawQuery, ForceQuery: in.URL.ForceQuery,
 	}
-	out.Header = outHeader(in.Header, &r.cfg.Headers, r.ours, meta)
+	out.Header = requestHeader(in.Header, &r.cfg.Headers, r.reserved, meta)
 	if body != nil && in.ContentLength != 0 {
 		out.Body, out.ContentLength, out.Trailer = io.NopCloser(body), in.ContentLength, in.Trailer
 	}
 	return out
 }
 
-// failure gives an attempt without an answer its kind.
-func failure(caller context.Context, err error, sent bool) error {
+// newFailure returns the Failure of an attempt without an answer.
+func newFailure(caller context.Context, err error, sent bool) error {
 	switch {
 	case errors.Is(caller.Err(), context.Canceled) && !errors.Is(context.Cause(caller), errNoPermit):
 		return &Failure{Kind: kinds.Canceled, Sent: sent, err: err}
 	case sent:
-		return &Failure{Kind: kinds.Unknown, Sent: true, ConnClosed: broke(caller, err), err: err}
+		return &Failure{Kind: kinds.Unknown, Sent: true, ConnClosed: connBroken(caller, err), err: err}
 	case caller.Err() != nil:
 		return &Failure{Kind: kinds.DeadlineMissed, err: err}
 	default:
@@ -325,10 +327,10 @@
 	}
 }
 
-// broke reports whether the other side ended the connection on which the request was
-// sent. After that net/http tries another connection for some requests, which was stopped
-// or did not open.
-func broke(caller context.Context, err error) bool {
+// connBroken reports whether the server ended the connection on which the request was
+// sent. net/http then tries another connection for some requests; that attempt was
+// stopped, or the connection could not be opened.
+func connBroken(caller context.Context, err error) bool {
 	if caller.Err() != nil {
 		return errors.Is(context.Cause(caller), errNoPermit)
 	}
@@ -338,47 +340,46 @@
 		errors.As(err, &op) && op.Op == "dial"
 }
 
-// Failure is an attempt without a usable answer.
+// Failure is the error of an attempt without a usable answer.
 type Failure struct {
 	Kind       kinds.Kind
-	Sent       bool        // some byte of the request may have reached the server
-	Refused    bool        // the server said that it ran nothing
+	Sent       bool        // at least one byte of the request may have reached the server
+	Refused    bool        // the server said that it did not run the request
 	ConnClosed bool        // the server ended the connection before it answered
-	Header     http.Header // of the answer that said so
+	Header     http.Header // header of the answer that refused the request
 	err        error
 }
 
-// Error renders the kind and the cause.
+// Error returns the kind and the cause.
 func (f *Failure) Error() string { return f.Kind.String() + ": " + f.err.Error() }
 
 // Unwrap returns an error of the failure's kind.
 func (f *Failure) Unwrap() error { return kinds.Wrap(f.Kind, f.err, "relay") }
 
 var (
-	errRefused = errors.New("the server refused the request")
-	errOther   = errors.New("the answer belongs to another request")
-	errEndless = errors.New("the end of the answer could not be recognized")
+	errRefused      = errors.New("the server refused the request")
+	errWrongRequest = errors.New("the answer belongs to another request")
+	errNoEnd        = errors.New("the end of the answer could not be recognized")
 )
 
-// check refuses an answer that must not reach the caller.
+// check rejects an answer that must not reach the caller.
 //
-// A server that answers late, on a connection that has since been given to
-// another request, would hand one caller another's answer; servers that name
-// the request in the answer let us see it. An answer whose end is the end of
-// its connection looks the same whole and cut off, so it cannot be passed on as
-// whole.
-func (n *Headers) check(resp *http.Response, method string, id ident.Request) error {
-	got := resp.Header.Get(n.ID)
-	foreign := got != string(id) && (got != "" || n.EchoesID)
-	if n.Refused(resp.StatusCode, resp.Header) && (got == "" || !foreign) {
+// A server that answers late, on a connection that has since been reused for another
+// request, would deliver one caller's answer to another; the request id in the answer
+// reveals that, if the server sends it. An answer that ends with its connection looks the
+// same whether it is complete or cut off, so it must not be passed on as complete.
+func (h *Headers) check(resp *http.Response, method string, id ident.Request) error {
+	got := resp.Header.Get(h.ID)
+	foreign := got != string(id) && (got != "" || h.EchoesID)
+	if h.Refused(resp.StatusCode, resp.Header) && (got == "" || !foreign) {
 		return &Failure{Kind: refusedKind(resp.StatusCode), Sent: true, Refused: true, err: errRefused, Header: resp.Header}
 	}
 	if foreign {
-		return &Failure{Kind: kinds.Unknown, Sent: true, err: errOther}
+		return &Failure{Kind: kinds.Unknown, Sent: true, err: errWrongRequest}
 	}
 	unframed := resp.ContentLength < 0 && len(resp.TransferEncoding) == 0 && resp.Body != http.NoBody
-	if unframed && method != http.MethodHead && !n.CloseDelimited {
-		return &Failure{Kind: kinds.Unknown, Sent: true, err: errEndless}
+	if unframed && method != http.MethodHead && !h.CloseDelimited {
+		return &Failure{Kind: kinds.Unknown, Sent: true, err: errNoEnd}
 	}
 	return nil
 }
