--- a/internal/edge/pipe/conn.go
+++ b/internal/edge/pipe/conn.go
@@ -9,66 +9,67 @@
 	"time"
 )
 
-// Conn is a connection that is read ahead. net/http reads it like any other.
+// Conn is a connection that is read ahead. net/http reads from it like from any other.
 //
-// While requests come one by one, a Read goes to the network as it is. When something
-// arrives behind a request that is being answered, a duty takes over reading, and
-// net/http gets what it has read.
+// While requests come one at a time, Read reads directly from the network. When something
+// arrives behind a request that is being answered, a goroutine takes over reading from
+// the network, and net/http gets the bytes that it has read.
 type Conn struct {
 	net.Conn
 	reader *Reader
 
-	mu       sync.Mutex
-	scan     scan
-	in       []byte        // received, and not read by net/http yet
-	marks    []mark        // when the bytes of in came
-	came     time.Time     // when the request that net/http reads now came, if it had to wait
-	deadline time.Time     // of net/http's reads
-	news     chan struct{} // closed at the next change that a reader may wait for
-	active   bool          // a handler runs
-	leave    func()        // tells that handler that the caller went away
-	early    []byte        // what net/http's probe found before Begin
-	lookout                // of what is read ahead
-}
-
-// mark says that so many bytes came at a time.
-type mark struct {
+	mu           sync.Mutex
+	scanner      scanner
+	unread       []byte        // received, and not read by net/http yet
+	arrivals     []arrival     // when the bytes of unread arrived
+	arrivedAt    time.Time     // when the request that net/http reads now arrived, if it had to wait
+	deadline     time.Time     // deadline of net/http's reads
+	changed      chan struct{} // closed at the next change of the state
+	handling     bool          // a handler is running
+	onDisconnect func()        // tells that handler that the caller went away
+	probed       []byte        // bytes that net/http's probe read before Begin
+	readAhead                  // state of the reading ahead
+}
+
+// arrival says that n bytes arrived at a time.
+type arrival struct {
 	n  int
 	at time.Time
 }
 
-func newConn(c net.Conn, a *Reader) *Conn {
-	return &Conn{Conn: c, reader: a, news: make(chan struct{})}
+func newConn(c net.Conn, reader *Reader) *Conn {
+	return &Conn{Conn: c, reader: reader, changed: make(chan struct{})}
 }
 
-// Read is net/http's.
+// Read is called by net/http.
 func (c *Conn) Read(p []byte) (int, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	// While it answers a request that needs no more of its body, net/http reads a single
-	// byte to notice a caller that hangs up. No other read is so short there.
-	probe := len(p) == 1 && (c.scan.phase == between || c.active && c.scan.atStart())
-	c.await()
+	// While a request that needs no more of its body is being answered, net/http reads a
+	// single byte to notice a caller that disconnects. No other read at that point is so
+	// short.
+	probe := len(p) == 1 && (c.scanner.phase == afterHead || c.handling && c.scanner.atStart())
+	c.awaitData()
 	switch {
-	case len(c.in) > 0:
-		return c.held(p, probe), nil
-	case c.pumping:
+	case len(c.unread) > 0:
+		return c.readUnread(p, probe), nil
+	case c.reading:
 		return 0, os.ErrDeadlineExceeded
 	}
-	n, err := c.direct(p)
+	n, err := c.readDirect(p)
 	if probe && n == 1 {
-		c.probed(p[0])
+		c.handleProbe(p[0])
 		return n, err
 	}
-	pass := c.scan.pass(p[:n])
-	c.keep(p[pass:n])
-	return pass, err
+	passed := c.scanner.advance(p[:n])
+	c.appendUnread(p[passed:n])
+	return passed, err
 }
 
-// await waits for the duty that reads, as long as net/http's read may. The caller holds
-// mu, here and below.
-func (c *Conn) await() {
-	for len(c.in) == 0 && c.pumping {
+// awaitData waits for bytes from readLoop, at most until the deadline of net/http's read.
+// The caller holds mu, here and below.
+func (c *Conn) awaitData() {
+	for len(c.unread) == 0 && c.reading {
 		left := time.Duration(-1)
 		if !c.deadline.IsZero() {
 			if left = time.Until(c.deadline); left <= 0 {
@@ -79,94 +80,94 @@
 	}
 }
 
-// wait waits for a change, no longer than a time that is not negative.
-func (c *Conn) wait(most time.Duration) {
-	news := c.news
+// wait waits for a change, at most for the given time unless that is negative.
+func (c *Conn) wait(timeout time.Duration) {
+	changed := c.changed
 	c.mu.Unlock()
 	defer c.mu.Lock()
-	if most < 0 {
-		<-news
+	if timeout < 0 {
+		<-changed
 		return
 	}
-	timer := time.NewTimer(most)
+	timer := time.NewTimer(timeout)
 	defer timer.Stop()
 	select {
-	case <-news:
+	case <-changed:
 	case <-timer.C:
 	}
 }
 
-func (c *Conn) wake() {
-	close(c.news)
-	c.news = make(chan struct{})
+func (c *Conn) notify() {
+	close(c.changed)
+	c.changed = make(chan struct{})
 }
 
-// direct reads the network.
-func (c *Conn) direct(p []byte) (int, error) {
-	most := c.scan.most(len(p))
+// readDirect reads from the network.
+func (c *Conn) readDirect(p []byte) (int, error) {
+	limit := c.scanner.maxRead(len(p))
 	c.mu.Unlock()
 	defer c.mu.Lock()
-	return c.Conn.Read(p[:most])
+	return c.Conn.Read(p[:limit])
 }
 
-// held gives net/http what was received already, of one message only.
-func (c *Conn) held(p []byte, probe bool) int {
-	if c.scan.phase == inHead && c.came.IsZero() {
-		c.came = c.marks[0].at
+// readUnread copies bytes that were received before, of one message only.
+func (c *Conn) readUnread(p []byte, probe bool) int {
+	if c.scanner.phase == inHead && c.arrivedAt.IsZero() {
+		c.arrivedAt = c.arrivals[0].at
 	}
-	n := copy(p, c.in)
+	n := copy(p, c.unread)
 	if !probe {
-		n = c.scan.pass(p[:n])
+		n = c.scanner.advance(p[:n])
 	}
-	c.in = c.in[n:]
+	c.unread = c.unread[n:]
 	for left := n; left > 0; {
-		used := min(left, c.marks[0].n)
+		used := min(left, c.arrivals[0].n)
 		left -= used
-		if c.marks[0].n -= used; c.marks[0].n == 0 {
-			c.marks = c.marks[1:]
+		if c.arrivals[0].n -= used; c.arrivals[0].n == 0 {
+			c.arrivals = c.arrivals[1:]
 		}
 	}
 	if probe {
-		c.probed(p[0])
+		c.handleProbe(p[0])
 	}
-	c.wake()
+	c.notify()
 	return n
 }
 
-// keep adds what was received last.
-func (c *Conn) keep(b []byte) {
+// appendUnread appends bytes that were just received.
+func (c *Conn) appendUnread(b []byte) {
 	if len(b) == 0 {
 		return
 	}
-	c.in = append(c.in, b...)
-	c.marks = append(c.marks, mark{len(b), time.Now()})
+	c.unread = append(c.unread, b...)
+	c.arrivals = append(c.arrivals, arrival{len(b), time.Now()})
 }
 
-// probed takes in the first byte behind a request that is being answered. As long as the
-// handler was not given that request, it is not known whether it has a body or closes
-// the connection.
-func (c *Conn) probed(b byte) {
-	if c.scan.phase == between {
-		c.early = append(c.early, b)
+// handleProbe handles the first byte behind a request that is being answered. Until the
+// handler was given that request, it is not known whether it has a body or closes the
+// connection.
+func (c *Conn) handleProbe(b byte) {
+	if c.scanner.phase == afterHead {
+		c.probed = append(c.probed, b)
 		return
 	}
-	c.scan.pass([]byte{b})
-	c.look(b)
+	c.scanner.advance([]byte{b})
+	c.startReading(b)
 }
 
-// SetReadDeadline bounds net/http's reads, and not the duty's.
+// SetReadDeadline sets the deadline of net/http's reads; it does not affect readLoop.
 func (c *Conn) SetReadDeadline(t time.Time) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.deadline = t
-	if c.pumping {
-		c.wake()
+	if c.reading {
+		c.notify()
 		return nil
 	}
 	return c.Conn.SetReadDeadline(t)
 }
 
-// SetDeadline bounds reads and writes.
+// SetDeadline sets the deadline of reads and writes.
 func (c *Conn) SetDeadline(t time.Time) error {
 	if err := c.SetReadDeadline(t); err != nil {
 		return err
@@ -174,74 +175,75 @@
 	return c.SetWriteDeadline(t)
 }
 
-// Close closes the connection and cancels what was started for it.
+// Close closes the connection and cancels the requests that were started for it.
 func (c *Conn) Close() error {
 	c.mu.Lock()
-	c.abandon()
-	c.quit = true
-	c.wake()
+	c.cancelStarted()
+	c.stopping = true
+	c.notify()
 	c.mu.Unlock()
 	return c.Conn.Close()
 }
 
-// Begin is for the handler, as it is given a request. It returns what was started of it
-// already, nil if nothing was, and since when the request has waited to be read, zero if
-// it did not. Call End when the request has been answered.
+// Begin must be called by the handler when it is given a request. It returns the Run of
+// the request if it was started already, otherwise nil, and when the request arrived if
+// it had to wait to be read, otherwise the zero time. Call Done when the request has been
+// answered.
 func (c *Conn) Begin(r *http.Request) (*Run, time.Time) {
 	if c == nil {
 		return nil, time.Time{}
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.active = true
-	came := c.came
-	c.came = time.Time{}
-	c.scan.begin(r)
-	early := c.early
-	c.early = nil
-	run := c.pop(r)
+	c.handling = true
+	arrived := c.arrivedAt
+	c.arrivedAt = time.Time{}
+	c.scanner.begin(r)
+	probed := c.probed
+	c.probed = nil
+	run := c.takeStarted(r)
 	if run != nil {
-		came = run.at
+		arrived = run.arrivedAt
 	}
-	for _, b := range early {
-		c.scan.pass([]byte{b})
-		c.look(b)
+	for _, b := range probed {
+		c.scanner.advance([]byte{b})
+		c.startReading(b)
 	}
-	return run, came
+	return run, arrived
 }
 
-// OnDisconnect sets what tells the handler that its caller went away. net/http sees that by
-// itself until a further request arrives.
-func (c *Conn) OnDisconnect(leave context.CancelFunc) {
+// OnDisconnect sets a function to call when the caller goes away. net/http notices that
+// itself only until a further request arrives.
+func (c *Conn) OnDisconnect(onDisconnect context.CancelFunc) {
 	if c == nil {
 		return
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.leave = leave
-	if c.gone {
-		leave()
+	c.onDisconnect = onDisconnect
+	if c.disconnected {
+		onDisconnect()
 	}
 }
 
-// Done notes that the handler is done.
+// Done must be called when the handler has finished.
 func (c *Conn) Done() {
 	if c == nil {
 		return
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.active, c.leave = false, nil
-	c.rest()
+	c.handling, c.onDisconnect = false, nil
+	c.stopIfIdle()
 }
 
-// HasPending reports whether requests were started that wait for their turn: the connection
-// must stay open until they have been answered.
+// HasPending reports whether started requests wait for their turn. The connection must
+// stay open until they have been answered.
 func (c *Conn) HasPending() bool {
 	if c == nil {
 		return false
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return len(c.queue) > 0
+	return len(c.started) > 0
 }
--- a/internal/edge/pipe/head.go
+++ b/internal/edge/pipe/head.go
@@ -7,13 +7,14 @@
 	"strings"
 )
 
-// parse reads a head, its end included, if the request may be started ahead of its
-// turn: it asks for nothing to be changed, has no body, leaves the connection open, and
-// is so plain that net/http will read it in the same way. It returns nil for all others;
-// net/http then decides about them in their turn. A request that is started here and
-// refused there would have run although its caller is told that it was malformed.
-func parse(head []byte) *http.Request {
-	if !plain(head) {
+// parseHead parses a request head, including its end, if the request may be started
+// before its turn: it is a GET or HEAD without a body, leaves the connection open, and
+// has so simple a form that net/http is certain to parse it in the same way. It returns
+// nil for all others, which net/http handles in their turn. A request that was started
+// here and refused by net/http would have run although its caller is told that it was
+// malformed.
+func parseHead(head []byte) *http.Request {
+	if !isSimple(head) {
 		return nil
 	}
 	r, err := http.ReadRequest(bufio.NewReaderSize(bytes.NewReader(head), len(head)))
@@ -23,37 +24,37 @@
 	return r
 }
 
-// headers that change how a message or its connection is read.
-var special = map[string]bool{
+// framingHeaders are the headers that change how a message or its connection is read.
+var framingHeaders = map[string]bool{
 	"connection": true, "content-length": true, "transfer-encoding": true, "expect": true,
 	"upgrade": true, "trailer": true, "te": true, "http2-settings": true,
 }
 
-// plain reports whether a head is one of a lookup in the simplest form: printable
-// ASCII, lines that end as they should, one host.
-func plain(head []byte) bool {
+// isSimple reports whether a head is a GET or HEAD in the simplest form: printable ASCII,
+// lines that end with CRLF, one Host header.
+func isSimple(head []byte) bool {
 	lines := strings.Split(strings.TrimSuffix(string(head), endOfHead), "\r\n")
 	target, ok := strings.CutPrefix(lines[0], http.MethodGet+" ")
 	if !ok {
 		target, ok = strings.CutPrefix(lines[0], http.MethodHead+" ")
 	}
 	target, proto := strings.CutSuffix(target, " HTTP/1.1")
-	if !ok || !proto || !strings.HasPrefix(target, "/") || strings.ContainsAny(target, " #") || !printable(target) {
+	if !ok || !proto || !strings.HasPrefix(target, "/") || strings.ContainsAny(target, " #") || !isPrintable(target) {
 		return false
 	}
 	hosts := 0
 	for _, line := range lines[1:] {
 		name, value, found := strings.Cut(line, ":")
-		if !found || !token(name) || !printable(value) {
+		if !found || !isToken(name) || !isPrintable(value) {
 			return false
 		}
 		name = strings.ToLower(name)
-		if special[name] && (name != "connection" || !strings.EqualFold(strings.TrimSpace(value), "keep-alive")) {
+		if framingHeaders[name] && (name != "connection" || !strings.EqualFold(strings.TrimSpace(value), "keep-alive")) {
 			return false
 		}
 		if name == "host" {
 			hosts++
-			if !hostname(strings.TrimSpace(value)) {
+			if !isHostname(strings.TrimSpace(value)) {
 				return false
 			}
 		}
@@ -61,18 +62,18 @@
 	return hosts == 1
 }
 
-func printable(s string) bool {
+func isPrintable(s string) bool {
 	return strings.IndexFunc(s, func(c rune) bool { return c < ' ' || c > '~' }) < 0
 }
 
-func token(s string) bool {
-	return s != "" && strings.IndexFunc(s, func(c rune) bool { return !letter(c) && c != '-' && c != '_' }) < 0
+func isToken(s string) bool {
+	return s != "" && strings.IndexFunc(s, func(c rune) bool { return !isAlphanumeric(c) && c != '-' && c != '_' }) < 0
 }
 
-func hostname(s string) bool {
-	return s != "" && strings.IndexFunc(s, func(c rune) bool { return !letter(c) && !strings.ContainsRune(".-:", c) }) < 0
+func isHostname(s string) bool {
+	return s != "" && strings.IndexFunc(s, func(c rune) bool { return !isAlphanumeric(c) && !strings.ContainsRune(".-:", c) }) < 0
 }
 
-func letter(c rune) bool {
+func isAlphanumeric(c rune) bool {
 	return 'a' <= c && c <= 'z' || 'A' <= c && c <= 'Z' || '0' <= c && c <= '9'
 }
--- a/internal/edge/pipe/ahead_test.go
+++ b/internal/edge/pipe/pipe_test.go
@@ -21,28 +21,28 @@
 	"hawthornfield.org/hawthornfield/internal/fake/seeds"
 )
 
-// patient is far beyond what each step takes, for busy machines.
-const patient = 20 * time.Second
+// stepTimeout is far longer than any step takes, to allow for busy machines.
+const stepTimeout = 20 * time.Second
 
-// site is a server on the loopback whose connections are read ahead.
-type site struct {
-	t       testing.TB
-	reader  *Reader
-	web     *http.Server
-	l       net.Listener
-	group   group.Group
-	handler http.HandlerFunc
-	ahead   atomic.Int64 // requests that were started ahead
-	waits   sync.Map     // path -> time that a request lay unread, of those that were not
+// testServer is a server on the loopback interface whose connections are read ahead.
+type testServer struct {
+	t          testing.TB
+	reader     *Reader
+	httpServer *http.Server
+	l          net.Listener
+	group      group.Group
+	handler    http.HandlerFunc
+	started    atomic.Int64 // number of requests that were started before their turn
+	waits      sync.Map     // path -> time that a request waited to be read, for requests served in their turn
 }
 
-func serve(t testing.TB, ahead bool, handler http.HandlerFunc) *site {
-	s := &site{t: t, handler: handler, reader: &Reader{}}
+func newTestServer(t testing.TB, pipelined bool, handler http.HandlerFunc) *testServer {
+	s := &testServer{t: t, handler: handler, reader: &Reader{}}
 	s.reader.Serve = func(w http.ResponseWriter, r *http.Request, _ time.Time) (ok, broken bool) {
 		if r.Header.Get("Once") != "" {
 			return false, false
 		}
-		s.ahead.Add(1)
+		s.started.Add(1)
 		defer func() {
 			if v := recover(); v != nil {
 				ok, broken = true, true
@@ -51,7 +51,7 @@
 		handler(w, r)
 		return true, false
 	}
-	s.web = &http.Server{ConnContext: Context, Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	s.httpServer = &http.Server{ConnContext: Context, Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		c := From(r.Context())
 		run, came := c.Begin(r)
 		defer c.Done()
@@ -70,29 +70,29 @@
 	s.l, err = net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	in := s.l
-	if ahead {
+	if pipelined {
 		in = s.reader.Listen(s.l)
 	}
-	s.group.Go(func(context.Context) error { _ = s.web.Serve(in); return nil })
+	s.group.Go(func(context.Context) error { _ = s.httpServer.Serve(in); return nil })
 	t.Cleanup(func() {
-		_ = s.web.Close()
+		_ = s.httpServer.Close()
 		assert.NilError(t, s.reader.Close())
 		assert.NilError(t, s.group.Close())
-		assert.Equal(t, s.reader.pending.Load(), int64(0), "every one that was started is accounted for")
+		assert.Equal(t, s.reader.pending.Load(), int64(0), "started requests that were not delivered")
 	})
 	return s
 }
 
-func (s *site) dial() net.Conn {
+func (s *testServer) dial() net.Conn {
 	c, err := net.Dial("tcp", s.l.Addr().String())
 	assert.NilError(s.t, err)
 	s.t.Cleanup(func() { _ = c.Close() })
-	assert.NilError(s.t, c.SetDeadline(time.Now().Add(patient)))
+	assert.NilError(s.t, c.SetDeadline(time.Now().Add(stepTimeout)))
 	return c
 }
 
-// get renders lookups with names.
-func get(names ...string) string {
+// lookupText returns the text of one GET request for each name.
+func lookupText(names ...string) string {
 	var b strings.Builder
 	for _, n := range names {
 		fmt.Fprintf(&b, "GET /%s HTTP/1.1\r\nHost: a.example\r\n\r\n", n)
@@ -100,8 +100,8 @@
 	return b.String()
 }
 
-// answers reads so many answers and returns their bodies.
-func answers(t *testing.T, r *bufio.Reader, n int) []string {
+// readAnswers reads n answers and returns their bodies.
+func readAnswers(t *testing.T, r *bufio.Reader, n int) []string {
 	var all []string
 	for range n {
 		resp, err := http.ReadResponse(r, nil)
@@ -113,42 +113,42 @@
 	return all
 }
 
-// A caller sends four lookups at once. The first takes long. The others must be worked
-// on meanwhile, or each waits for all before it and reaches a backend server with no
-// time left; and the answers come in the order of asking, whichever was ready first.
+// A caller sends four lookups at once, and the first takes long. The others must be
+// processed meanwhile, or each reaches a backend server with no time left. The answers
+// must come in the order of the requests, whichever is ready first.
 func TestLookupsBehindASlowOneAreWorkedOn(t *testing.T) {
 	begun := make(chan string, 4)
-	free := make(chan struct{})
-	s := serve(t, true, func(w http.ResponseWriter, r *http.Request) {
+	release := make(chan struct{})
+	s := newTestServer(t, true, func(w http.ResponseWriter, r *http.Request) {
 		begun <- r.URL.Path
 		if r.URL.Path == "/a" {
-			<-free
+			<-release
 		}
 		_, _ = io.WriteString(w, r.URL.Path)
 	})
 	c := s.dial()
-	_, err := io.WriteString(c, get("a", "b")+get("c")[:9])
+	_, err := io.WriteString(c, lookupText("a", "b")+lookupText("c")[:9])
 	assert.NilError(t, err)
 	time.Sleep(20 * time.Millisecond)
-	_, err = io.WriteString(c, get("c")[9:]+get("d"))
+	_, err = io.WriteString(c, lookupText("c")[9:]+lookupText("d"))
 	assert.NilError(t, err)
 	for range 4 {
 		select {
 		case <-begun:
-		case <-time.After(patient):
-			t.Fatal("one waits for another")
+		case <-time.After(stepTimeout):
+			t.Fatal("a lookup waits for another one")
 		}
 	}
-	close(free)
-	assert.DeepEqual(t, answers(t, bufio.NewReader(c), 4), []string{"/a", "/b", "/c", "/d"})
+	close(release)
+	assert.DeepEqual(t, readAnswers(t, bufio.NewReader(c), 4), []string{"/a", "/b", "/c", "/d"})
 }
 
-// A submission was sent behind two lookups that take a tenth of a second. It waits for its
-// turn, and is given to a backend server with less time than its caller stated by as much:
-// handed on whole, the server would work on it after its caller has left.
-func TestTheTimeUnreadIsKnown(t *testing.T) {
+// A submission is sent behind two lookups that take 100 ms each. The time that it waited
+// to be read must be known, to be subtracted from the caller's deadline; otherwise the
+// server works on it after its caller has left.
+func TestTheTimeARequestWaitsUnreadIsKnown(t *testing.T) {
 	const slow = 100 * time.Millisecond
-	s := serve(t, true, func(w http.ResponseWriter, r *http.Request) {
+	s := newTestServer(t, true, func(w http.ResponseWriter, r *http.Request) {
 		if r.Method == http.MethodGet {
 			time.Sleep(slow)
 		}
@@ -157,23 +157,23 @@
 		_, _ = io.WriteString(w, r.URL.Path+string(b))
 	})
 	c := s.dial()
-	_, err := io.WriteString(c, get("a", "b")+"POST /c HTTP/1.1\r\nHost: a\r\nContent-Length: 3\r\n\r\nxyz"+get("d"))
+	_, err := io.WriteString(c, lookupText("a", "b")+"POST /c HTTP/1.1\r\nHost: a\r\nContent-Length: 3\r\n\r\nxyz"+lookupText("d"))
 	assert.NilError(t, err)
-	assert.DeepEqual(t, answers(t, bufio.NewReader(c), 4), []string{"/a", "/b", "/cxyz", "/d"})
+	assert.DeepEqual(t, readAnswers(t, bufio.NewReader(c), 4), []string{"/a", "/b", "/cxyz", "/d"})
 	wait, ok := s.waits.Load("/c")
 	assert.Assert(t, ok && wait.(time.Duration) >= slow*9/10, "%v", wait)
 }
 
-// A caller sends forty lookups at once, and none is answered yet. No more than a stated
-// number may be worked on, or one connection takes all of a VM's memory.
-func TestNoMoreThanAStatedNumberAhead(t *testing.T) {
-	var now, most atomic.Int64
-	s := serve(t, true, func(w http.ResponseWriter, r *http.Request) {
+// A caller sends 40 lookups at once, and none is answered yet. Without a limit on the
+// number that is processed, one connection could take all of a VM's memory.
+func TestTheNumberOfPipelinedRequestsIsLimited(t *testing.T) {
+	var now, peak atomic.Int64
+	s := newTestServer(t, true, func(w http.ResponseWriter, r *http.Request) {
 		n := now.Add(1)
 		defer now.Add(-1)
 		for {
-			m := most.Load()
-			if n <= m || most.CompareAndSwap(m, n) {
+			m := peak.Load()
+			if n <= m || peak.CompareAndSwap(m, n) {
 				break
 			}
 		}
@@ -186,24 +186,24 @@
 		names = append(names, fmt.Sprint(n))
 		want = append(want, "/"+fmt.Sprint(n))
 	}
-	_, err := io.WriteString(c, get(names...))
+	_, err := io.WriteString(c, lookupText(names...))
 	assert.NilError(t, err)
-	assert.DeepEqual(t, answers(t, bufio.NewReader(c), 40), want)
-	assert.Assert(t, most.Load() <= MaxPipelined+1, "%d at once", most.Load())
-	assert.Assert(t, most.Load() > 1)
+	assert.DeepEqual(t, readAnswers(t, bufio.NewReader(c), 40), want)
+	assert.Assert(t, peak.Load() <= MaxPipelined+1, "%d at once", peak.Load())
+	assert.Assert(t, peak.Load() > 1)
 }
 
-// A caller hangs up while several of its lookups are worked on. Nobody waits for any of
-// the answers, and backend servers must not go on working on them.
+// A caller disconnects while several of its lookups are processed. Backend servers must
+// not go on working on them.
 func TestACallerThatLeavesCancelsAll(t *testing.T) {
 	begun, ended := make(chan string, 3), make(chan string, 3)
-	s := serve(t, true, func(_ http.ResponseWriter, r *http.Request) {
+	s := newTestServer(t, true, func(_ http.ResponseWriter, r *http.Request) {
 		begun <- r.URL.Path
 		<-r.Context().Done()
 		ended <- r.URL.Path
 	})
 	c := s.dial()
-	_, err := io.WriteString(c, get("a", "b", "c"))
+	_, err := io.WriteString(c, lookupText("a", "b", "c"))
 	assert.NilError(t, err)
 	for range 3 {
 		<-begun
@@ -212,25 +212,25 @@
 	for range 3 {
 		select {
 		case <-ended:
-		case <-time.After(patient):
-			t.Fatal("one is still worked on")
+		case <-time.After(stepTimeout):
+			t.Fatal("a lookup was not canceled")
 		}
 	}
 }
 
-// A caller asks for its connection to be closed after the first answer, and has sent
-// another request behind it. That one counts as not read: it is sent again elsewhere,
-// and must not run here too.
+// A caller asks for its connection to be closed after the first answer, and has sent more
+// requests behind it. These count as not received: the caller sends them again elsewhere,
+// so they must not run here.
 func TestNothingRunsBehindAnAnswerThatClosesTheConnection(t *testing.T) {
 	var ran atomic.Int64
-	s := serve(t, true, func(w http.ResponseWriter, r *http.Request) {
+	s := newTestServer(t, true, func(w http.ResponseWriter, r *http.Request) {
 		ran.Add(1)
 		time.Sleep(20 * time.Millisecond)
 		_, _ = io.WriteString(w, r.URL.Path)
 	})
 	c := s.dial()
-	first := strings.Replace(get("a"), "Host:", "Connection: close\r\nHost:", 1)
-	_, err := io.WriteString(c, first+get("b", "c"))
+	first := strings.Replace(lookupText("a"), "Host:", "Connection: close\r\nHost:", 1)
+	_, err := io.WriteString(c, first+lookupText("b", "c"))
 	assert.NilError(t, err)
 	all, err := io.ReadAll(c)
 	assert.NilError(t, err)
@@ -238,10 +238,10 @@
 	assert.Equal(t, ran.Load(), int64(1))
 }
 
-// An answer breaks off in the middle. The connection ends there, so that it does not look
-// whole, and no other answer comes behind it as if it were the rest.
+// An answer breaks off in the middle. The connection must end there: the answer must not
+// look complete, and no other answer may follow as if it were the rest.
 func TestABrokenAnswerEndsTheConnection(t *testing.T) {
-	s := serve(t, true, func(w http.ResponseWriter, r *http.Request) {
+	s := newTestServer(t, true, func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("Content-Length", "6")
 		_, _ = io.WriteString(w, "abc")
 		if r.URL.Path == "/b" {
@@ -250,22 +250,22 @@
 		_, _ = io.WriteString(w, "def")
 	})
 	c := s.dial()
-	_, err := io.WriteString(c, get("a", "b", "c"))
+	_, err := io.WriteString(c, lookupText("a", "b", "c"))
 	assert.NilError(t, err)
 	in := bufio.NewReader(c)
-	assert.DeepEqual(t, answers(t, in, 1), []string{"abcdef"})
+	assert.DeepEqual(t, readAnswers(t, in, 1), []string{"abcdef"})
 	rest, _ := io.ReadAll(in)
 	assert.Assert(t, !bytes.Contains(rest, []byte("def")), "%s", rest)
 }
 
-// A long answer is asked for behind a slow one. It is not held whole: it waits, half
-// made, and arrives whole in its turn.
+// A long answer is requested behind a slow one. It must not be buffered whole, and must
+// arrive whole in its turn.
 func TestALongAnswerWaitsForItsTurn(t *testing.T) {
 	long := strings.Repeat("0123456789abcdef", 1<<16) // 1 MB
-	free := make(chan struct{})
-	s := serve(t, true, func(w http.ResponseWriter, r *http.Request) {
+	release := make(chan struct{})
+	s := newTestServer(t, true, func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/a" {
-			<-free
+			<-release
 			return
 		}
 		for n := 0; n < len(long); n += 1 << 14 {
@@ -275,67 +275,67 @@
 		}
 	})
 	c := s.dial()
-	_, err := io.WriteString(c, get("a", "b", "c"))
+	_, err := io.WriteString(c, lookupText("a", "b", "c"))
 	assert.NilError(t, err)
 	time.Sleep(50 * time.Millisecond)
-	close(free)
-	all := answers(t, bufio.NewReader(c), 3)
+	close(release)
+	all := readAnswers(t, bufio.NewReader(c), 3)
 	assert.Assert(t, all[0] == "" && all[1] == long && all[2] == long)
 }
 
-// The VM is told to stop while lookups wait behind a slow one. Those that were sent to a
-// backend server must be answered; what the caller sends from then on is not begun.
+// The VM shuts down while lookups wait behind a slow one. Those that were started must be
+// answered; requests sent later must not be started.
 func TestAShutdownLosesNothingThatWasStarted(t *testing.T) {
 	var closing atomic.Bool
-	free := make(chan struct{})
+	release := make(chan struct{})
 	begun := make(chan string, 8)
-	s := serve(t, true, func(w http.ResponseWriter, r *http.Request) {
+	s := newTestServer(t, true, func(w http.ResponseWriter, r *http.Request) {
 		begun <- r.URL.Path
-		<-free
+		<-release
 		_, _ = io.WriteString(w, r.URL.Path)
 	})
 	s.reader.Allow = func() bool { return !closing.Load() }
 	c := s.dial()
-	_, err := io.WriteString(c, get("a", "b", "c"))
+	_, err := io.WriteString(c, lookupText("a", "b", "c"))
 	assert.NilError(t, err)
 	for range 3 {
 		<-begun
 	}
 	closing.Store(true)
-	_, err = io.WriteString(c, get("d"))
+	_, err = io.WriteString(c, lookupText("d"))
 	assert.NilError(t, err)
 	time.Sleep(20 * time.Millisecond)
 	var g group.Group
 	g.Go(func(ctx context.Context) error {
 		s.reader.Drain(ctx)
-		return s.web.Shutdown(ctx)
+		return s.httpServer.Shutdown(ctx)
 	})
 	time.Sleep(20 * time.Millisecond)
-	close(free)
-	assert.DeepEqual(t, answers(t, bufio.NewReader(c), 3), []string{"/a", "/b", "/c"})
+	close(release)
+	assert.DeepEqual(t, readAnswers(t, bufio.NewReader(c), 3), []string{"/a", "/b", "/c"})
 	assert.NilError(t, g.Wait())
-	assert.Assert(t, len(begun) <= 1, "one more at most, in its turn")
+	assert.Assert(t, len(begun) <= 1, "at most one more request, served in its turn")
 }
 
-// A caller ends the lines of one head with line feeds alone. net/http sees its end, and
-// whoever looks for the usual end takes the next head for a part of it, and starts a
-// request behind one that net/http refuses.
-func TestAnotherEndOfLineIsNotReadPast(t *testing.T) {
+// A caller ends the lines of one head with line feeds alone, which net/http accepts. A
+// scanner that looks for CRLF would take the next head for a part of that one, and start
+// a request behind one that net/http refuses.
+func TestALineFeedAloneStopsReadingAhead(t *testing.T) {
 	var ran atomic.Int64
-	s := serve(t, true, func(http.ResponseWriter, *http.Request) {
+	s := newTestServer(t, true, func(http.ResponseWriter, *http.Request) {
 		ran.Add(1)
 		time.Sleep(20 * time.Millisecond)
 	})
 	c := s.dial()
-	_, err := io.WriteString(c, "GET /a HTTP/1.1\nHost: a\n\nGET /b\r\n\r\n"+get("c"))
+	_, err := io.WriteString(c, "GET /a HTTP/1.1\nHost: a\n\nGET /b\r\n\r\n"+lookupText("c"))
 	assert.NilError(t, err)
-	all, _ := io.ReadAll(c) // a reset behind the refusal is no matter
+	all, _ := io.ReadAll(c) // a connection reset after the refusal is expected
 	assert.Assert(t, strings.Contains(string(all), "400 Bad Request"), "%s", all)
 	assert.Equal(t, ran.Load(), int64(1))
 }
 
-// message is one request of a caller, in one of the forms that occur.
-func message(t *rapid.T, n int) string {
+// drawRequest draws the text of one request, in one of the forms that occur in practice.
+func drawRequest(t *rapid.T, n int) string {
 	name := fmt.Sprintf("/%d", n)
 	body := rapid.StringMatching("[a-zA-Z\r\n]{0,40}").Draw(t, "body")
 	switch rapid.IntRange(0, 9).Draw(t, "form") {
@@ -361,30 +361,31 @@
 	}
 }
 
-// exchange sends pieces and returns everything that comes back.
-func exchange(t *rapid.T, s *site, pieces []string) string {
+// sendAndReadAll sends the pieces and returns everything that comes back.
+func sendAndReadAll(t *rapid.T, s *testServer, pieces []string) string {
 	c, err := net.Dial("tcp", s.l.Addr().String())
 	assert.NilError(t, err)
 	defer c.Close()
-	assert.NilError(t, c.SetDeadline(time.Now().Add(patient)))
+	assert.NilError(t, c.SetDeadline(time.Now().Add(stepTimeout)))
 	var g group.Group
 	g.Go(func(context.Context) error {
 		for _, p := range pieces {
 			if _, err := io.WriteString(c, p); err != nil {
-				return nil // the server closed the connection: what came back counts
+				return nil // the server closed the connection; what it sent still counts
 			}
 			time.Sleep(time.Millisecond)
 		}
 		return nil
 	})
-	// The last request asks for the end, so everything has been answered when it comes.
-	all, _ := io.ReadAll(c) // a reset after the last answer is no matter
+	// The last request asks to close the connection, so all requests are answered at the
+	// end.
+	all, _ := io.ReadAll(c) // a connection reset after the last answer is expected
 	assert.NilError(t, g.Wait())
 	return string(all)
 }
 
-// Whatever callers send, however it is cut into packets, they get what net/http alone
-// would answer, in the same order, and each request is handled once.
+// Whatever callers send, and however it is split into packets, they must get the answers
+// of net/http alone, in the same order, and each request must be handled once.
 func TestAnswersAreThoseOfNetHTTP(t *testing.T) {
 	var mu sync.Mutex
 	ran := map[string]int{}
@@ -396,12 +397,12 @@
 		w.Header().Set("Date", "now")
 		fmt.Fprintf(w, "%s %s %q %v", r.Method, r.URL.Path, b, err)
 	}
-	plain, ahead := serve(t, false, handler), serve(t, true, handler)
+	plain, pipelined := newTestServer(t, false, handler), newTestServer(t, true, handler)
 	seeds.Check(t, func(t *rapid.T) {
 		clear(ran)
 		var text string
 		for n := range rapid.IntRange(1, 8).Draw(t, "requests") {
-			text += message(t, n)
+			text += drawRequest(t, n)
 		}
 		text += "GET /end HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n"
 		var pieces []string
@@ -409,10 +410,10 @@
 			n := rapid.IntRange(1, len(rest)).Draw(t, "cut")
 			pieces, rest = append(pieces, rest[:n]), rest[n:]
 		}
-		want := exchange(t, plain, pieces)
+		want := sendAndReadAll(t, plain, pieces)
 		first := len(ran)
-		got := exchange(t, ahead, pieces)
-		// A connection that is reset may lose the end of an answer that says why.
+		got := sendAndReadAll(t, pipelined, pieces)
+		// A connection reset may lose the end of an error answer.
 		if !strings.Contains(want, "400 Bad Request") {
 			assert.Equal(t, got, want)
 		}
@@ -425,20 +426,20 @@
 	})
 }
 
-// BenchmarkOneByOne is a caller that sends one request after the other, as nearly all do.
-// Reading ahead may cost it nothing that shows beside the request itself.
+// BenchmarkOneByOne measures a caller that sends its requests one at a time, as nearly
+// all do. Reading ahead must add no noticeable cost to such a request.
 func BenchmarkOneByOne(b *testing.B) {
 	for _, mode := range []struct {
 		name  string
 		ahead bool
 	}{{"plain", false}, {"ahead", true}} {
 		b.Run(mode.name, func(b *testing.B) {
-			s := serve(b, mode.ahead, func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "ok") })
+			s := newTestServer(b, mode.ahead, func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "ok") })
 			c, err := net.Dial("tcp", s.l.Addr().String())
 			assert.NilError(b, err)
 			defer c.Close()
 			in := bufio.NewReader(c)
-			text := []byte(get("a"))
+			text := []byte(lookupText("a"))
 			b.ReportAllocs()
 			for b.Loop() {
 				_, err := c.Write(text)
--- a/internal/edge/pipe/run.go
+++ b/internal/edge/pipe/run.go
@@ -7,146 +7,149 @@
 	"time"
 )
 
-// Run is one request that was started ahead of its turn, and the answer as far as it is
-// there. As an http.ResponseWriter it holds the answer until the request's turn, and
-// passes on what comes after that.
+// Run is a request that was started before its turn, with its answer. As an
+// http.ResponseWriter it buffers the answer until the request's turn, and then writes
+// directly to the caller.
 type Run struct {
-	reader *Reader
-	r      *http.Request
-	at     time.Time
-	ctx    context.Context
+	reader    *Reader
+	req       *http.Request
+	arrivedAt time.Time
+	ctx       context.Context
 
-	mu     sync.Mutex
-	header http.Header
-	status int
-	body   []byte
-	to     http.ResponseWriter // the caller's, from the request's turn on
-	headed bool                // the status went to it
+	mu            sync.Mutex
+	header        http.Header
+	status        int
+	body          []byte
+	out           http.ResponseWriter // the caller's, set when the request's turn has come
+	headerWritten bool                // the status was written to out
 
-	turn   chan struct{} // closed when to is set
-	done   chan struct{} // closed when the answer is complete, or nobody will make one
-	served bool          // valid after done: false lets the handler serve the request
+	turn   chan struct{} // closed when out is set
+	done   chan struct{} // closed when the answer is complete, or Serve declined the request
+	served bool          // valid after done: false if the handler must serve the request
 	broken bool          // valid after done: the answer broke off
 }
 
-func newRun(a *Reader, r *http.Request, at time.Time) *Run {
+func newRun(reader *Reader, r *http.Request, at time.Time) *Run {
 	return &Run{
-		reader: a, r: r, at: at, ctx: r.Context(), header: http.Header{},
+		reader: reader, req: r, arrivedAt: at, ctx: r.Context(), header: http.Header{},
 		turn: make(chan struct{}), done: make(chan struct{}),
 	}
 }
 
-// serve makes the answer.
-func (a *Run) serve() {
-	defer close(a.done)
-	a.served, a.broken = a.reader.Serve(a, a.r, a.at)
+// serve produces the answer.
+func (r *Run) serve() {
+	defer close(r.done)
+	r.served, r.broken = r.reader.Serve(r, r.req, r.arrivedAt)
 }
 
 // Header returns the answer's header.
-func (a *Run) Header() http.Header { return a.header }
+func (r *Run) Header() http.Header { return r.header }
 
 // WriteHeader sets the status.
-func (a *Run) WriteHeader(code int) {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	if a.status == 0 {
-		a.status = code
+func (r *Run) WriteHeader(code int) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if r.status == 0 {
+		r.status = code
 	}
-	if a.to != nil {
-		a.head()
+	if r.out != nil {
+		r.writeHeader()
 	}
 }
 
-// Write adds to the body. Beyond what is held it waits for the request's turn.
-func (a *Run) Write(b []byte) (int, error) {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	if a.status == 0 {
-		a.status = http.StatusOK
+// Write appends to the body. When the buffer is full it waits for the request's turn.
+func (r *Run) Write(b []byte) (int, error) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if r.status == 0 {
+		r.status = http.StatusOK
 	}
-	if a.to == nil && len(a.body)+len(b) <= mostHeld {
-		a.body = append(a.body, b...)
+	if r.out == nil && len(r.body)+len(b) <= maxBuffered {
+		r.body = append(r.body, b...)
 		return len(b), nil
 	}
-	if a.to == nil {
-		a.mu.Unlock()
+	if r.out == nil {
+		r.mu.Unlock()
 		select {
-		case <-a.turn:
-		case <-a.ctx.Done():
+		case <-r.turn:
+		case <-r.ctx.Done():
 		}
-		a.mu.Lock()
-		if a.to == nil {
-			return 0, context.Cause(a.ctx)
+		r.mu.Lock()
+		if r.out == nil {
+			return 0, context.Cause(r.ctx)
 		}
 	}
-	if err := a.flush(); err != nil {
+	if err := r.writeBuffered(); err != nil {
 		return 0, err
 	}
-	return a.to.Write(b)
+	return r.out.Write(b)
 }
 
-// Flush passes on what is held, if it is the request's turn.
-func (a *Run) Flush() {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	if a.to != nil && a.flush() == nil {
-		_ = http.NewResponseController(a.to).Flush() // a writer that cannot flush holds nothing back
+// Flush sends the buffered answer if the request's turn has come.
+func (r *Run) Flush() {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if r.out != nil && r.writeBuffered() == nil {
+		_ = http.NewResponseController(r.out).Flush() // a writer that cannot flush does not buffer
 	}
 }
 
-// Unwrap lets http.ResponseController reach the caller's connection in its turn.
-func (a *Run) Unwrap() http.ResponseWriter {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	return a.to
+// Unwrap lets http.ResponseController reach the caller's connection once the request's
+// turn has come.
+func (r *Run) Unwrap() http.ResponseWriter {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.out
 }
 
-// head passes the status and the headers on. The caller holds mu, here and below.
-func (a *Run) head() {
-	if a.headed || a.status == 0 {
+// writeHeader writes the status and the headers to the caller. The caller holds mu, here
+// and below.
+func (r *Run) writeHeader() {
+	if r.headerWritten || r.status == 0 {
 		return
 	}
-	a.headed = true
-	h := a.to.Header()
-	for name, values := range a.header {
+	r.headerWritten = true
+	h := r.out.Header()
+	for name, values := range r.header {
 		h[name] = values
 	}
-	a.to.WriteHeader(a.status)
+	r.out.WriteHeader(r.status)
 }
 
-func (a *Run) flush() error {
-	a.head()
-	if len(a.body) == 0 {
+// writeBuffered writes the headers and the buffered part of the body to the caller.
+func (r *Run) writeBuffered() error {
+	r.writeHeader()
+	if len(r.body) == 0 {
 		return nil
 	}
-	b := a.body
-	a.body = nil
-	_, err := a.to.Write(b)
+	b := r.body
+	r.body = nil
+	_, err := r.out.Write(b)
 	return err
 }
 
-// Deliver passes the answer on, as it is made. It returns false when nobody made one
-// and the handler is to serve the request itself. An answer that broke off breaks the
-// caller's connection off too, by panicking with http.ErrAbortHandler.
-func (a *Run) Deliver(w http.ResponseWriter) bool {
-	defer a.reader.pending.Add(-1)
-	a.mu.Lock()
-	a.to = w
-	a.mu.Unlock()
-	close(a.turn)
-	<-a.done
-	if !a.served {
+// Deliver writes the answer to the caller as it is produced. It returns false if Serve
+// declined the request and the handler must serve it. If the answer broke off, it breaks
+// the caller's connection by panicking with http.ErrAbortHandler.
+func (r *Run) Deliver(w http.ResponseWriter) bool {
+	defer r.reader.pending.Add(-1)
+	r.mu.Lock()
+	r.out = w
+	r.mu.Unlock()
+	close(r.turn)
+	<-r.done
+	if !r.served {
 		return false
 	}
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	if a.headed {
-		// What the answer's end added are trailers, which net/http takes from here.
-		for name, values := range a.header {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if r.headerWritten {
+		// Headers added after the status are trailers, which net/http takes from here.
+		for name, values := range r.header {
 			w.Header()[name] = values
 		}
 	}
-	if err := a.flush(); err != nil || a.broken {
+	if err := r.writeBuffered(); err != nil || r.broken {
 		panic(http.ErrAbortHandler)
 	}
 	return true
