--- a/internal/edge/front/owner_attempt.go
+++ b/internal/edge/front/owner_attempt.go
@@ -123,7 +123,7 @@
 	if _, exists := f.ownerAttempts.LoadOrStore(svc.Name, attempts); exists {
 		return
 	}
-	svc.Gate.SetOwnerLookup(svc.Place)
+	svc.Gate.SetOwnerLookup(svc.GateOwner)
 	f.group.Go(func(ctx context.Context) error { return f.followOwners(ctx, svc, attempts) })
 }
 
--- a/internal/edge/state/state.go
+++ b/internal/edge/state/state.go
@@ -1,10 +1,10 @@
-// Package state holds what the request path reads for every request, as
-// snapshots behind atomic pointers: the rules in force, the owner of each key,
-// and where each backend server listens.
+// Package state holds what the request path reads for every request, as snapshots behind
+// atomic pointers: the rules in force, the owner of each key, and the address of each
+// backend server.
 //
-// Whoever learns something new (a watch, a peer, a holder of authority) puts a
-// whole new snapshot in place. A request never waits for such a change and
-// never sees half of it.
+// Whoever learns of a change (a watch of the object store, another VM, a lease manager)
+// replaces the whole snapshot. A request never waits for such a change and never sees
+// part of it.
 package state
 
 import (
@@ -20,13 +20,13 @@
 	"hawthornfield.org/hawthornfield/internal/rules/revs"
 )
 
-// State is one entry VM's view of the system. Make one with New.
+// State is one entry VM's view of the system. Create one with New.
 type State struct {
 	Rules    revs.Holder
 	services atomic.Pointer[map[ident.Service]*Service]
 }
 
-// New makes the state for the services of the settings.
+// New returns the state for the services of the settings.
 func New(list []config.Service) *State {
 	s := &State{}
 	all := make(map[ident.Service]*Service, len(list))
@@ -37,9 +37,9 @@
 	return s
 }
 
-// Put adds a service that became known while running, with its gate, and returns it; a
-// service of that name that is there already stays. The gate comes with it because a
-// service is used by others from the moment at which it is listed.
+// Put adds a service with its gate while the VM runs, and returns it. If a service with
+// that name exists already, that one is kept and returned. The gate is set at the same
+// time because a service is used by others as soon as it is listed.
 func (s *State) Put(cfg config.Service, g *gate.Gate) *Service {
 	for {
 		old := s.services.Load()
@@ -56,29 +56,29 @@
 	}
 }
 
-// Service finds a service by its name.
+// Service returns the service with the given name.
 func (s *State) Service(name ident.Service) (*Service, bool) {
 	svc, ok := (*s.services.Load())[name]
 	return svc, ok
 }
 
-// Services lists all services. Treat the map as read-only.
+// Services returns all services. Treat the map as read-only.
 func (s *State) Services() map[ident.Service]*Service { return *s.services.Load() }
 
-// Service is one group of backend servers, as the request path sees it.
+// Service is one group of backend servers, as seen by the request path.
 type Service struct {
 	config.Service
 	Gate *gate.Gate
 	Owners
 
-	divided atomic.Bool
-	addrs   atomic.Pointer[map[ident.Server]netip.AddrPort]
-	silent  sync.Map // ident.Server -> struct{}
-	calls   sync.Map // ident.Server -> *calls
+	divided      atomic.Bool
+	addrs        atomic.Pointer[map[ident.Server]netip.AddrPort]
+	unresponsive sync.Map // ident.Server -> struct{}
+	attempts     sync.Map // ident.Server -> *attempts
 }
 
-// calls counts attempts at one server since the last look.
-type calls struct{ good, bad atomic.Int64 }
+// attempts counts the attempts at one server since the last TakeAttempts.
+type attempts struct{ good, bad atomic.Int64 }
 
 func newService(cfg config.Service) *Service {
 	s := &Service{Service: cfg}
@@ -86,111 +86,112 @@
 	addrs := make(map[ident.Server]netip.AddrPort, len(cfg.Servers))
 	for _, srv := range cfg.Servers {
 		addrs[srv.Name] = srv.Data
-		s.calls.Store(srv.Name, &calls{})
+		s.attempts.Store(srv.Name, &attempts{})
 	}
 	s.addrs.Store(&addrs)
 	return s
 }
 
-// Divided reports whether the service is divided by key now. It takes the place of the
-// field of the settings, which says how the service began: rules that are put in force
-// later may divide it, or no longer.
+// Divided reports whether the service is currently divided by key. It replaces the field
+// of the settings, which is only the initial value: rules that come into force later may
+// change it.
 func (s *Service) Divided() bool { return s.divided.Load() }
 
-// SetDivided notes whether the service is divided by key.
+// SetDivided sets whether the service is divided by key.
 func (s *Service) SetDivided(on bool) { s.divided.Store(on) }
 
-// Addr returns where a backend server takes requests.
+// Addr returns the address at which a backend server accepts requests.
 func (s *Service) Addr(name ident.Server) (netip.AddrPort, bool) {
 	a, ok := (*s.addrs.Load())[name]
 	return a, ok
 }
 
-// SetAddr changes where a backend server takes requests.
+// SetAddr changes the address at which a backend server accepts requests.
 func (s *Service) SetAddr(name ident.Server, at netip.AddrPort) {
 	addrs := maps.Clone(*s.addrs.Load())
 	addrs[name] = at
 	s.addrs.Store(&addrs)
 }
 
-// SetAddrs replaces the addresses of all backend servers, for a service whose
-// servers come and go.
+// SetAddrs replaces the addresses of all backend servers, for a service whose set of
+// servers changes.
 func (s *Service) SetAddrs(addrs map[ident.Server]netip.AddrPort) {
 	for name := range addrs {
-		s.calls.LoadOrStore(name, &calls{})
+		s.attempts.LoadOrStore(name, &attempts{})
 	}
-	s.calls.Range(func(name, _ any) bool {
+	s.attempts.Range(func(name, _ any) bool {
 		if _, listed := addrs[name.(ident.Server)]; !listed {
-			s.calls.Delete(name)
+			s.attempts.Delete(name)
 		}
 		return true
 	})
 	s.addrs.Store(&addrs)
 }
 
-// Unresponsive reports whether a backend server has not answered for a while.
+// Unresponsive reports whether a backend server has not answered for some time.
 func (s *Service) Unresponsive(name ident.Server) bool {
-	_, silent := s.silent.Load(name)
-	return silent
+	_, unresponsive := s.unresponsive.Load(name)
+	return unresponsive
 }
 
-// SetUnresponsive notes whether a backend server answers.
-func (s *Service) SetUnresponsive(name ident.Server, silent bool) {
-	if silent {
-		s.silent.Store(name, struct{}{})
+// SetUnresponsive sets whether a backend server is unresponsive.
+func (s *Service) SetUnresponsive(name ident.Server, unresponsive bool) {
+	if unresponsive {
+		s.unresponsive.Store(name, struct{}{})
 		return
 	}
-	s.silent.Delete(name)
+	s.unresponsive.Delete(name)
 }
 
-// RecordAttempt notes one attempt at a server: whether any answer came, be it a
-// refusal or an error. It is a witness of the server's state.
+// RecordAttempt counts one attempt at a server, and whether any answer came, including a
+// refusal or an error. The counts are evidence of the server's health.
 func (s *Service) RecordAttempt(name ident.Server, answered bool) {
-	c, known := s.calls.Load(name)
+	c, known := s.attempts.Load(name)
 	switch {
 	case !known:
 	case answered:
-		c.(*calls).good.Add(1)
+		c.(*attempts).good.Add(1)
 	default:
-		c.(*calls).bad.Add(1)
+		c.(*attempts).bad.Add(1)
 	}
 }
 
-// TakeAttempts returns the attempts noted since the last time.
+// TakeAttempts returns the attempts counted since the last call: good ones were answered,
+// bad ones were not.
 func (s *Service) TakeAttempts(name ident.Server) (good, bad int) {
-	c, known := s.calls.Load(name)
+	c, known := s.attempts.Load(name)
 	if !known {
 		return 0, 0
 	}
-	return int(c.(*calls).good.Swap(0)), int(c.(*calls).bad.Swap(0))
+	return int(c.(*attempts).good.Swap(0)), int(c.(*attempts).bad.Swap(0))
 }
 
-// Owners says which backend server owns which key, and tells who waits for a
-// change. The zero value knows no owner.
+// Owners maps keys to the backend servers that own them, and notifies of changes. The
+// zero value knows no owner.
 type Owners struct {
-	view   atomic.Pointer[table.View]
-	finder atomic.Pointer[Finder]                   // takes the place of view when set
-	stands atomic.Pointer[map[ident.Server]Standby] // nil: no server stands by
+	view     atomic.Pointer[table.View]
+	finder   atomic.Pointer[Finder]                   // replaces view when set
+	standbys atomic.Pointer[map[ident.Server]Standby] // lost server -> its standby; nil if there is none
 
 	mu      sync.Mutex
 	changed chan struct{}
 }
 
-// Finder finds the owner of a key. It must be quick and safe for concurrent use.
+// Finder finds the owner of a key. It must be fast and safe for concurrent use.
 type Finder interface {
 	Owner(k ident.Key) (table.Owner, bool)
 }
 
-// SetFinder makes another look-up than the table of slices answer for owners, and
-// wakes those who wait for a change.
+// SetFinder replaces the table of slices by another lookup of owners, and wakes those who
+// wait for a change.
 func (o *Owners) SetFinder(f Finder) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.finder.Store(&f)
-	o.wake()
+	o.notify()
 }
 
-// Finder returns the look-up that was set, nil before the first.
+// Finder returns the lookup that was set, nil if there is none.
 func (o *Owners) Finder() Finder {
 	if f := o.finder.Load(); f != nil {
 		return *f
@@ -198,26 +199,27 @@
 	return nil
 }
 
-// Standby says that another server has a lost one's keys, as its seat told under
-// an epoch; N orders what was told under one.
+// Standby names the server that serves the keys of a lost server, as announced under an
+// epoch by the lease manager of the lost server. Seq orders the announcements of one
+// epoch.
 type Standby struct {
 	Epoch ident.Epoch
 	Seq   uint16
-	To    ident.Server // empty: none has
+	To    ident.Server // empty if no server stands by
 }
 
-// newer reports whether s was told after t.
+// newer reports whether s was announced after t.
 func (s Standby) newer(t Standby) bool {
 	return s.Epoch > t.Epoch || s.Epoch == t.Epoch && s.Seq > t.Seq
 }
 
-// SetStandby notes who stands by for a server, and wakes those who wait for a
-// change. It holds until the seat says otherwise, or the table names a later
-// epoch of it: then somebody else answers for its keys.
+// SetStandby sets the standby of a lost server, and wakes those who wait for a change. It
+// holds until a newer announcement replaces it, or the table names a later epoch for the
+// lost server's keys, which then have another owner.
 func (o *Owners) SetStandby(lost ident.Server, s Standby) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	old := o.stands.Load()
+	old := o.standbys.Load()
 	if old != nil && !s.newer((*old)[lost]) {
 		return
 	}
@@ -226,23 +228,23 @@
 		next = maps.Clone(*old)
 		next[lost] = s
 	}
-	o.stands.Store(&next)
-	o.wake()
+	o.standbys.Store(&next)
+	o.notify()
 }
 
-// wake tells those who wait for a change. The caller holds mu.
-func (o *Owners) wake() {
+// notify wakes those who wait for a change. The caller holds mu.
+func (o *Owners) notify() {
 	if o.changed != nil {
 		close(o.changed)
 		o.changed = nil
 	}
 }
 
-// View returns the present table, nil before the first.
+// View returns the current table, nil before the first.
 func (o *Owners) View() *table.View { return o.view.Load() }
 
-// Owner finds who serves a key: its owner by the table, or the server that
-// stands by for it.
+// Owner returns the server that serves a key: its owner by the table, or the standby of
+// that owner.
 func (o *Owners) Owner(k ident.Key) (table.Owner, bool) {
 	if f := o.finder.Load(); f != nil {
 		return (*f).Owner(k)
@@ -252,22 +254,22 @@
 		return table.Owner{}, false
 	}
 	owner, ok := v.Owner(k)
-	if stands := o.stands.Load(); stands != nil {
-		if s := (*stands)[owner.Server]; s.To != "" && s.Epoch == owner.Epoch {
+	if standbys := o.standbys.Load(); standbys != nil {
+		if s := (*standbys)[owner.Server]; s.To != "" && s.Epoch == owner.Epoch {
 			owner.Server = s.To
 		}
 	}
 	return owner, ok
 }
 
-// Place is where a key is served, as the gate asks for it.
-func (o *Owners) Place(k ident.Key) (gate.Owner, bool) {
+// GateOwner returns the server that serves a key, in the form that the gate needs.
+func (o *Owners) GateOwner(k ident.Key) (gate.Owner, bool) {
 	owner, ok := o.Owner(k)
 	return gate.Owner{Server: owner.Server, Slice: owner.Slice, Epoch: owner.Epoch}, ok
 }
 
-// SetView puts a newer table in place and wakes those who wait for a change.
-// An older one than the present is refused.
+// SetView replaces the table by a newer one and wakes those who wait for a change. It
+// returns false, and changes nothing, if the table is not newer than the current one.
 func (o *Owners) SetView(v *table.View) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -275,12 +277,12 @@
 		return false
 	}
 	o.view.Store(v)
-	o.wake()
+	o.notify()
 	return true
 }
 
-// Changed returns a channel that closes at the next change. Ask for it before
-// looking, or a change in between is missed.
+// Changed returns a channel that is closed at the next change. Get the channel before
+// reading the state, or a change in between is missed.
 func (o *Owners) Changed() <-chan struct{} {
 	o.mu.Lock()
 	defer o.mu.Unlock()
