--- a/internal/edge/meter/meter.go
+++ b/internal/edge/meter/meter.go
@@ -1,5 +1,6 @@
-// Package meter counts what callers received and what the parts of an entry VM
-// do, by tally, and serves the figures to Prometheus over HTTP.
+// Package meter counts the answers that callers received, and holds the metrics of the
+// other parts of an entry VM. It uses tally and exposes the metrics to Prometheus over
+// HTTP.
 package meter
 
 import (
@@ -16,13 +17,14 @@
 	"hawthornfield.org/hawthornfield/internal/core/ident"
 )
 
-// reportEvery is how often tally hands its figures to the reporter.
-const reportEvery = time.Second
+// reportInterval is how often tally passes its values to the reporter.
+const reportInterval = time.Second
 
-// buckets of the time from a request's arrival to the end of its answer.
+// buckets are the histogram buckets of durations, up to that of a whole request from its
+// arrival to the end of its answer: 16 buckets from 500 µs up, each twice the one before.
 var buckets = tally.MustMakeExponentialDurationBuckets(500*time.Microsecond, 2, 16)
 
-// Meter holds the metrics of one VM. Make one with New.
+// Meter holds the metrics of one VM. Create one with New.
 type Meter struct {
 	tally.Scope
 	closer   io.Closer
@@ -36,17 +38,17 @@
 	kind    string
 }
 
-// answer holds the metrics of one service and kind, made once: looking a tagged
-// scope up for every request would cost more than the routing decision.
-type answer struct {
-	count tally.Counter
-	took  tally.Histogram
-	wait  tally.Histogram // in this VM's queues
-	first tally.Histogram // way and server
-	far   tally.Counter   // bytes of bodies that crossed between data centres
+// answerMetrics holds the metrics of one service and kind. They are created once: looking
+// up a tagged scope for every request would cost more than the routing decision.
+type answerMetrics struct {
+	count       tally.Counter
+	latency     tally.Histogram // time from the request's arrival to the end of its answer
+	queueWait   tally.Histogram // time in this VM's queues
+	firstByte   tally.Histogram // time until the first byte of the server's answer
+	remoteBytes tally.Counter   // bytes of bodies that were sent between data centres
 }
 
-// New makes the metrics of one VM.
+// New returns the metrics of one VM.
 func New(vm ident.VM) *Meter {
 	registry := prom.NewRegistry()
 	m := &Meter{reporter: promreporter.NewReporter(promreporter.Options{Registerer: registry})}
@@ -54,39 +56,39 @@
 		Prefix: "hawthorn", Separator: promreporter.DefaultSeparator,
 		Tags: map[string]string{"vm": string(vm)}, CachedReporter: m.reporter,
 		OmitCardinalityMetrics: true,
-	}, reportEvery)
+	}, reportInterval)
 	return m
 }
 
-// Handler serves the metrics in Prometheus' text form.
+// Handler serves the metrics in the Prometheus text format.
 func (m *Meter) Handler() http.Handler { return m.reporter.HTTPHandler() }
 
-// Close reports for the last time and waits for the reporting duty.
+// Close reports for the last time and waits for the reporting goroutine.
 func (m *Meter) Close() error { return m.closer.Close() }
 
-// Answered counts one answer to a caller.
+// Answered records one answer to a caller.
 func (m *Meter) Answered(d *record.Decision) {
 	key := answerKey{d.Service, d.Kind}
 	v, ok := m.answers.Load(key)
 	if !ok {
-		v, _ = m.answers.LoadOrStore(key, m.answer(key))
+		v, _ = m.answers.LoadOrStore(key, m.newAnswerMetrics(key))
 	}
-	a := v.(*answer)
+	a := v.(*answerMetrics)
 	a.count.Inc(1)
-	a.took.RecordDuration(d.Took)
-	a.wait.RecordDuration(d.Wait)
+	a.latency.RecordDuration(d.Took)
+	a.queueWait.RecordDuration(d.Wait)
 	if d.FirstByte > 0 {
-		a.first.RecordDuration(d.FirstByte)
+		a.firstByte.RecordDuration(d.FirstByte)
 	}
 	if d.Remote {
-		a.far.Inc(d.Bytes)
+		a.remoteBytes.Inc(d.Bytes)
 	}
 }
 
-func (m *Meter) answer(k answerKey) *answer {
+func (m *Meter) newAnswerMetrics(k answerKey) *answerMetrics {
 	scope := m.Tagged(map[string]string{"service": string(k.service), "kind": k.kind})
-	return &answer{
-		count: scope.Counter("answers"), took: scope.Histogram("took", buckets),
-		wait: scope.Histogram("wait", buckets), first: scope.Histogram("first", buckets), far: scope.Counter("far_bytes"),
+	return &answerMetrics{
+		count: scope.Counter("answers"), latency: scope.Histogram("took", buckets),
+		queueWait: scope.Histogram("wait", buckets), firstByte: scope.Histogram("first", buckets), remoteBytes: scope.Counter("far_bytes"),
 	}
 }
