--- a/internal/edge/httpd/httpd.go
+++ b/internal/edge/httpd/httpd.go
@@ -1,6 +1,6 @@
-// Package httpd holds what every daemon's outside is made of: HTTP listeners that are
-// opened, and closed without cutting off what is in flight, and the little that the
-// wiring has to say in the log.
+// Package httpd provides what every daemon needs at its edge: HTTP listeners that shut
+// down without cutting off requests in flight, and a logger for failures of dependency
+// injection.
 package httpd
 
 import (
@@ -18,30 +18,30 @@
 	"hawthornfield.org/hawthornfield/internal/edge/pipe"
 )
 
-// Listener is one HTTP listener. Set Web before Open.
+// Listener is one HTTP listener. Set Server before Start.
 type Listener struct {
 	Server *http.Server
-	// Pipeline, if set, reads the connections ahead, see package ahead.
+	// Pipeline, if set, reads ahead on the connections, see package pipe.
 	Pipeline *pipe.Reader
 
-	l    net.Listener
-	done group.Group
+	listener net.Listener
+	group    group.Group
 }
 
-// Start listens, and serves until Shut or End.
-func (d *Listener) Start(at netip.AddrPort) error {
-	l, err := net.ListenTCP("tcp", net.TCPAddrFromAddrPort(at))
+// Start listens at the address and serves until Shutdown or Close.
+func (l *Listener) Start(at netip.AddrPort) error {
+	ln, err := net.ListenTCP("tcp", net.TCPAddrFromAddrPort(at))
 	if err != nil {
 		return kinds.Wrap(kinds.Unavailable, err, "listen on "+at.String())
 	}
-	d.l = l
-	var in net.Listener = l
-	if d.Pipeline != nil {
-		in = d.Pipeline.Listen(l)
-		d.Server.ConnContext = pipe.Context
+	l.listener = ln
+	var in net.Listener = ln
+	if l.Pipeline != nil {
+		in = l.Pipeline.Listen(ln)
+		l.Server.ConnContext = pipe.Context
 	}
-	d.done.Go(func(context.Context) error {
-		if err := d.Server.Serve(in); !errors.Is(err, http.ErrServerClosed) {
+	l.group.Go(func(context.Context) error {
+		if err := l.Server.Serve(in); !errors.Is(err, http.ErrServerClosed) {
 			return err
 		}
 		return nil
@@ -49,63 +49,64 @@
 	return nil
 }
 
-// Addr is where the door listens, the zero value before Open.
-func (d *Listener) Addr() netip.AddrPort {
-	if d.l == nil {
+// Addr returns the address of the listener, the zero value before Start.
+func (l *Listener) Addr() netip.AddrPort {
+	if l.listener == nil {
 		return netip.AddrPort{}
 	}
-	return d.l.Addr().(*net.TCPAddr).AddrPort()
+	return l.listener.Addr().(*net.TCPAddr).AddrPort()
 }
 
-// Shutdown stops accepting, waits for what is in flight until ctx ends, and then breaks off
-// what is left.
-func (d *Listener) Shutdown(ctx context.Context) error {
-	if d.Pipeline != nil {
-		d.Pipeline.Drain(ctx)
+// Shutdown stops accepting connections, waits for requests in flight until ctx is done,
+// and then closes the remaining connections.
+func (l *Listener) Shutdown(ctx context.Context) error {
+	if l.Pipeline != nil {
+		l.Pipeline.Drain(ctx)
 	}
-	err := d.Server.Shutdown(ctx)
+	err := l.Server.Shutdown(ctx)
 	if err != nil {
-		_ = d.Server.Close()
+		_ = l.Server.Close()
 		err = kinds.Wrap(kinds.DeadlineMissed, err, "requests were still in flight")
 	}
-	if e := d.end(); err == nil {
+	if e := l.wait(); err == nil {
 		err = e
 	}
 	return err
 }
 
-// end waits for all that the door started.
-func (d *Listener) end() error {
-	if d.Pipeline != nil {
-		_ = d.Pipeline.Close() // its duties report nothing
+// wait waits for all goroutines of the listener.
+func (l *Listener) wait() error {
+	if l.Pipeline != nil {
+		_ = l.Pipeline.Close() // its goroutines return no errors
 	}
-	return d.done.Close()
+	return l.group.Close()
 }
 
-// Close breaks off what is open: for doors that no caller's request comes through.
-func (d *Listener) Close(context.Context) error {
-	_ = d.Server.Close()
-	return d.end()
+// Close closes all connections at once. It is meant for listeners that serve no callers'
+// requests.
+func (l *Listener) Close(context.Context) error {
+	_ = l.Server.Close()
+	return l.wait()
 }
 
-// ErrorLogger passes on only the wiring's failures: its own account would drown the log of
-// decisions.
+// ErrorLogger is an fx event logger that logs only failures: the other events would swamp
+// the log of decisions.
 type ErrorLogger struct{ Log *slog.Logger }
 
-// LogEvent logs a failure of the wiring.
-func (q ErrorLogger) LogEvent(e fxevent.Event) {
+// LogEvent logs the event if it is a failure.
+func (l ErrorLogger) LogEvent(e fxevent.Event) {
 	switch e := e.(type) {
 	case *fxevent.OnStartExecuted:
-		q.failed("start", e.CallerName, e.Err)
+		l.logFailure("start", e.CallerName, e.Err)
 	case *fxevent.OnStopExecuted:
-		q.failed("stop", e.CallerName, e.Err)
+		l.logFailure("stop", e.CallerName, e.Err)
 	case *fxevent.Invoked:
-		q.failed("invoke", e.FunctionName, e.Err)
+		l.logFailure("invoke", e.FunctionName, e.Err)
 	}
 }
 
-func (q ErrorLogger) failed(what, who string, err error) {
+func (l ErrorLogger) logFailure(action, part string, err error) {
 	if err != nil {
-		q.Log.Error(what, "part", who, "err", err)
+		l.Log.Error(action, "part", part, "err", err)
 	}
 }
