--- a/internal/edge/front/deadline_test.go
+++ b/internal/edge/front/deadline_test.go
@@ -24,14 +24,14 @@
 		"5000000000": 10 * time.Second, // the rule's deadline
 		"1e999":      10 * time.Second,
 	} {
-		runWithTestbed(t, func(t *testing.T, w *testbed) {
-			w.setOwner("l1")
-			r := w.request("GET", "/scales/north", nil)
+		runWithTestbed(t, func(t *testing.T, tb *testbed) {
+			tb.setOwner("l1")
+			r := tb.request("GET", "/scales/north", nil)
 			r.Header.Set(relay.HeaderDeadline, text)
-			x := w.front.newExchange(r, time.Time{})
+			x := tb.front.newExchange(r, time.Time{})
 			assert.NilError(t, x.route(), text)
 			assert.Equal(t, x.deadline.Sub(x.decision.At), want, text)
-			resp, body, err := w.do(r)
+			resp, body, err := tb.do(r)
 			assert.NilError(t, err)
 			assert.Equal(t, resp.StatusCode, http.StatusOK, "%s: %s", text, body)
 		})
@@ -41,11 +41,11 @@
 // Guards against guessing a deadline for a header that is not a number: the request might
 // run for longer than its caller waits.
 func TestAMalformedDeadlineIsABadRequest(t *testing.T) {
-	runWithTestbed(t, func(t *testing.T, w *testbed) {
+	runWithTestbed(t, func(t *testing.T, tb *testbed) {
 		for _, text := range []string{"soon", "NaN", "1500ms"} {
-			r := w.request("GET", "/scales/north", nil)
+			r := tb.request("GET", "/scales/north", nil)
 			r.Header.Set(relay.HeaderDeadline, text)
-			resp, _, err := w.do(r)
+			resp, _, err := tb.do(r)
 			assert.NilError(t, err)
 			assert.Equal(t, resp.StatusCode, http.StatusBadRequest, text)
 		}
@@ -55,18 +55,18 @@
 // Guards against treating an expired deadline as a missing one: the request would run at
 // a backend server for as long as the rule allows.
 func TestAnExpiredDeadlineIsRefusedAtOnce(t *testing.T) {
-	runWithTestbed(t, func(t *testing.T, w *testbed) {
+	runWithTestbed(t, func(t *testing.T, tb *testbed) {
 		for _, text := range []string{"0", "0.0", "-1", "-inf"} {
-			r := w.request("GET", "/views/north", nil)
+			r := tb.request("GET", "/views/north", nil)
 			r.Header.Set(relay.HeaderDeadline, text)
 			start := time.Now()
-			resp, body, err := w.do(r)
+			resp, body, err := tb.do(r)
 			assert.NilError(t, err)
 			assert.Equal(t, resp.StatusCode, kinds.DeadlineMissed.Answer().Status, "%s: %s", text, body)
 			assert.Equal(t, resp.Header.Get(kinds.HeaderRan), string(kinds.RanNo), text)
 			assert.Equal(t, time.Since(start), time.Duration(0), text)
 		}
-		for name, o := range w.origins {
+		for name, o := range tb.origins {
 			assert.Equal(t, len(o.Record.All()), 0, "ran at %s", name)
 		}
 	})
--- a/internal/edge/front/front_test.go
+++ b/internal/edge/front/front_test.go
@@ -22,45 +22,45 @@
 )
 
 func TestARequestIsRoutedAnsweredAndRecorded(t *testing.T) {
-	runWithTestbed(t, func(t *testing.T, w *testbed) {
-		r := w.request("GET", "/scales/north", nil)
+	runWithTestbed(t, func(t *testing.T, tb *testbed) {
+		r := tb.request("GET", "/scales/north", nil)
 		r.Header.Set(relay.HeaderID, "req-1")
 		r.Header.Set(relay.HeaderCaller, "hauler")
-		resp, body, err := w.do(r)
+		resp, body, err := tb.do(r)
 		assert.NilError(t, err)
 		assert.Equal(t, resp.StatusCode, http.StatusOK)
 		assert.Equal(t, body, "l1 served req-1 key=north\n")
 		assert.Assert(t, resp.Trailer.Get(origin.TrailerSum) != "")
-		d := w.decisions.last()
+		d := tb.decisions.last()
 		assert.Equal(t, d.Server, ident.Server("l1"))
 		assert.Equal(t, d.Rule, "lookups")
 		assert.Equal(t, d.Rev, ident.Revision(7))
 		assert.Equal(t, d.Caller, ident.Caller("hauler"))
 		assert.Equal(t, d.Status, http.StatusOK)
 
-		resp, body, err = w.do(w.request("PUT", "/lab/sugar", strings.NewReader("beets")))
+		resp, body, err = tb.do(tb.request("PUT", "/lab/sugar", strings.NewReader("beets")))
 		assert.NilError(t, err)
 		assert.Equal(t, resp.Header.Get(origin.HeaderBytes), "5")
 		assert.Assert(t, strings.HasPrefix(body, "u1 served vm-1-"), body)
-		assert.Equal(t, w.front.InFlight(), 0)
+		assert.Equal(t, tb.front.InFlight(), 0)
 	})
 }
 
 func TestRefusalsFollowTheTableOfKinds(t *testing.T) {
-	runWithTestbed(t, func(t *testing.T, w *testbed) {
-		bad := w.request("GET", "/scales/north", nil)
+	runWithTestbed(t, func(t *testing.T, tb *testbed) {
+		bad := tb.request("GET", "/scales/north", nil)
 		bad.Header.Set(relay.HeaderDeadline, "soon")
-		big := w.request("POST", "/lab/x", strings.NewReader(strings.Repeat("x", 1<<20+1)))
+		big := tb.request("POST", "/lab/x", strings.NewReader(strings.Repeat("x", 1<<20+1)))
 		for _, tc := range []struct {
 			r    *http.Request
 			kind kinds.Kind
 		}{
-			{w.request("GET", "/nowhere", nil), kinds.NoRule},
-			{w.request("GET", "/closed", nil), kinds.Denied},
+			{tb.request("GET", "/nowhere", nil), kinds.NoRule},
+			{tb.request("GET", "/closed", nil), kinds.Denied},
 			{bad, kinds.BadRequest},
 			{big, kinds.TooLarge},
 		} {
-			resp, body, err := w.do(tc.r)
+			resp, body, err := tb.do(tc.r)
 			assert.NilError(t, err)
 			assert.Equal(t, resp.StatusCode, tc.kind.Answer().Status)
 			assert.Equal(t, resp.Header.Get(kinds.HeaderRan), string(kinds.RanNo))
@@ -68,15 +68,15 @@
 			assert.NilError(t, json.Unmarshal([]byte(body), &got))
 			assert.Equal(t, got.Kind, tc.kind.String())
 		}
-		for _, o := range w.origins {
+		for _, o := range tb.origins {
 			assert.Equal(t, len(o.Record.All()), 0, "a refused request ran")
 		}
 	})
 }
 
 func TestAnEmptyAnswerStaysEmpty(t *testing.T) {
-	runWithTestbed(t, func(t *testing.T, w *testbed) {
-		resp, body, err := w.do(w.request("GET", "/lab/x?status=404&size=0", nil))
+	runWithTestbed(t, func(t *testing.T, tb *testbed) {
+		resp, body, err := tb.do(tb.request("GET", "/lab/x?status=404&size=0", nil))
 		assert.NilError(t, err)
 		assert.Equal(t, resp.StatusCode, http.StatusNotFound)
 		assert.Equal(t, body, "")
@@ -87,21 +87,21 @@
 // refuses them. The caller must not notice: the request waits until the VM learns of the
 // next owner, and runs there once.
 func TestARequestFollowsItsKeyToTheNextOwner(t *testing.T) {
-	runWithTestbed(t, func(t *testing.T, w *testbed) {
-		w.setOwner("l2")
-		w.setView("l1")
-		w.group.Go(func(context.Context) error {
+	runWithTestbed(t, func(t *testing.T, tb *testbed) {
+		tb.setOwner("l2")
+		tb.setView("l1")
+		tb.group.Go(func(context.Context) error {
 			time.Sleep(50 * time.Millisecond)
-			w.setView("l2")
+			tb.setView("l2")
 			return nil
 		})
-		_, body, err := w.do(w.request("POST", "/scales/north", strings.NewReader("load")))
+		_, body, err := tb.do(tb.request("POST", "/scales/north", strings.NewReader("load")))
 		assert.NilError(t, err)
 		assert.Assert(t, strings.HasPrefix(body, "l2 served"), body)
-		assert.Equal(t, len(w.origins["l1"].Record.All()), 0)
-		assert.Equal(t, len(w.origins["l2"].Record.All()), 1)
-		assert.Assert(t, w.origins["l1"].Stats().Misses > 0)
-		svc, _ := w.state.Service("lookup")
+		assert.Equal(t, len(tb.origins["l1"].Record.All()), 0)
+		assert.Equal(t, len(tb.origins["l2"].Record.All()), 1)
+		assert.Assert(t, tb.origins["l1"].Stats().Misses > 0)
+		svc, _ := tb.state.Service("lookup")
 		assert.Equal(t, svc.Gate.Stats().Held, 0)
 	})
 }
@@ -116,25 +116,25 @@
 		"/receipts/sent": kinds.Unknown.Answer().Status,
 	} {
 		t.Run(sent, func(t *testing.T) {
-			runWithTestbed(t, func(t *testing.T, w *testbed) { testFrozenOwner(t, w, sent, status) })
+			runWithTestbed(t, func(t *testing.T, tb *testbed) { testFrozenOwner(t, tb, sent, status) })
 		})
 	}
 }
 
-func testFrozenOwner(t *testing.T, w *testbed, sent string, status int) {
-	w.setRulesAt(8, rules+`
+func testFrozenOwner(t *testing.T, tb *testbed, sent string, status int) {
+	tb.setRulesAt(8, rules+`
 [[rule]]
 name = "receipts"
 when = { path = "/receipts/{scale}" }
 then = { service = "lookup", key = "path:scale", deadline = "30s" }
 `)
-	svc, _ := w.state.Service("lookup")
-	w.origins["l1"].Freeze(true)
+	svc, _ := tb.state.Service("lookup")
+	tb.origins["l1"].Freeze(true)
 	start := time.Now()
 	var g group.Group
 	send := func(path string, status int, within time.Duration) {
 		g.Go(func(context.Context) error {
-			resp, _, err := w.do(w.request("GET", path, nil))
+			resp, _, err := tb.do(tb.request("GET", path, nil))
 			assert.NilError(t, err)
 			assert.Equal(t, resp.StatusCode, status, path)
 			assert.Assert(t, time.Since(start) <= within, "%s took %v", path, time.Since(start))
@@ -147,44 +147,44 @@
 		send(fmt.Sprintf("/scales/%d", i), http.StatusOK, time.Second+formerOwnerGrace)
 	}
 	time.Sleep(time.Second)
-	o := w.origins["l2"]
+	o := tb.origins["l2"]
 	all := []ident.Slice{0, 1, 2, 3, 4, 5, 6, 7}
 	assert.Assert(t, o.Grant(server.Order{Lessor: "l2", Mark: o.Read().Mark, TTL: time.Hour, Full: true, Rev: 2, Slices: all}).Done)
-	w.setView("l2")
+	tb.setView("l2")
 	time.Sleep(2 * time.Second)
 	svc.SetUnresponsive("l1", true)
 	assert.NilError(t, g.Wait())
-	w.origins["l1"].Freeze(false)
+	tb.origins["l1"].Freeze(false)
 }
 
 // The key's new owner stays unknown. The request must be answered with a Retry-After when
 // the wait for an owner has reached its limit, not at its deadline: until then the caller
 // cannot retry.
 func TestTheWaitForAnOwnerIsBounded(t *testing.T) {
-	runWithTestbed(t, func(t *testing.T, w *testbed) {
-		w.setOwner("l2")
-		w.setView("l1")
+	runWithTestbed(t, func(t *testing.T, tb *testbed) {
+		tb.setOwner("l2")
+		tb.setView("l1")
 		start := time.Now()
-		resp, _, err := w.do(w.request("GET", "/scales/north", nil))
+		resp, _, err := tb.do(tb.request("GET", "/scales/north", nil))
 		assert.NilError(t, err)
 		assert.Equal(t, resp.StatusCode, kinds.Misrouted.Answer().Status)
 		assert.Equal(t, resp.Header.Get(kinds.HeaderRan), string(kinds.RanNo))
 		assert.Assert(t, resp.Header.Get("Retry-After") != "")
 		assert.Assert(t, time.Since(start) <= defaultMaxOwnerWait)
-		assert.Equal(t, len(w.origins["l1"].Record.All()), 0)
+		assert.Equal(t, len(tb.origins["l1"].Record.All()), 0)
 	})
 }
 
 // A backend server breaks off in the middle of an answer. The caller's connection must
 // break too, or the caller takes part of a list for the whole list.
 func TestATruncatedAnswerBreaksTheCallersConnection(t *testing.T) {
-	runWithTestbed(t, func(t *testing.T, w *testbed) {
-		w.origins["u1"].Truncate(1)
-		_, body, err := w.do(w.request("GET", "/lab/x?size=50000", nil))
+	runWithTestbed(t, func(t *testing.T, tb *testbed) {
+		tb.origins["u1"].Truncate(1)
+		_, body, err := tb.do(tb.request("GET", "/lab/x?size=50000", nil))
 		assert.Assert(t, err != nil, "a truncated answer of %d bytes looked complete", len(body))
 		synctest.Wait()
-		assert.Equal(t, w.decisions.last().Kind, kinds.Truncated.String())
-		resp, body, err := w.do(w.request("GET", "/lab/x?size=50000", nil))
+		assert.Equal(t, tb.decisions.last().Kind, kinds.Truncated.String())
+		resp, body, err := tb.do(tb.request("GET", "/lab/x?size=50000", nil))
 		assert.NilError(t, err)
 		assert.Equal(t, len(body), 50000)
 		assert.Equal(t, resp.StatusCode, http.StatusOK)
@@ -194,15 +194,15 @@
 // The connection to the server breaks after a submission was sent on it. It may have run,
 // so the answer says so and the request is not repeated.
 func TestALostAnswerIsUnknownAndNotRepeated(t *testing.T) {
-	runWithTestbed(t, func(t *testing.T, w *testbed) {
-		w.origins["u1"].Break(1)
-		r := w.request("POST", "/lab/receipt", strings.NewReader("load"))
+	runWithTestbed(t, func(t *testing.T, tb *testbed) {
+		tb.origins["u1"].Break(1)
+		r := tb.request("POST", "/lab/receipt", strings.NewReader("load"))
 		r.Header.Set(relay.HeaderID, "load-7")
-		resp, _, err := w.do(r)
+		resp, _, err := tb.do(r)
 		assert.NilError(t, err)
 		assert.Equal(t, resp.StatusCode, kinds.Unknown.Answer().Status)
 		assert.Equal(t, resp.Header.Get(kinds.HeaderRan), string(kinds.RanUnknown))
-		assert.Equal(t, w.origins["u1"].Record.Count("load-7"), 1)
+		assert.Equal(t, tb.origins["u1"].Record.Count("load-7"), 1)
 	})
 }
 
@@ -210,15 +210,15 @@
 // request must be retried within its deadline; otherwise the caller sees an error
 // although the owner works again.
 func TestALookupWhoseAnswerWasLostIsAskedAgainAtItsOwner(t *testing.T) {
-	runWithTestbed(t, func(t *testing.T, w *testbed) {
-		w.origins["l1"].Break(1)
-		resp, _, err := w.do(w.request("GET", "/again/7", nil))
+	runWithTestbed(t, func(t *testing.T, tb *testbed) {
+		tb.origins["l1"].Break(1)
+		resp, _, err := tb.do(tb.request("GET", "/again/7", nil))
 		assert.NilError(t, err)
 		assert.Equal(t, resp.StatusCode, http.StatusOK)
 		synctest.Wait()
-		assert.Equal(t, w.decisions.last().Attempts, 2)
-		w.origins["l1"].Break(2)
-		resp, _, err = w.do(w.request("GET", "/again/7", nil))
+		assert.Equal(t, tb.decisions.last().Attempts, 2)
+		tb.origins["l1"].Break(2)
+		resp, _, err = tb.do(tb.request("GET", "/again/7", nil))
 		assert.NilError(t, err)
 		assert.Equal(t, resp.StatusCode, kinds.Unknown.Answer().Status, "the rule allows one more attempt")
 	})
@@ -227,12 +227,12 @@
 // A caller disconnects while the server still works. The slot must be free for the next
 // caller at once, not when the work is done.
 func TestACallerThatHangsUpFreesItsPlaceAtOnce(t *testing.T) {
-	runWithTestbed(t, func(t *testing.T, w *testbed) {
-		svc, _ := w.state.Service("upload")
+	runWithTestbed(t, func(t *testing.T, tb *testbed) {
+		svc, _ := tb.state.Service("upload")
 		ctx, cancel := context.WithCancel(t.Context())
 		var g group.Group
 		g.Go(func(context.Context) error {
-			_, _, err := w.do(w.request("GET", "/lab/x?work=1h", nil).WithContext(ctx))
+			_, _, err := tb.do(tb.request("GET", "/lab/x?work=1h", nil).WithContext(ctx))
 			assert.ErrorIs(t, err, context.Canceled)
 			return nil
 		})
@@ -243,7 +243,7 @@
 		assert.NilError(t, g.Wait())
 		synctest.Wait()
 		assert.Equal(t, svc.Gate.Stats().Running, 0)
-		assert.Equal(t, w.front.Relay.OpenConns(u1Addr), 0, "an abandoned connection was kept")
+		assert.Equal(t, tb.front.Relay.OpenConns(u1Addr), 0, "an abandoned connection was kept")
 		assert.Equal(t, time.Since(before), time.Duration(0))
 	})
 }
@@ -251,40 +251,40 @@
 // A caller sends the first bytes of a small body and then nothing. If such callers held
 // slots, a few of them would keep a server idle.
 func TestASlowCallerHoldsNoSlot(t *testing.T) {
-	runWithTestbed(t, func(t *testing.T, w *testbed) {
-		c, err := w.net.Dial(t.Context(), entryAddr)
+	runWithTestbed(t, func(t *testing.T, tb *testbed) {
+		c, err := tb.net.Dial(t.Context(), entryAddr)
 		assert.NilError(t, err)
 		defer c.Close()
 		_, err = io.WriteString(c, "POST /lab/x HTTP/1.1\r\nHost: x\r\nContent-Length: 10\r\n\r\nhalf")
 		assert.NilError(t, err)
 		synctest.Wait()
-		svc, _ := w.state.Service("upload")
+		svc, _ := tb.state.Service("upload")
 		assert.Equal(t, svc.Gate.Stats().Running, 0)
 		answer, err := io.ReadAll(c)
 		assert.NilError(t, err)
 		assert.Assert(t, strings.HasPrefix(string(answer), "HTTP/1.1 503"), "%q", answer)
-		assert.Equal(t, len(w.origins["u1"].Record.All()), 0)
+		assert.Equal(t, len(tb.origins["u1"].Record.All()), 0)
 	})
 }
 
 // A caller asks for a large answer and then reads nothing. If such callers kept their
 // slots, a few of them would block a server, and every other caller would be refused.
 func TestACallerThatStopsReadingFreesItsPlace(t *testing.T) {
-	runWithTestbed(t, func(t *testing.T, w *testbed) {
-		c, err := w.net.Dial(t.Context(), entryAddr)
+	runWithTestbed(t, func(t *testing.T, tb *testbed) {
+		c, err := tb.net.Dial(t.Context(), entryAddr)
 		assert.NilError(t, err)
 		defer c.Close()
 		_, err = io.WriteString(c, "GET /lab/x?size=1000000 HTTP/1.1\r\nHost: x\r\nHawthorn-Deadline: 600000\r\n\r\n")
 		assert.NilError(t, err)
 		time.Sleep(time.Second)
-		svc, _ := w.state.Service("upload")
+		svc, _ := tb.state.Service("upload")
 		assert.Equal(t, svc.Gate.Stats().Running, 1)
 		time.Sleep(writeTimeoutFactor * 5 * time.Second)
 		assert.Equal(t, svc.Gate.Stats().Running, 0)
-		assert.Equal(t, w.front.Relay.OpenConns(u1Addr), 0, "an abandoned connection was kept")
+		assert.Equal(t, tb.front.Relay.OpenConns(u1Addr), 0, "an abandoned connection was kept")
 
 		// A caller that reads slowly but steadily gets the whole answer.
-		slow, err := w.net.Dial(t.Context(), entryAddr)
+		slow, err := tb.net.Dial(t.Context(), entryAddr)
 		assert.NilError(t, err)
 		defer slow.Close()
 		_, err = io.WriteString(slow, "GET /lab/x?size=100000 HTTP/1.1\r\nHost: x\r\nConnection: close\r\nHawthorn-Deadline: 600000\r\n\r\n")
@@ -304,8 +304,8 @@
 // A caller sends its headers too slowly, or too many of them. The entry VM must end both
 // within bounded time and memory, and go on serving.
 func TestHeadersAreBoundedInTimeAndSize(t *testing.T) {
-	runWithTestbed(t, func(t *testing.T, w *testbed) {
-		slow, err := w.net.Dial(t.Context(), entryAddr)
+	runWithTestbed(t, func(t *testing.T, tb *testbed) {
+		slow, err := tb.net.Dial(t.Context(), entryAddr)
 		assert.NilError(t, err)
 		_, err = io.WriteString(slow, "GET /lab/x HTTP/1.1\r\nHost:")
 		assert.NilError(t, err)
@@ -315,12 +315,12 @@
 		assert.Equal(t, time.Since(start), 5*time.Second)
 		slow.Close()
 
-		big := w.request("GET", "/lab/x", nil)
+		big := tb.request("GET", "/lab/x", nil)
 		big.Header.Set("X-Big", strings.Repeat("x", 20<<10))
-		resp, _, err := w.do(big)
+		resp, _, err := tb.do(big)
 		assert.NilError(t, err)
 		assert.Equal(t, resp.StatusCode, http.StatusRequestHeaderFieldsTooLarge)
-		resp, _, err = w.do(w.request("GET", "/lab/x", nil))
+		resp, _, err = tb.do(tb.request("GET", "/lab/x", nil))
 		assert.NilError(t, err)
 		assert.Equal(t, resp.StatusCode, http.StatusOK)
 	})
@@ -330,18 +330,18 @@
 // hedged with a second attempt: the caller gets the first answer, and the slow server's
 // slot is free again at once.
 func TestASlowAnswerIsHedged(t *testing.T) {
-	runWithTestbed(t, func(t *testing.T, w *testbed) {
-		svc, _ := w.state.Service("viewer")
+	runWithTestbed(t, func(t *testing.T, tb *testbed) {
+		svc, _ := tb.state.Service("viewer")
 		for range 20 { // so that both servers are measured and connected
-			_, _, err := w.do(w.request("GET", "/views/north", nil))
+			_, _, err := tb.do(tb.request("GET", "/views/north", nil))
 			assert.NilError(t, err)
 		}
-		w.origins["v1"].Slow(time.Hour)
-		w.origins["v2"].Slow(0)
+		tb.origins["v1"].Slow(time.Hour)
+		tb.origins["v2"].Slow(0)
 		slow, start := 0, time.Now()
 		for range 6 {
 			before := time.Now()
-			_, body, err := w.do(w.request("GET", "/views/north", nil))
+			_, body, err := tb.do(tb.request("GET", "/views/north", nil))
 			assert.NilError(t, err)
 			assert.Assert(t, strings.HasPrefix(body, "v2 served"), body)
 			if time.Since(before) > 0 {
@@ -359,11 +359,11 @@
 // The winning attempt has a long answer and its caller reads slowly. The losing attempt
 // must not hold its server's slot for that time.
 func TestTheLosingAttemptEndsBeforeTheWinnersAnswer(t *testing.T) {
-	runWithTestbed(t, func(t *testing.T, w *testbed) {
-		svc, _ := w.state.Service("viewer")
-		w.origins["v1"].Slow(time.Hour)
+	runWithTestbed(t, func(t *testing.T, tb *testbed) {
+		svc, _ := tb.state.Service("viewer")
+		tb.origins["v1"].Slow(time.Hour)
 		for svc.Gate.Stats().Hedges == 0 {
-			resp, err := w.client.Do(w.request("GET", "/views/north?size=300000", nil))
+			resp, err := tb.client.Do(tb.request("GET", "/views/north?size=300000", nil))
 			assert.NilError(t, err)
 			synctest.Wait()
 			assert.Equal(t, svc.Gate.Stats().Running, 1)
--- a/internal/edge/front/guard_test.go
+++ b/internal/edge/front/guard_test.go
@@ -25,43 +25,43 @@
 	reported []poison.Fingerprint
 }
 
-func (t *fakeGuard) Suspects(h *poison.Head) bool {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	return t.Len() > 0 && (h == nil || t.Suspected(*h))
+func (g *fakeGuard) Suspects(h *poison.Head) bool {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	return g.Len() > 0 && (h == nil || g.Suspected(*h))
 }
 
-func (t *fakeGuard) QuarantineLeft(p poison.Fingerprint) time.Duration {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	return t.Table.QuarantineLeft(time.Now(), p)
+func (g *fakeGuard) QuarantineLeft(p poison.Fingerprint) time.Duration {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	return g.Table.QuarantineLeft(time.Now(), p)
 }
 
-func (t *fakeGuard) ReportCrash(p poison.Fingerprint, s ident.Server, _ ident.Request) int {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	t.reported = append(t.reported, p)
-	return t.RecordCrash(time.Now(), p, s)
+func (g *fakeGuard) ReportCrash(p poison.Fingerprint, s ident.Server, _ ident.Request) int {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	g.reported = append(g.reported, p)
+	return g.RecordCrash(time.Now(), p, s)
 }
 
-func (t *fakeGuard) Answered(p poison.Fingerprint) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	t.Clear(time.Now(), p)
+func (g *fakeGuard) Answered(p poison.Fingerprint) {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	g.Clear(time.Now(), p)
 }
 
 // crashElsewhere records that the first reported request crashed a server on another VM.
-func (t *fakeGuard) crashElsewhere(s ident.Server) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	t.RecordCrash(time.Now(), t.reported[0], s)
+func (g *fakeGuard) crashElsewhere(s ident.Server) {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	g.RecordCrash(time.Now(), g.reported[0], s)
 }
 
-func runWithGuard(t *testing.T, test func(t *testing.T, w *testbed, g *fakeGuard)) {
-	runWithTestbed(t, func(t *testing.T, w *testbed) {
+func runWithGuard(t *testing.T, test func(t *testing.T, tb *testbed, g *fakeGuard)) {
+	runWithTestbed(t, func(t *testing.T, tb *testbed) {
 		g := &fakeGuard{Table: poison.NewTable()}
-		w.front.Guard = g
-		test(t, w, g)
+		tb.front.Guard = g
+		test(t, tb, g)
 	})
 }
 
@@ -71,40 +71,40 @@
 // Guards against a crashing request that is not recognized when its body is framed
 // differently.
 func TestAFingerprintDoesNotDependOnTheFraming(t *testing.T) {
-	runWithGuard(t, func(t *testing.T, w *testbed, g *fakeGuard) {
-		w.origins["u1"].Break(2)
+	runWithGuard(t, func(t *testing.T, tb *testbed, g *fakeGuard) {
+		tb.origins["u1"].Break(2)
 		for _, body := range []io.Reader{strings.NewReader("sample"), chunked{strings.NewReader("sample")}} {
-			resp, _, err := w.do(w.request("POST", "/lab/a", body))
+			resp, _, err := tb.do(tb.request("POST", "/lab/a", body))
 			assert.NilError(t, err)
 			assert.Equal(t, resp.StatusCode, http.StatusBadGateway)
 		}
 		assert.Equal(t, len(g.reported), 2)
 		assert.Equal(t, g.reported[0], g.reported[1])
-		assert.Equal(t, w.decisions.last().Fingerprint, g.reported[0].AnyCaller().String())
+		assert.Equal(t, tb.decisions.last().Fingerprint, g.reported[0].AnyCaller().String())
 	})
 }
 
 // Guards against forwarding a quarantined request, and against refusing others.
 func TestAQuarantinedRequestIsRefusedAtOnceAndOthersAreServed(t *testing.T) {
-	runWithGuard(t, func(t *testing.T, w *testbed, g *fakeGuard) {
-		w.origins["u1"].Break(1)
-		_, _, err := w.do(w.request("POST", "/lab/a", strings.NewReader("sample")))
+	runWithGuard(t, func(t *testing.T, tb *testbed, g *fakeGuard) {
+		tb.origins["u1"].Break(1)
+		_, _, err := tb.do(tb.request("POST", "/lab/a", strings.NewReader("sample")))
 		assert.NilError(t, err)
 		for _, s := range []ident.Server{"u2", "u3"} {
 			g.crashElsewhere(s)
 		}
 		for _, body := range []io.Reader{strings.NewReader("sample"), chunked{strings.NewReader("sample")}} {
-			resp, _, err := w.do(w.request("POST", "/lab/a", body))
+			resp, _, err := tb.do(tb.request("POST", "/lab/a", body))
 			assert.NilError(t, err)
 			assert.Equal(t, resp.StatusCode, http.StatusServiceUnavailable)
 			assert.Equal(t, resp.Header.Get("Retry-After"), "600")
-			last := w.decisions.last()
+			last := tb.decisions.last()
 			assert.Equal(t, last.Kind, kinds.Quarantined.String())
 			assert.Equal(t, last.Ran, kinds.RanNo)
 			assert.Equal(t, last.Attempts, 0)
 		}
 		for _, body := range []io.Reader{strings.NewReader("another"), chunked{strings.NewReader("another")}} {
-			resp, _, err := w.do(w.request("POST", "/lab/a", body))
+			resp, _, err := tb.do(tb.request("POST", "/lab/a", body))
 			assert.NilError(t, err)
 			assert.Equal(t, resp.StatusCode, http.StatusOK)
 		}
@@ -114,22 +114,22 @@
 // Guards against forwarding a request that arrived before its quarantine and is sent
 // after it.
 func TestARequestThatWaitedIsRefusedWhenItIsQuarantinedMeanwhile(t *testing.T) {
-	runWithGuard(t, func(t *testing.T, w *testbed, g *fakeGuard) {
-		w.origins["u1"].Break(1)
-		_, _, err := w.do(w.request("POST", "/lab/a", strings.NewReader("sample")))
+	runWithGuard(t, func(t *testing.T, tb *testbed, g *fakeGuard) {
+		tb.origins["u1"].Break(1)
+		_, _, err := tb.do(tb.request("POST", "/lab/a", strings.NewReader("sample")))
 		assert.NilError(t, err)
-		w.origins["u1"].Slow(time.Second)
+		tb.origins["u1"].Slow(time.Second)
 		var calls group.Group
 		for i := range 4 { // the first two take the slots, and the gate may admit more than one
 			calls.Go(func(context.Context) error {
-				_, _, err := w.do(w.request("POST", "/lab/"+strconv.Itoa(i), strings.NewReader("other")))
+				_, _, err := tb.do(tb.request("POST", "/lab/"+strconv.Itoa(i), strings.NewReader("other")))
 				return err
 			})
 		}
 		time.Sleep(100 * time.Millisecond)
 		status := make(chan int, 1)
 		calls.Go(func(context.Context) error {
-			resp, _, err := w.do(w.request("POST", "/lab/a", strings.NewReader("sample")))
+			resp, _, err := tb.do(tb.request("POST", "/lab/a", strings.NewReader("sample")))
 			if err == nil {
 				status <- resp.StatusCode
 			}
@@ -140,7 +140,7 @@
 			g.crashElsewhere(s)
 		}
 		assert.Equal(t, <-status, http.StatusServiceUnavailable)
-		last := w.decisions.last()
+		last := tb.decisions.last()
 		assert.Equal(t, last.Kind, kinds.Quarantined.String())
 		assert.Assert(t, last.Wait > 0)
 		assert.NilError(t, calls.Close())
@@ -149,10 +149,10 @@
 
 // Guards against a request that stays suspected after a server answered it.
 func TestAnAnswerClearsASuspect(t *testing.T) {
-	runWithGuard(t, func(t *testing.T, w *testbed, g *fakeGuard) {
-		w.origins["u1"].Break(1)
+	runWithGuard(t, func(t *testing.T, tb *testbed, g *fakeGuard) {
+		tb.origins["u1"].Break(1)
 		for range 2 {
-			_, _, err := w.do(w.request("POST", "/lab/a", strings.NewReader("sample")))
+			_, _, err := tb.do(tb.request("POST", "/lab/a", strings.NewReader("sample")))
 			assert.NilError(t, err)
 		}
 		assert.Equal(t, g.Crashes(g.reported[0]), 0)
@@ -161,13 +161,13 @@
 
 // Guards against a retry by the entry VM itself that crashes one more server.
 func TestASuspectIsNotSentTwice(t *testing.T) {
-	runWithGuard(t, func(t *testing.T, w *testbed, g *fakeGuard) {
-		w.origins["l1"].Break(10)
-		_, _, err := w.do(w.request("GET", "/again/7", nil))
+	runWithGuard(t, func(t *testing.T, tb *testbed, g *fakeGuard) {
+		tb.origins["l1"].Break(10)
+		_, _, err := tb.do(tb.request("GET", "/again/7", nil))
 		assert.NilError(t, err)
 		assert.Equal(t, len(g.reported), 2, "the first crash may have had another cause")
 		g.crashElsewhere("l2")
-		_, _, err = w.do(w.request("GET", "/again/7", nil))
+		_, _, err = tb.do(tb.request("GET", "/again/7", nil))
 		assert.NilError(t, err)
 		assert.Equal(t, len(g.reported), 3)
 	})
@@ -176,8 +176,8 @@
 // Guards against clearing a crashing request because a failing server answered it with an
 // error.
 func TestAServerErrorClearsNoSuspect(t *testing.T) {
-	runWithGuard(t, func(t *testing.T, w *testbed, g *fakeGuard) {
-		assert.NilError(t, w.origins["u1"].Close())
+	runWithGuard(t, func(t *testing.T, tb *testbed, g *fakeGuard) {
+		assert.NilError(t, tb.origins["u1"].Close())
 		requests := 0
 		s := &http.Server{ReadHeaderTimeout: time.Second, Handler: http.HandlerFunc(func(out http.ResponseWriter, _ *http.Request) {
 			if requests++; requests == 1 {
@@ -185,14 +185,14 @@
 			}
 			out.WriteHeader(http.StatusInternalServerError)
 		})}
-		l := w.net.Listen(u1Addr)
-		w.group.Go(func(ctx context.Context) error {
+		l := tb.net.Listen(u1Addr)
+		tb.group.Go(func(ctx context.Context) error {
 			defer context.AfterFunc(ctx, func() { _ = s.Close() })()
 			_ = s.Serve(l)
 			return nil
 		})
 		for _, status := range []int{http.StatusBadGateway, http.StatusInternalServerError} {
-			resp, _, err := w.do(w.request("POST", "/lab/a", strings.NewReader("sample")))
+			resp, _, err := tb.do(tb.request("POST", "/lab/a", strings.NewReader("sample")))
 			assert.NilError(t, err)
 			assert.Equal(t, resp.StatusCode, status)
 		}
--- a/internal/edge/front/limit_test.go
+++ b/internal/edge/front/limit_test.go
@@ -15,21 +15,21 @@
 // requests must be refused and none of their bytes may reach a backend server; the others
 // are served.
 func TestLimitsChangeWhileRunning(t *testing.T) {
-	runWithTestbed(t, func(t *testing.T, w *testbed) {
+	runWithTestbed(t, func(t *testing.T, tb *testbed) {
 		send := func(header, body int) int {
-			r := w.request("POST", "/lab/x", strings.NewReader(strings.Repeat("x", body)))
+			r := tb.request("POST", "/lab/x", strings.NewReader(strings.Repeat("x", body)))
 			r.Header.Set("X-Note", strings.Repeat("x", header))
-			resp, _, err := w.do(r)
+			resp, _, err := tb.do(r)
 			assert.NilError(t, err)
 			return resp.StatusCode
 		}
 		assert.Equal(t, send(3000, 3000), http.StatusOK)
-		w.front.SetLimit(config.Limit{Header: 2000, Body: 2000, Request: w.front.Limit.Request})
+		tb.front.SetLimit(config.Limit{Header: 2000, Body: 2000, Request: tb.front.Limit.Request})
 		assert.Equal(t, send(3000, 10), kinds.LongHeader.Answer().Status)
 		assert.Equal(t, send(10, 3000), kinds.TooLarge.Answer().Status)
 		assert.Equal(t, send(1000, 2000), http.StatusOK)
 		ran := 0
-		for _, o := range w.origins {
+		for _, o := range tb.origins {
 			ran += len(o.Record.All())
 		}
 		assert.Equal(t, ran, 2, "only what was within the limits")
--- a/internal/edge/front/move_test.go
+++ b/internal/edge/front/move_test.go
@@ -29,36 +29,36 @@
 func TestAMoveUnderLoad(t *testing.T) {
 	for name, gap := range map[string]time.Duration{"planned": 6 * time.Millisecond, "slow": 100 * time.Millisecond} {
 		t.Run(name, func(t *testing.T) {
-			runWithTestbed(t, func(t *testing.T, w *testbed) { moveUnderLoad(t, w, gap) })
+			runWithTestbed(t, func(t *testing.T, tb *testbed) { moveUnderLoad(t, tb, gap) })
 		})
 	}
 }
 
-func moveUnderLoad(t *testing.T, w *testbed, gap time.Duration) {
+func moveUnderLoad(t *testing.T, tb *testbed, gap time.Duration) {
 	all := []ident.Slice{0, 1, 2, 3, 4, 5, 6, 7}
-	order := server.Order{Lessor: "l1", Mark: w.origins["l1"].Read().Mark, TTL: time.Hour, Full: true, Rev: 1}
+	order := server.Order{Lessor: "l1", Mark: tb.origins["l1"].Read().Mark, TTL: time.Hour, Full: true, Rev: 1}
 	var g group.Group
 	var worst [moveCallers]time.Duration
 	for c := range moveCallers {
 		g.Go(func(context.Context) error {
 			for n := range moveRequests {
-				worst[c] = max(worst[c], w.timedPost(c, n))
+				worst[c] = max(worst[c], tb.timedPost(c, n))
 				time.Sleep(movePause)
 			}
 			return nil
 		})
 	}
 	time.Sleep(100 * time.Millisecond)
-	assert.Assert(t, w.origins["l1"].Revoke(order).Done)
+	assert.Assert(t, tb.origins["l1"].Revoke(order).Done)
 	time.Sleep(3 * time.Millisecond)
-	w.setView("l2")
+	tb.setView("l2")
 	time.Sleep(gap)
-	order.Lessor, order.Slices, order.Mark = "l2", all, w.origins["l2"].Read().Mark
-	assert.Assert(t, w.origins["l2"].Grant(order).Done)
+	order.Lessor, order.Slices, order.Mark = "l2", all, tb.origins["l2"].Read().Mark
+	assert.Assert(t, tb.origins["l2"].Grant(order).Done)
 	assert.NilError(t, g.Wait())
 
 	ran := map[ident.Request]int{}
-	for _, o := range []*origin.Origin{w.origins["l1"], w.origins["l2"]} {
+	for _, o := range []*origin.Origin{tb.origins["l1"], tb.origins["l2"]} {
 		for _, s := range o.Record.All() {
 			ran[s.ID]++
 		}
@@ -71,7 +71,7 @@
 	for _, d := range worst {
 		longest = max(longest, d)
 	}
-	misrouted := w.origins["l1"].Stats().Misses + w.origins["l2"].Stats().Misses
+	misrouted := tb.origins["l1"].Stats().Misses + tb.origins["l2"].Stats().Misses
 	t.Logf("lease gone for %v: longest answer %v, %d requests misrouted", 3*time.Millisecond+gap, longest, misrouted)
 	assert.Assert(t, longest <= 3*time.Millisecond+gap+maxExtraWait, "longest answer %v", longest)
 	assert.Assert(t, misrouted <= maxMisrouted, "%d requests misrouted", misrouted)
@@ -86,12 +86,12 @@
 )
 
 // timedPost sends a request for a key and returns how long the answer took.
-func (w *testbed) timedPost(c, n int) time.Duration {
-	r := w.request("POST", fmt.Sprintf("/scales/%d", c), strings.NewReader("load"))
+func (tb *testbed) timedPost(c, n int) time.Duration {
+	r := tb.request("POST", fmt.Sprintf("/scales/%d", c), strings.NewReader("load"))
 	r.Header.Set("Hawthorn-Id", fmt.Sprintf("%d-%d", c, n))
 	start := time.Now()
-	resp, _, err := w.do(r)
-	assert.NilError(w.t, err)
-	assert.Equal(w.t, resp.StatusCode, http.StatusOK)
+	resp, _, err := tb.do(r)
+	assert.NilError(tb.t, err)
+	assert.Equal(tb.t, resp.StatusCode, http.StatusOK)
 	return time.Since(start)
 }
--- a/internal/edge/front/once_test.go
+++ b/internal/edge/front/once_test.go
@@ -28,26 +28,26 @@
 // after its answer was lost, after a refusal, and while the object store is down. It runs
 // once in the first two cases, and after a refusal it may be sent again.
 func TestASubmissionRunsAtMostOnce(t *testing.T) {
-	runWithTestbed(t, func(t *testing.T, w *testbed) {
+	runWithTestbed(t, func(t *testing.T, tb *testbed) {
 		store := objmem.New()
 		quiet := slog.New(slog.NewJSONHandler(io.Discard, nil))
 		guard := dedup.New(store, "vm-1", quiet)
 		journal := ledger.Open(store, ledger.LogPath("vm-1"), ledger.WithLog(quiet))
-		w.front.Claims, w.front.Durable = guard, journal
+		tb.front.Claims, tb.front.Durable = guard, journal
 		defer func() {
 			assert.NilError(t, guard.Close())
 			assert.NilError(t, journal.Close())
 		}()
-		w.setRulesAt(9, receiptRules)
+		tb.setRulesAt(9, receiptRules)
 		send := func(id string) (code int, ran string) {
-			r := w.request("POST", "/lab/receipt", strings.NewReader("load"))
+			r := tb.request("POST", "/lab/receipt", strings.NewReader("load"))
 			r.Header.Set(relay.HeaderID, id)
-			resp, _, err := w.do(r)
+			resp, _, err := tb.do(r)
 			assert.NilError(t, err)
 			synctest.Wait()
 			return resp.StatusCode, resp.Header.Get(kinds.HeaderRan)
 		}
-		u1 := w.origins["u1"]
+		u1 := tb.origins["u1"]
 
 		code, _ := send("load-1")
 		assert.Equal(t, code, 200)
@@ -84,7 +84,7 @@
 		assert.Equal(t, code, 200)
 		assert.Equal(t, len(u1.Record.All()), 4)
 
-		resp, _, err := w.do(w.request("POST", "/lab/receipt", strings.NewReader("no id")))
+		resp, _, err := tb.do(tb.request("POST", "/lab/receipt", strings.NewReader("no id")))
 		assert.NilError(t, err)
 		assert.Equal(t, resp.StatusCode, kinds.BadRequest.Answer().Status)
 	})
--- a/internal/edge/front/pipeline_test.go
+++ b/internal/edge/front/pipeline_test.go
@@ -21,19 +21,19 @@
 // The last request is not idempotent and must not start before its turn: if an earlier
 // answer broke the connection off, its answer would be lost although it has run.
 func TestLookupsOfOneConnectionRunTogether(t *testing.T) {
-	runWithTestbed(t, func(t *testing.T, w *testbed) {
-		w.origins["v1"].Slow(100 * time.Millisecond)
-		w.origins["v2"].Slow(100 * time.Millisecond)
+	runWithTestbed(t, func(t *testing.T, tb *testbed) {
+		tb.origins["v1"].Slow(100 * time.Millisecond)
+		tb.origins["v2"].Slow(100 * time.Millisecond)
 		addr := netip.MustParseAddrPort("10.0.0.7:80")
-		reader := w.front.Pipeline()
-		l := w.net.Listen(addr)
-		web := &http.Server{Handler: w.front.Handler(), ConnContext: pipe.Context}
-		w.group.Go(func(context.Context) error { _ = web.Serve(reader.Listen(l)); return nil })
+		reader := tb.front.Pipeline()
+		l := tb.net.Listen(addr)
+		web := &http.Server{Handler: tb.front.Handler(), ConnContext: pipe.Context}
+		tb.group.Go(func(context.Context) error { _ = web.Serve(reader.Listen(l)); return nil })
 		defer func() {
 			assert.NilError(t, web.Close())
 			assert.NilError(t, reader.Close())
 		}()
-		c, err := w.net.Dial(t.Context(), addr)
+		c, err := tb.net.Dial(t.Context(), addr)
 		assert.NilError(t, err)
 		defer c.Close()
 		start := time.Now()
@@ -52,11 +52,11 @@
 			assert.Equal(t, resp.StatusCode, http.StatusOK, path)
 		}
 		assert.Assert(t, time.Since(start) < 220*time.Millisecond, "%v", time.Since(start))
-		d := w.decisions.last()
+		d := tb.decisions.last()
 		assert.Assert(t, d.PipelineWait >= 90*time.Millisecond, "its wait is in the log: %v", d.PipelineWait)
 		assert.Assert(t, !d.Pipelined)
-		first := w.decisions.list[0]
+		first := tb.decisions.list[0]
 		assert.Assert(t, first.FirstByte >= 100*time.Millisecond && first.FirstByte <= first.Took, "time at the server: %v of %v", first.FirstByte, first.Took)
-		assert.Assert(t, w.decisions.list[0].Pipelined != w.decisions.list[1].Pipelined, "the second lookup")
+		assert.Assert(t, tb.decisions.list[0].Pipelined != tb.decisions.list[1].Pipelined, "the second lookup")
 	})
 }
--- a/internal/edge/front/refusal_test.go
+++ b/internal/edge/front/refusal_test.go
@@ -14,9 +14,9 @@
 
 // refuseOnce replaces the owner l1 by a server that refuses the first request and reports
 // the given number of running requests with each answer.
-func (w *testbed) refuseOnce(running int) (requests *int) {
+func (tb *testbed) refuseOnce(running int) (requests *int) {
 	requests = new(int)
-	assert.NilError(w.t, w.origins["l1"].Close())
+	assert.NilError(tb.t, tb.origins["l1"].Close())
 	s := &http.Server{ReadHeaderTimeout: time.Second, Handler: http.HandlerFunc(func(out http.ResponseWriter, _ *http.Request) {
 		*requests++
 		if *requests == 1 {
@@ -24,14 +24,14 @@
 			out.WriteHeader(http.StatusServiceUnavailable)
 		}
 	})}
-	l := w.net.Listen(l1Addr)
-	w.group.Go(func(ctx context.Context) error {
+	l := tb.net.Listen(l1Addr)
+	tb.group.Go(func(ctx context.Context) error {
 		defer context.AfterFunc(ctx, func() { _ = s.Close() })()
 		_ = s.Serve(l)
 		return nil
 	})
-	w.front.Headers = relay.DefaultHeaders()
-	w.front.Headers.Load = func(http.Header) (int, int, bool) { return running, 0, true }
+	tb.front.Headers = relay.DefaultHeaders()
+	tb.front.Headers.Load = func(http.Header) (int, int, bool) { return running, 0, true }
 	return requests
 }
 
@@ -39,9 +39,9 @@
 // accept the next attempt.
 func TestAnOwnerThatRefusesWithRoomIsAskedAgain(t *testing.T) {
 	for running, status := range map[int]int{0: http.StatusOK, 2: http.StatusTooManyRequests} {
-		runWithTestbed(t, func(t *testing.T, w *testbed) {
-			requests := w.refuseOnce(running)
-			r, _, err := w.do(w.request("GET", "/again/north", nil))
+		runWithTestbed(t, func(t *testing.T, tb *testbed) {
+			requests := tb.refuseOnce(running)
+			r, _, err := tb.do(tb.request("GET", "/again/north", nil))
 			assert.NilError(t, err)
 			assert.Equal(t, r.StatusCode, status, "%d running", running)
 			assert.Equal(t, *requests, map[int]int{http.StatusOK: 2, http.StatusTooManyRequests: 1}[status])
@@ -52,10 +52,10 @@
 // Guards against telling callers to wait a second for a server that has a free slot now.
 func TestCallersComeBackSoonToAServerWithRoom(t *testing.T) {
 	for running, after := range map[int]time.Duration{1: freeSlotRetryAfter, 2: kinds.Busy.Answer().Retry} {
-		runWithTestbed(t, func(t *testing.T, w *testbed) {
-			w.refuseOnce(running)
-			w.front.FormatRetryAfter = time.Duration.String
-			r, _, err := w.do(w.request("GET", "/scales/north", nil))
+		runWithTestbed(t, func(t *testing.T, tb *testbed) {
+			tb.refuseOnce(running)
+			tb.front.FormatRetryAfter = time.Duration.String
+			r, _, err := tb.do(tb.request("GET", "/scales/north", nil))
 			assert.NilError(t, err)
 			assert.Equal(t, r.StatusCode, http.StatusTooManyRequests)
 			assert.Equal(t, r.Header.Get("Retry-After"), after.String())
--- a/internal/edge/front/retention_test.go
+++ b/internal/edge/front/retention_test.go
@@ -15,13 +15,13 @@
 // submissions and failures, another one key in 16; a failure that was treated as a plain
 // lookup would be missing from the log.
 func TestDecisionsFollowTheRetentionOfTheirRule(t *testing.T) {
-	runWithTestbed(t, func(t *testing.T, w *testbed) {
+	runWithTestbed(t, func(t *testing.T, tb *testbed) {
 		send := func(method, path string) record.Decision {
-			_, _, err := w.do(w.request(method, path, nil))
+			_, _, err := tb.do(tb.request(method, path, nil))
 			assert.NilError(t, err)
-			w.decisions.mu.Lock()
-			defer w.decisions.mu.Unlock()
-			return w.decisions.list[len(w.decisions.list)-1]
+			tb.decisions.mu.Lock()
+			defer tb.decisions.mu.Unlock()
+			return tb.decisions.list[len(tb.decisions.list)-1]
 		}
 		for _, c := range []struct {
 			method, path string
--- a/internal/edge/front/split_key_test.go
+++ b/internal/edge/front/split_key_test.go
@@ -20,7 +20,7 @@
 // Guards against status 400 for a request without a key that goes to the undivided part
 // of a split. The caller would never repeat it, although that part serves it.
 func TestOnlyADividedPartOfASplitNeedsTheKey(t *testing.T) {
-	runWithTestbed(t, func(t *testing.T, w *testbed) {
+	runWithTestbed(t, func(t *testing.T, tb *testbed) {
 		for _, c := range []struct {
 			rules  string
 			keys   []string
@@ -31,10 +31,10 @@
 			{fmt.Sprintf(halfDividedRules, 1, 0), nil, http.StatusBadRequest},
 			{fmt.Sprintf(halfDividedRules, 1, 0), []string{"a", "b"}, http.StatusBadRequest},
 		} {
-			w.setRulesAt(w.state.Rules.Current().Rev+1, c.rules)
-			r := w.request("GET", "/scales/north", nil)
+			tb.setRulesAt(tb.state.Rules.Current().Rev+1, c.rules)
+			r := tb.request("GET", "/scales/north", nil)
 			r.Header["X-Key"] = c.keys
-			resp, body, err := w.do(r)
+			resp, body, err := tb.do(r)
 			assert.NilError(t, err)
 			assert.Equal(t, resp.StatusCode, c.status, "%v: %s", c.keys, body)
 		}
--- a/internal/edge/front/stale_rules_test.go
+++ b/internal/edge/front/stale_rules_test.go
@@ -21,38 +21,38 @@
 when = { path = "/asked" }
 then = { service = "upload", key = "query:ward" }
 `
-	runWithTestbed(t, func(t *testing.T, w *testbed) {
-		w.setRulesAt(8, keyRules)
-		w.front.SetLimit(config.Limit{Header: 2000, Body: 2000, Request: w.front.Limit.Request})
+	runWithTestbed(t, func(t *testing.T, tb *testbed) {
+		tb.setRulesAt(8, keyRules)
+		tb.front.SetLimit(config.Limit{Header: 2000, Body: 2000, Request: tb.front.Limit.Request})
 		cases := map[string]*http.Request{
-			"no rule":     w.request("GET", "/nobody/7", nil),
-			"denied":      w.request("GET", "/closed", nil),
-			"long body":   w.request("POST", "/lab/x", strings.NewReader(strings.Repeat("x", 3000))),
-			"long header": w.request("GET", "/lab/x", nil),
-			"no key":      w.request("GET", "/asked", nil),
+			"no rule":     tb.request("GET", "/nobody/7", nil),
+			"denied":      tb.request("GET", "/closed", nil),
+			"long body":   tb.request("POST", "/lab/x", strings.NewReader(strings.Repeat("x", 3000))),
+			"long header": tb.request("GET", "/lab/x", nil),
+			"no key":      tb.request("GET", "/asked", nil),
 		}
 		cases["long header"].Header.Set("X-Note", strings.Repeat("x", 3000))
 		for what, r := range cases {
-			resp, _, err := w.do(r.Clone(t.Context()))
+			resp, _, err := tb.do(r.Clone(t.Context()))
 			assert.NilError(t, err)
 			assert.Assert(t, resp.StatusCode >= 400 && resp.StatusCode < 500, "%s: %d", what, resp.StatusCode)
 		}
-		w.state.Rules.NoteRevision(9)
+		tb.state.Rules.NoteRevision(9)
 		for what, r := range cases {
 			if r.GetBody != nil {
 				r.Body, _ = r.GetBody()
 			}
-			resp, _, err := w.do(r)
+			resp, _, err := tb.do(r)
 			assert.NilError(t, err)
 			assert.Equal(t, resp.StatusCode, http.StatusServiceUnavailable, what)
 			assert.Assert(t, resp.Header.Get("Retry-After") != "", what)
-			d := w.decisions.last()
+			d := tb.decisions.last()
 			assert.Equal(t, d.Ran, kinds.RanNo, what)
 			assert.Equal(t, int(d.Rev), 8)
 			assert.Equal(t, int(d.Newest), 9)
 		}
-		w.setRulesAt(9, keyRules)
-		resp, _, err := w.do(w.request("GET", "/nobody/7", nil))
+		tb.setRulesAt(9, keyRules)
+		resp, _, err := tb.do(tb.request("GET", "/nobody/7", nil))
 		assert.NilError(t, err)
 		assert.Equal(t, resp.StatusCode, http.StatusNotFound, "no longer behind")
 	})
--- a/internal/edge/front/stream_test.go
+++ b/internal/edge/front/stream_test.go
@@ -21,16 +21,16 @@
 }
 
 // Read returns zeros.
-func (w *zeroBody) Read(b []byte) (int, error) {
-	if w.left == 0 {
+func (z *zeroBody) Read(b []byte) (int, error) {
+	if z.left == 0 {
 		return 0, io.EOF
 	}
-	n := int(min(int64(len(b)), w.left))
+	n := int(min(int64(len(b)), z.left))
 	clear(b[:n])
-	w.left -= int64(n)
-	w.read += int64(n)
-	if w.read>>20 != (w.read-int64(n))>>20 {
-		w.maxHeap = max(w.maxHeap, heapAlloc())
+	z.left -= int64(n)
+	z.read += int64(n)
+	if z.read>>20 != (z.read-int64(n))>>20 {
+		z.maxHeap = max(z.maxHeap, heapAlloc())
 	}
 	return n, nil
 }
@@ -50,17 +50,17 @@
 	}
 	for name, length := range map[string]int64{"with its length": size, "chunked": -1} {
 		t.Run(name, func(t *testing.T) {
-			runWithTestbed(t, func(t *testing.T, w *testbed) {
-				w.front.Limit.Body = 1 << 30
+			runWithTestbed(t, func(t *testing.T, tb *testbed) {
+				tb.front.Limit.Body = 1 << 30
 				body := &zeroBody{left: size}
-				r := w.request("POST", "/lab/images", body)
+				r := tb.request("POST", "/lab/images", body)
 				r.ContentLength = length
 				runtime.GC()
 				before := heapAlloc()
-				resp, _, err := w.do(r)
+				resp, _, err := tb.do(r)
 				assert.NilError(t, err)
 				assert.Equal(t, resp.StatusCode, http.StatusOK)
-				assert.Equal(t, w.origins["u1"].Record.All()[0].Bytes, size)
+				assert.Equal(t, tb.origins["u1"].Record.All()[0].Bytes, size)
 				grown := int64(body.maxHeap) - int64(before)
 				t.Logf("%d MB uploaded, heap grew by %d KB at most", size>>20, grown>>10)
 				assert.Assert(t, grown < maxUploadMemory)
@@ -72,14 +72,14 @@
 // A body of unknown length exceeds the limit while it is streamed. Part of it has reached
 // the server, so the caller must not be told that the request did not run.
 func TestABodyThatGrowsTooLargeIsCutOff(t *testing.T) {
-	runWithTestbed(t, func(t *testing.T, w *testbed) {
-		r := w.request("POST", "/lab/images", &zeroBody{left: 2 << 20})
+	runWithTestbed(t, func(t *testing.T, tb *testbed) {
+		r := tb.request("POST", "/lab/images", &zeroBody{left: 2 << 20})
 		r.ContentLength = -1
-		resp, _, err := w.do(r)
+		resp, _, err := tb.do(r)
 		if err == nil {
 			assert.Assert(t, resp.StatusCode >= http.StatusBadRequest)
 		}
-		assert.Equal(t, w.decisions.last().Ran != "no", true)
-		assert.Equal(t, w.origins["u1"].Record.All()[0].Bytes, int64(0))
+		assert.Equal(t, tb.decisions.last().Ran != "no", true)
+		assert.Equal(t, tb.origins["u1"].Record.All()[0].Bytes, int64(0))
 	})
 }
--- a/internal/edge/front/testbed_test.go
+++ b/internal/edge/front/testbed_test.go
@@ -102,59 +102,59 @@
 
 // newTestbed starts the entry VM and its backend servers.
 func newTestbed(t *testing.T) *testbed {
-	w := &testbed{t: t, origins: map[ident.Server]*origin.Origin{}}
-	w.state = state.New([]config.Service{
+	tb := &testbed{t: t, origins: map[ident.Server]*origin.Origin{}}
+	tb.state = state.New([]config.Service{
 		{Name: "lookup", Divided: true, Slices: 8, Servers: []config.Server{{Name: "l1", Data: l1Addr}, {Name: "l2", Data: l2Addr}}},
 		{Name: "upload", Servers: []config.Server{{Name: "u1", Data: u1Addr}}},
 		{Name: "viewer", Servers: []config.Server{{Name: "v1", Data: v1Addr}, {Name: "v2", Data: v2Addr}}},
 	})
-	for _, svc := range w.state.Services() {
+	for _, svc := range tb.state.Services() {
 		svc.Gate = gate.New(gate.Config{Service: svc.Name})
 		infos := []gate.ServerInfo{}
 		for _, s := range svc.Servers {
 			infos = append(infos, gate.ServerInfo{Name: s.Name, Slots: 2, Conns: 10})
 			o := origin.New(origin.Config{Service: svc.Name, Server: s.Name, Keyed: svc.Divided(), Slices: 8, Slots: 2, Queue: 2})
-			o.Serve(w.net.Listen(s.Data))
-			w.origins[s.Name] = o
+			o.Serve(tb.net.Listen(s.Data))
+			tb.origins[s.Name] = o
 		}
 		svc.Gate.SetServers(infos)
 	}
-	w.setRules(rules)
-	w.setOwner("l1")
-	w.front = &Front{
-		VM: "vm-1", State: w.state, Record: &w.decisions, Relay: relay.New(relay.Config{Open: w.net.Dial}),
+	tb.setRules(rules)
+	tb.setOwner("l1")
+	tb.front = &Front{
+		VM: "vm-1", State: tb.state, Record: &tb.decisions, Relay: relay.New(relay.Config{Open: tb.net.Dial}),
 		Limit: config.Limit{Request: config.SpanOf(30 * time.Second), HeaderTimeout: config.SpanOf(5 * time.Second), Body: 1 << 20, Queue: 100},
 	}
-	w.front.Start()
-	w.server = &http.Server{Handler: w.front.Handler(), ReadHeaderTimeout: 5 * time.Second, MaxHeaderBytes: 8 << 10}
-	l := w.net.Listen(entryAddr)
-	w.group.Go(func(context.Context) error {
-		_ = w.server.Serve(l)
+	tb.front.Start()
+	tb.server = &http.Server{Handler: tb.front.Handler(), ReadHeaderTimeout: 5 * time.Second, MaxHeaderBytes: 8 << 10}
+	l := tb.net.Listen(entryAddr)
+	tb.group.Go(func(context.Context) error {
+		_ = tb.server.Serve(l)
 		return nil
 	})
-	w.client = &http.Client{Transport: &http.Transport{DialContext: w.net.DialText}}
-	return w
+	tb.client = &http.Client{Transport: &http.Transport{DialContext: tb.net.DialText}}
+	return tb
 }
 
-func (w *testbed) close() {
-	w.client.CloseIdleConnections()
-	assert.NilError(w.t, w.server.Close())
-	assert.NilError(w.t, w.group.Close())
-	assert.NilError(w.t, w.front.Close())
-	assert.NilError(w.t, w.front.Relay.Close())
-	for _, o := range w.origins {
-		assert.NilError(w.t, o.Close())
+func (tb *testbed) close() {
+	tb.client.CloseIdleConnections()
+	assert.NilError(tb.t, tb.server.Close())
+	assert.NilError(tb.t, tb.group.Close())
+	assert.NilError(tb.t, tb.front.Close())
+	assert.NilError(tb.t, tb.front.Relay.Close())
+	for _, o := range tb.origins {
+		assert.NilError(tb.t, o.Close())
 	}
-	for _, svc := range w.state.Services() {
-		assert.NilError(w.t, svc.Gate.Close())
+	for _, svc := range tb.state.Services() {
+		assert.NilError(tb.t, svc.Gate.Close())
 	}
 	time.Sleep(time.Minute) // net/http waits a while before it closes a connection that it ended itself
 }
 
 // setRules puts rules in force under revision 7.
-func (w *testbed) setRules(text string) { w.setRulesAt(7, text) }
+func (tb *testbed) setRules(text string) { tb.setRulesAt(7, text) }
 
-func (w *testbed) setRulesAt(rev ident.Revision, text string) {
+func (tb *testbed) setRulesAt(rev ident.Revision, text string) {
 	f, err := match.Parse([]byte(text))
 	if err != nil {
 		panic(err)
@@ -163,47 +163,47 @@
 	if err != nil {
 		panic(err)
 	}
-	w.state.Rules.Apply(&revs.Snapshot{Record: &revs.Record{Rev: rev}, Set: set})
-	w.state.Rules.SetState(revs.Serve)
+	tb.state.Rules.Apply(&revs.Snapshot{Record: &revs.Record{Rev: rev}, Set: set})
+	tb.state.Rules.SetState(revs.Serve)
 }
 
 // setOwner gives every slice of the divided service to one server, which gets a lease for
 // all of them; the other server's lease ends.
-func (w *testbed) setOwner(to ident.Server) {
+func (tb *testbed) setOwner(to ident.Server) {
 	all := make([]ident.Slice, 8)
 	for i := range all {
 		all[i] = ident.Slice(i)
 	}
 	for _, name := range []ident.Server{"l1", "l2"} {
-		o := w.origins[name]
+		o := tb.origins[name]
 		order := server.Order{Lessor: name, Mark: o.Read().Mark, TTL: time.Hour, Full: true, Rev: 1}
 		if name == to {
 			order.Slices = all
-			assert.Assert(w.t, o.Grant(order).Done)
+			assert.Assert(tb.t, o.Grant(order).Done)
 			continue
 		}
-		assert.Assert(w.t, o.Revoke(order).Done)
+		assert.Assert(tb.t, o.Revoke(order).Done)
 	}
-	w.setView(to)
+	tb.setView(to)
 }
 
 // setView makes the entry VM believe that one server owns every slice.
-func (w *testbed) setView(to ident.Server) {
-	rev := w.table.Rev
+func (tb *testbed) setView(to ident.Server) {
+	rev := tb.table.Rev
 	tab, err := table.New("lookup", 8, "l1", "l2")
-	assert.NilError(w.t, err)
+	assert.NilError(tb.t, err)
 	for s := range ident.Slice(8) {
 		tab, err = tab.WithAssigned(table.Move{Slice: s, To: to})
-		assert.NilError(w.t, err)
+		assert.NilError(tb.t, err)
 	}
 	tab.Rev = rev + 20
-	w.table = tab
-	svc, _ := w.state.Service("lookup")
-	assert.Assert(w.t, svc.SetView(table.NewView(tab)))
+	tb.table = tab
+	svc, _ := tb.state.Service("lookup")
+	assert.Assert(tb.t, svc.SetView(table.NewView(tab)))
 }
 
-func (w *testbed) do(r *http.Request) (*http.Response, string, error) {
-	resp, err := w.client.Do(r)
+func (tb *testbed) do(r *http.Request) (*http.Response, string, error) {
+	resp, err := tb.client.Do(r)
 	if err != nil {
 		return nil, "", err
 	}
@@ -212,17 +212,17 @@
 	return resp, string(b), err
 }
 
-func (w *testbed) request(method, path string, body io.Reader) *http.Request {
-	r, err := http.NewRequestWithContext(w.t.Context(), method, "http://"+entryAddr.String()+path, body)
-	assert.NilError(w.t, err)
+func (tb *testbed) request(method, path string, body io.Reader) *http.Request {
+	r, err := http.NewRequestWithContext(tb.t.Context(), method, "http://"+entryAddr.String()+path, body)
+	assert.NilError(tb.t, err)
 	return r
 }
 
 // runWithTestbed runs a test in a synctest bubble with a testbed.
-func runWithTestbed(t *testing.T, test func(t *testing.T, w *testbed)) {
+func runWithTestbed(t *testing.T, test func(t *testing.T, tb *testbed)) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newTestbed(t)
-		defer w.close()
-		test(t, w)
+		tb := newTestbed(t)
+		defer tb.close()
+		test(t, tb)
 	})
 }
