--- a/internal/edge/pipe/pipe_test.go
+++ b/internal/edge/pipe/pipe_test.go
@@ -53,13 +53,13 @@
 	}
 	s.httpServer = &http.Server{ConnContext: Context, Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		c := From(r.Context())
-		run, came := c.Begin(r)
+		run, arrivedAt := c.Begin(r)
 		defer c.Done()
 		if run != nil && run.Deliver(w) {
 			return
 		}
-		if !came.IsZero() {
-			s.waits.Store(r.URL.Path, time.Since(came))
+		if !arrivedAt.IsZero() {
+			s.waits.Store(r.URL.Path, time.Since(arrivedAt))
 		}
 		ctx, cancel := context.WithCancel(r.Context())
 		defer cancel()
@@ -430,11 +430,11 @@
 // all do. Reading ahead must add no noticeable cost to such a request.
 func BenchmarkOneByOne(b *testing.B) {
 	for _, mode := range []struct {
-		name  string
-		ahead bool
+		name      string
+		pipelined bool
 	}{{"plain", false}, {"ahead", true}} {
 		b.Run(mode.name, func(b *testing.B) {
-			s := newTestServer(b, mode.ahead, func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "ok") })
+			s := newTestServer(b, mode.pipelined, func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "ok") })
 			c, err := net.Dial("tcp", s.l.Addr().String())
 			assert.NilError(b, err)
 			defer c.Close()
