--- a/internal/edge/meter/meter.go
+++ b/internal/edge/meter/meter.go
@@ -30,7 +30,7 @@
 	closer   io.Closer
 	reporter promreporter.Reporter
 
-	answers sync.Map // answerKey -> *answer
+	answers sync.Map // answerKey -> *answerMetrics
 }
 
 type answerKey struct {
