--- /dev/null
+++ b/internal/edge/front/pipeline_test.go
@@ -0,0 +1,62 @@
+package front
+
+import (
+	"bufio"
+	"context"
+	"fmt"
+	"io"
+	"net/http"
+	"net/netip"
+	"testing"
+	"time"
+
+	"gotest.tools/v3/assert"
+
+	"hawthornfield.org/hawthornfield/internal/edge/pipe"
+)
+
+// Guards against pipelined lookups that are processed one after the other: the caller
+// sends three requests at once on a connection, each takes 100 ms at its backend server,
+// and the third would be answered after 300 ms, with nothing in the log about the wait.
+// The last request is not idempotent and must not start before its turn: if an earlier
+// answer broke the connection off, its answer would be lost although it has run.
+func TestLookupsOfOneConnectionRunTogether(t *testing.T) {
+	runWithTestbed(t, func(t *testing.T, tb *testbed) {
+		tb.origins["v1"].Slow(100 * time.Millisecond)
+		tb.origins["v2"].Slow(100 * time.Millisecond)
+		addr := netip.MustParseAddrPort("10.0.0.7:80")
+		reader := tb.front.Pipeline()
+		l := tb.net.Listen(addr)
+		web := &http.Server{Handler: tb.front.Handler(), ConnContext: pipe.Context}
+		tb.group.Go(func(context.Context) error { _ = web.Serve(reader.Listen(l)); return nil })
+		defer func() {
+			assert.NilError(t, web.Close())
+			assert.NilError(t, reader.Close())
+		}()
+		c, err := tb.net.Dial(t.Context(), addr)
+		assert.NilError(t, err)
+		defer c.Close()
+		start := time.Now()
+		text := ""
+		for _, path := range []string{"/views/1", "/views/2", "/lab/3"} {
+			text += fmt.Sprintf("GET %s HTTP/1.1\r\nHost: a\r\nHawthorn-Deadline: 5000\r\n\r\n", path)
+		}
+		_, err = io.WriteString(c, text)
+		assert.NilError(t, err)
+		in := bufio.NewReader(c)
+		for _, path := range []string{"/views/1", "/views/2", "/lab/3"} {
+			resp, err := http.ReadResponse(in, nil)
+			assert.NilError(t, err)
+			_, err = io.Copy(io.Discard, resp.Body)
+			assert.NilError(t, err)
+			assert.Equal(t, resp.StatusCode, http.StatusOK, path)
+		}
+		assert.Assert(t, time.Since(start) < 220*time.Millisecond, "%v", time.Since(start))
+		d := tb.decisions.last()
+		assert.Assert(t, d.PipelineWait >= 90*time.Millisecond, "its wait is in the log: %v", d.PipelineWait)
+		assert.Assert(t, !d.Pipelined)
+		first := tb.decisions.list[0]
+		assert.Assert(t, first.FirstByte >= 100*time.Millisecond && first.FirstByte <= first.Took, "time at the server: %v of %v", first.FirstByte, first.Took)
+		assert.Assert(t, tb.decisions.list[0].Pipelined != tb.decisions.list[1].Pipelined, "the second lookup")
+	})
+}
--- /dev/null
+++ b/internal/edge/httpd/httpd.go
@@ -0,0 +1,112 @@
+// Package httpd provides what every daemon needs at its edge: HTTP listeners that shut
+// down without cutting off requests in flight, and a logger for failures of dependency
+// injection.
+package httpd
+
+import (
+	"context"
+	"errors"
+	"log/slog"
+	"net"
+	"net/http"
+	"net/netip"
+
+	"go.uber.org/fx/fxevent"
+
+	"hawthornfield.org/hawthornfield/internal/core/group"
+	"hawthornfield.org/hawthornfield/internal/core/kinds"
+	"hawthornfield.org/hawthornfield/internal/edge/pipe"
+)
+
+// Listener is one HTTP listener. Set Server before Start.
+type Listener struct {
+	Server *http.Server
+	// Pipeline, if set, reads ahead on the connections, see package pipe.
+	Pipeline *pipe.Reader
+
+	listener net.Listener
+	group    group.Group
+}
+
+// Start listens at the address and serves until Shutdown or Close.
+func (l *Listener) Start(at netip.AddrPort) error {
+	ln, err := net.ListenTCP("tcp", net.TCPAddrFromAddrPort(at))
+	if err != nil {
+		return kinds.Wrap(kinds.Unavailable, err, "listen on "+at.String())
+	}
+	l.listener = ln
+	var in net.Listener = ln
+	if l.Pipeline != nil {
+		in = l.Pipeline.Listen(ln)
+		l.Server.ConnContext = pipe.Context
+	}
+	l.group.Go(func(context.Context) error {
+		if err := l.Server.Serve(in); !errors.Is(err, http.ErrServerClosed) {
+			return err
+		}
+		return nil
+	})
+	return nil
+}
+
+// Addr returns the address of the listener, the zero value before Start.
+func (l *Listener) Addr() netip.AddrPort {
+	if l.listener == nil {
+		return netip.AddrPort{}
+	}
+	return l.listener.Addr().(*net.TCPAddr).AddrPort()
+}
+
+// Shutdown stops accepting connections, waits for requests in flight until ctx is done,
+// and then closes the remaining connections.
+func (l *Listener) Shutdown(ctx context.Context) error {
+	if l.Pipeline != nil {
+		l.Pipeline.Drain(ctx)
+	}
+	err := l.Server.Shutdown(ctx)
+	if err != nil {
+		_ = l.Server.Close()
+		err = kinds.Wrap(kinds.DeadlineMissed, err, "requests were still in flight")
+	}
+	if e := l.wait(); err == nil {
+		err = e
+	}
+	return err
+}
+
+// wait waits for all goroutines of the listener.
+func (l *Listener) wait() error {
+	if l.Pipeline != nil {
+		_ = l.Pipeline.Close() // its goroutines return no errors
+	}
+	return l.group.Close()
+}
+
+// Close closes all connections at once. It is meant for listeners that serve no callers'
+// requests.
+func (l *Listener) Close(context.Context) error {
+	_ = l.Server.Close()
+	return l.wait()
+}
+
+// ErrorLogger is an fx event logger that logs only failures: the other events would swamp
+// the log of decisions.
+type ErrorLogger struct{ Log *slog.Logger }
+
+// LogEvent logs the event if it is a failure.
+func (l ErrorLogger) LogEvent(e fxevent.Event) {
+	switch e := e.(type) {
+	case *fxevent.OnStartExecuted:
+		l.logFailure("start", e.CallerName, e.Err)
+	case *fxevent.OnStopExecuted:
+		l.logFailure("stop", e.CallerName, e.Err)
+	case *fxevent.Invoked:
+		l.logFailure("invoke", e.FunctionName, e.Err)
+	}
+}
+
+func (l ErrorLogger) logFailure(action, part string, err error) {
+	if err != nil {
+		l.Log.Error(action, "part", part, "err", err)
+	}
+}
