--- a/internal/edge/feed/feed.go
+++ b/internal/edge/feed/feed.go
@@ -99,8 +99,8 @@
 	Release(ctx context.Context, to netip.AddrPort, s ident.Server, keys ranges.Span, fence uint64) (token string, err error)
 }
 
-// Platform decodes what a platform's store holds.
-type Platform interface {
+// Decoder decodes what a platform's store holds.
+type Decoder interface {
 	// Servers decodes the entries of servers. One that cannot be read names no
 	// server and is returned among the bad.
 	Server(name string, value []byte) (Server, error)
--- a/internal/edge/host/blind_test.go
+++ b/internal/edge/host/blind_test.go
@@ -17,7 +17,7 @@
 func TestALeaderThatCannotReadTheNewestRulesHidesThemFromNobody(t *testing.T) {
 	w := newWorld(t, 3)
 	var refused atomic.Int64
-	w.decoders = map[int]feed.Platform{0: choosy{refused: &refused}}
+	w.decoders = map[int]feed.Decoder{0: choosy{refused: &refused}}
 	w.store.write("config/main", grown(900)) // large enough to be left to the others
 	w.serve("ledger", "r1")
 	w.start(0)
--- a/internal/edge/host/host.go
+++ b/internal/edge/host/host.go
@@ -64,7 +64,7 @@
 type Platform struct {
 	Store            object.Store // linearizable
 	StaleStore       object.Store // cheaper; lists and watches may be seconds behind
-	Decode           feed.Platform
+	Decode           feed.Decoder
 	Orders           feed.Orders
 	Headers          relay.Headers
 	FormatRetryAfter func(time.Duration) string
--- a/internal/edge/host/world_test.go
+++ b/internal/edge/host/world_test.go
@@ -244,7 +244,7 @@
 	ways  []*gateway
 	cfgs  []Config
 	// decoders are those of VMs of other versions.
-	decoders map[int]feed.Platform
+	decoders map[int]feed.Decoder
 	log      *slog.Logger // of the VMs
 	text     bytes.Buffer // what they log, where a test reads it
 }
@@ -332,7 +332,7 @@
 			cfg.Seeds = append(cfg.Seeds, other.Peers)
 		}
 	}
-	var decode feed.Platform = decoder{}
+	var decode feed.Decoder = decoder{}
 	if d, odd := w.decoders[i]; odd {
 		decode = d
 	}
