--- a/internal/edge/host/book.go
+++ b/internal/edge/host/book.go
@@ -129,12 +129,12 @@
 
 func (b *book) object(o object.Object) {
 	if o.Name == b.parts.Platform.Rules && o.Version != 0 {
-		b.take(poll.Raw{Rev: uint64(o.Version), Data: o.Value}, "store")
+		b.take(poll.RawRules{Rev: uint64(o.Version), Data: o.Value}, "store")
 	}
 }
 
 // take puts rules in force if they are newer.
-func (b *book) take(raw poll.Raw, from string) {
+func (b *book) take(raw poll.RawRules, from string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if raw.Rev <= uint64(b.now.Rev) {
--- a/internal/edge/host/courier.go
+++ b/internal/edge/host/courier.go
@@ -86,8 +86,8 @@
 func (c *courier) hello() *poll.Request {
 	a := &poll.Request{VM: c.p.Config.VM, Addr: c.p.Config.Peers.String(), CPUs: c.p.Config.CPUs}
 	a.Lease, _ = c.p.Board.Lease()
-	a.Rules = uint64(c.p.State.Rules.Newest())
-	_, a.Servers = c.p.Board.Revs()
+	a.RulesRev = uint64(c.p.State.Rules.Newest())
+	_, a.ServersRev = c.p.Board.Revs()
 	return a
 }
 
@@ -95,9 +95,9 @@
 func (c *courier) question() *poll.Request {
 	a := c.hello()
 	a.Incarnation, a.Seqs = c.life, c.seqs
-	a.Servers = c.p.Fleet.known(time.Now())
+	a.ServersRev = c.p.Fleet.known(time.Now())
 	a.Cells, a.LatencySums = c.p.Counts.take()
-	a.Reports, a.Cases = c.p.Guard.reports(a.Lease.Incarnation), c.cases
+	a.Reports, a.CaseSeq = c.p.Guard.reports(a.Lease.Incarnation), c.cases
 	return a
 }
 
@@ -177,8 +177,8 @@
 	if n.Lease.Incarnation != "" {
 		c.p.Reign.loop.Send(elect.LeaseMsg{Lease: n.Lease})
 	}
-	if n.Newest > 0 {
-		c.p.Fetch.name(n.Newest, from)
+	if n.RulesRev > 0 {
+		c.p.Fetch.name(n.RulesRev, from)
 	}
 	if n.Rules != nil {
 		c.p.Book.take(*n.Rules, "peer")
@@ -191,7 +191,7 @@
 // sure takes in for how long the leader's rules are the newest. The time counts from the
 // question: when the answer was written nobody here knows.
 func (c *courier) sure(asked time.Time, n poll.Response) {
-	if c.p.Book.has(n.Newest) {
+	if c.p.Book.has(n.RulesRev) {
 		c.p.State.Rules.SetFreshUntil(asked.Add(n.RulesFreshFor))
 		c.p.Board.SetRulesCursor(n.RulesCursor)
 	}
--- a/internal/edge/host/fleet_test.go
+++ b/internal/edge/host/fleet_test.go
@@ -47,7 +47,7 @@
 	f.take(poll.ServerList{Rev: 5, List: []feed.Server{one, {Name: "lookup-0", Service: "lookup", Rev: 2}}})
 	now := time.Now()
 	assert.Equal(t, f.known(now), uint64(5))
-	f.take(poll.ServerList{Rev: 6, Part: true, List: []feed.Server{two}, Sum: poll.SumOf([]feed.Server{one, two})})
+	f.take(poll.ServerList{Rev: 6, Delta: true, List: []feed.Server{two}, Sum: poll.SumOf([]feed.Server{one, two})})
 	assert.Equal(t, f.known(now), uint64(0))
 	assert.Equal(t, f.known(now), uint64(6), "not again at once, should the two differ for good reason")
 	f.take(poll.ServerList{Rev: 6, List: []feed.Server{one, two}})
--- a/internal/edge/host/hello_test.go
+++ b/internal/edge/host/hello_test.go
@@ -18,7 +18,7 @@
 	w.within(patient, "the server is known", func() bool { _, servers := h.d.p.Board.Revs(); return servers > 0 })
 	rules, servers := h.d.p.Board.Revs()
 	a := h.d.p.Courier.hello()
-	assert.Equal(t, a.Rules, rules)
-	assert.Equal(t, a.Servers, servers)
+	assert.Equal(t, a.RulesRev, rules)
+	assert.Equal(t, a.ServersRev, servers)
 	assert.NilError(t, h.Close())
 }
--- a/internal/edge/host/quarobj.go
+++ b/internal/edge/host/quarobj.go
@@ -24,8 +24,8 @@
 
 // keptCases is the object's form. At is the time of day at which the ages were right.
 type keptCases struct {
-	At    time.Time                  `json:"at"`
-	Cases poll.Parts[poison.Verdict] `json:"cases"`
+	At    time.Time                        `json:"at"`
+	Cases poll.LenientList[poison.Verdict] `json:"cases"`
 }
 
 // signature names cases and their crashes, and leaves out ages, which always change.
--- a/internal/edge/host/rely_test.go
+++ b/internal/edge/host/rely_test.go
@@ -83,9 +83,9 @@
 	w.within(patient, "ready", w.ready(0))
 	c, far := h.d.p.Courier, object.Cursor(1_000_000)
 	rev, _ := h.d.p.Board.Revs()
-	c.sure(clock.Now(), poll.Response{IsLeader: true, Newest: rev + 1, RulesFreshFor: time.Minute, RulesCursor: far})
+	c.sure(clock.Now(), poll.Response{IsLeader: true, RulesRev: rev + 1, RulesFreshFor: time.Minute, RulesCursor: far})
 	assert.Assert(t, h.d.p.Board.RulesCursor() < far)
-	c.sure(clock.Now(), poll.Response{IsLeader: true, Newest: rev, RulesFreshFor: time.Minute, RulesCursor: far})
+	c.sure(clock.Now(), poll.Response{IsLeader: true, RulesRev: rev, RulesFreshFor: time.Minute, RulesCursor: far})
 	assert.Equal(t, h.d.p.Board.RulesCursor(), far)
 	assert.NilError(t, h.Close())
 }
--- a/internal/edge/host/thin_test.go
+++ b/internal/edge/host/thin_test.go
@@ -24,7 +24,7 @@
 // manyRoutes is a configuration of some 4,200 routes as the store holds it, 0.7 MB of
 // text with names that do not repeat. Only a handful are rules that a VM compiles: what
 // these tests ask is how the text travels.
-func manyRoutes(t *testing.T) poll.Raw {
+func manyRoutes(t *testing.T) poll.RawRules {
 	const routes, chars = 4200, "abcdefghijklmnopqrstuvwxyz0123456789"
 	name := func(n int) string {
 		b := make([]byte, n)
@@ -44,7 +44,7 @@
 	}{grown(10), text.String()}
 	b, err := json.Marshal(rules)
 	assert.NilError(t, err)
-	return poll.Raw{Rev: newRev, Data: b}
+	return poll.RawRules{Rev: newRev, Data: b}
 }
 
 // inForce is within which rules that the store accepted must be in force on every VM
@@ -128,7 +128,7 @@
 	w.store.mu.Lock()
 	next := w.store.rev + 1
 	w.store.mu.Unlock()
-	leader.SetRules(poll.Raw{Rev: next, Data: []byte("{}")})
+	leader.SetRules(poll.RawRules{Rev: next, Data: []byte("{}")})
 	time.Sleep(headStart / 4)
 	w.rules("/new/")
 	w.within(patient, "new rules", func() bool {
@@ -181,7 +181,7 @@
 	w := newWorld(t, 1)
 	leader, h := w.follower(1_000_000)
 	w.ways[0].bar(true)
-	leader.SetRules(poll.Raw{Rev: newRev, Data: []byte(`"for a later version"`)})
+	leader.SetRules(poll.RawRules{Rev: newRev, Data: []byte(`"for a later version"`)})
 	w.within(patient, "the newest revision is known", func() bool {
 		return h.d.p.State.Rules.Newest() == newRev
 	})
--- a/internal/edge/host/told.go
+++ b/internal/edge/host/told.go
@@ -12,7 +12,7 @@
 func (f *fleet) take(l poll.ServerList) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if l.Rev < f.rev || l.Rev == f.rev && (l.Part || !f.doubt) {
+	if l.Rev < f.rev || l.Rev == f.rev && (l.Delta || !f.doubt) {
 		return
 	}
 	list := make([]member.Entry[feed.Server], len(l.List))
@@ -21,7 +21,7 @@
 	}
 	now := time.Now()
 	var news bool
-	if l.Part {
+	if l.Delta {
 		news = f.census.MergePeerDelta(now, l.Rev, list, l.Gone)
 	} else {
 		news = f.census.MergePeer(now, l.Rev, list)
@@ -31,7 +31,7 @@
 	} else {
 		f.pass(l.Rev)
 	}
-	f.doubt = l.Part && l.Rev == f.rev && l.Sum != poll.SumOf(f.list())
+	f.doubt = l.Delta && l.Rev == f.rev && l.Sum != poll.SumOf(f.list())
 }
 
 // wholeEvery is the least time between two questions for the whole list: a VM may
--- a/internal/edge/poll/board.go
+++ b/internal/edge/poll/board.go
@@ -45,13 +45,13 @@
 	Lease       elect.Lease                        `json:"lease"` // the newest that the sender knows
 	Incarnation string                             `json:"life"`  // of the leader whose numbers follow
 	Seqs        map[ident.Service]uint64           `json:"seqs,omitempty"`
-	Rules       uint64                             `json:"rules"` // newest revision that the sender knows to exist
-	Servers     uint64                             `json:"servers"`
+	RulesRev    uint64                             `json:"rules"` // newest revision that the sender knows to exist
+	ServersRev  uint64                             `json:"servers"`
 	CPUs        float64                            `json:"power,omitempty"` // processors that the sender may use
 	Cells       map[ident.Service]CellCounts       `json:"cells,omitempty"`
 	LatencySums map[ident.Server]assign.LatencySum `json:"sums,omitempty"`
-	Reports     Parts[poison.Report]               `json:"reports,omitempty"` // of requests under which servers broke off
-	Cases       uint64                             `json:"cases,omitempty"`   // number of the last change to such requests that the sender was told
+	Reports     LenientList[poison.Report]         `json:"reports,omitempty"` // of requests under which servers broke off
+	CaseSeq     uint64                             `json:"cases,omitempty"`   // number of the last change to such requests that the sender was told
 
 	came time.Time // by the boot clock
 }
@@ -79,9 +79,9 @@
 	VMCount       int                      `json:"count"`          // how many VMs ask, the asker included
 	VMs           []string                 `json:"vms"`            // where some of them are asked
 	Changes       map[ident.Service]Change `json:"changes,omitempty"`
-	Newest        uint64                   `json:"newest,omitempty"` // revision of the rules that may be asked for here
-	// Rules are what a VM of an earlier version, which names no newest revision, sends.
-	Rules   *Raw        `json:"rules,omitempty"`
+	RulesRev      uint64                   `json:"newest,omitempty"` // revision of the rules that may be asked for here
+	// RulesRev are what a VM of an earlier version, which names no newest revision, sends.
+	Rules   *RawRules   `json:"rules,omitempty"`
 	Servers *ServerList `json:"servers,omitempty"`
 	Cases   *Cases      `json:"cases,omitempty"`
 
@@ -89,11 +89,11 @@
 	ReceivedAt time.Time `json:"-"`
 }
 
-// Cases are the requests under suspicion of crashing servers that changed since the asker
+// CaseSeq are the requests under suspicion of crashing servers that changed since the asker
 // was last told, up to a number.
 type Cases struct {
-	Seq  uint64                `json:"seq"`
-	List Parts[poison.Verdict] `json:"list"`
+	Seq  uint64                      `json:"seq"`
+	List LenientList[poison.Verdict] `json:"list"`
 }
 
 // CaseSource is where the leader keeps such requests.
@@ -246,13 +246,13 @@
 }
 
 // SetRules notes newer rules and reports whether they are.
-func (b *Hub) SetRules(r Raw) bool {
+func (b *Hub) SetRules(r RawRules) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if r.Rev <= b.rules.Rev {
 		return false
 	}
-	b.rules = &payload{Raw: r}
+	b.rules = &payload{RawRules: r}
 	b.comes()
 	b.came, b.comes = context.WithCancel(context.Background())
 	b.wake()
@@ -326,12 +326,12 @@
 // One that knows newer rules to exist and still fetches them has nothing to be told, and
 // would ask again at once. The caller holds mu, here and below.
 func (b *Hub) stored(a *Request, n *Response) bool {
-	n.Newest = b.rules.Rev
-	if b.servers.now.Rev > a.Servers {
-		l := b.servers.since(a.Servers)
+	n.RulesRev = b.rules.Rev
+	if b.servers.now.Rev > a.ServersRev {
+		l := b.servers.since(a.ServersRev)
 		n.Servers = &l
 	}
-	return n.Newest > a.Rules || n.Servers != nil
+	return n.RulesRev > a.RulesRev || n.Servers != nil
 }
 
 // cases adds the requests under suspicion that the asker was not told of.
@@ -339,7 +339,7 @@
 	if b.source == nil {
 		return false
 	}
-	seq := a.Cases
+	seq := a.CaseSeq
 	if a.Incarnation != b.life {
 		seq = 0
 	}
--- a/internal/edge/poll/list.go
+++ b/internal/edge/poll/list.go
@@ -10,10 +10,10 @@
 // ServerList is the servers as of a place in the store's sequence of changes: all of
 // them, or what changed after an earlier place.
 type ServerList struct {
-	Rev  uint64         `json:"rev"`
-	Part bool           `json:"part,omitempty"` // the list holds only what changed
-	List []feed.Server  `json:"list"`
-	Gone []ident.Server `json:"gone,omitempty"`
+	Rev   uint64         `json:"rev"`
+	Delta bool           `json:"part,omitempty"` // the list holds only what changed
+	List  []feed.Server  `json:"list"`
+	Gone  []ident.Server `json:"gone,omitempty"`
 	// Sum is that of all servers, see SumOf. Who has another one after taking a part
 	// in has missed something.
 	Sum uint64 `json:"sum,omitempty"`
@@ -82,7 +82,7 @@
 	if rev < l.from {
 		return l.now
 	}
-	part := ServerList{Rev: l.now.Rev, Part: true, Sum: l.now.Sum}
+	part := ServerList{Rev: l.now.Rev, Delta: true, Sum: l.now.Sum}
 	for _, s := range l.now.List {
 		if l.came[s.Name] > rev {
 			part.List = append(part.List, s)
--- a/internal/edge/poll/list_test.go
+++ b/internal/edge/poll/list_test.go
@@ -20,7 +20,7 @@
 // apply is what an asker makes of a list that it is told.
 func apply(have map[ident.Server]feed.Server, l ServerList) map[ident.Server]feed.Server {
 	next := map[ident.Server]feed.Server{}
-	if l.Part {
+	if l.Delta {
 		for name, s := range have {
 			next[name] = s
 		}
@@ -85,8 +85,8 @@
 		l.set(ServerList{Rev: rev, List: []feed.Server{serverNamed(0, 1), serverNamed(1, rev)}})
 		l.set(ServerList{Rev: rev + 1, List: []feed.Server{serverNamed(0, 1)}})
 	}
-	assert.Assert(t, !l.since(2).Part)
-	assert.Assert(t, l.since(9).Part, "everything after the second that was forgotten is known")
+	assert.Assert(t, !l.since(2).Delta)
+	assert.Assert(t, l.since(9).Delta, "everything after the second that was forgotten is known")
 	assert.Equal(t, len(l.gone), keptGone)
 }
 
@@ -103,7 +103,7 @@
 	changed := append([]feed.Server(nil), list...)
 	changed[7].Rev, changed[7].Leaving = 6, true
 	b.SetServers(ServerList{Rev: 6, List: changed})
-	n, worth, _ := b.look(time.Now(), &Request{VM: "x", Servers: 5})
+	n, worth, _ := b.look(time.Now(), &Request{VM: "x", ServersRev: 5})
 	assert.Assert(t, worth)
 	text, err := json.Marshal(n)
 	assert.NilError(t, err)
--- a/internal/edge/poll/parts.go
+++ b/internal/edge/poll/parts.go
@@ -2,12 +2,12 @@
 
 import "encoding/json"
 
-// Parts is a list of which each part is read by itself. One that a VM of another version
+// LenientList is a list of which each part is read by itself. One that a VM of another version
 // writes differently is left out, and the news around it can be read.
-type Parts[T any] []T
+type LenientList[T any] []T
 
 // UnmarshalJSON reads what it can.
-func (p *Parts[T]) UnmarshalJSON(b []byte) error {
+func (p *LenientList[T]) UnmarshalJSON(b []byte) error {
 	*p = nil
 	var all []json.RawMessage
 	if json.Unmarshal(b, &all) != nil {
--- a/internal/edge/poll/query_test.go
+++ b/internal/edge/poll/query_test.go
@@ -49,13 +49,13 @@
 // from the leader, and as they change, not at its next question.
 func TestNewsReachAWaitingVMAtOnce(t *testing.T) {
 	b := leader()
-	b.SetRules(Raw{Rev: 7, Data: []byte(`{"a":1}`)})
+	b.SetRules(RawRules{Rev: 7, Data: []byte(`{"a":1}`)})
 	at, heard := launch(t, b)
 	c := NewClient()
-	n, err := c.Poll(t.Context(), at, &Request{VM: "vm-2", Addr: "10.0.0.2:1", Rules: 7}, nil)
+	n, err := c.Poll(t.Context(), at, &Request{VM: "vm-2", Addr: "10.0.0.2:1", RulesRev: 7}, nil)
 	assert.NilError(t, err, "after the wait, with nothing new")
 	assert.Assert(t, n.IsLeader && n.Changes == nil)
-	assert.Equal(t, n.Newest, uint64(7))
+	assert.Equal(t, n.RulesRev, uint64(7))
 	assert.Equal(t, len(heard()), 1)
 
 	type answer struct {
@@ -66,7 +66,7 @@
 	asked := time.Now()
 	web := sync.WaitGroup{}
 	web.Go(func() {
-		n, err := c.Poll(t.Context(), at, &Request{VM: "vm-2", Rules: 7, Incarnation: "vm-1-a"}, nil)
+		n, err := c.Poll(t.Context(), at, &Request{VM: "vm-2", RulesRev: 7, Incarnation: "vm-1-a"}, nil)
 		got <- answer{n, err}
 	})
 	for len(heard()) < 2 {
@@ -115,11 +115,11 @@
 func TestAnyVMTellsWhatItKnows(t *testing.T) {
 	b := NewHub("vm-2", "vm-2-a")
 	b.SetLease(elect.Lease{Epoch: 3, Holder: "vm-1", Incarnation: "vm-1-a"}, false)
-	b.SetRules(Raw{Rev: 7, Data: []byte(`{}`)})
+	b.SetRules(RawRules{Rev: 7, Data: []byte(`{}`)})
 	b.SetServers(ServerList{Rev: 9})
 	n, worth, _ := b.look(time.Now(), &Request{VM: "vm-3"})
 	assert.Assert(t, worth && !n.IsLeader)
-	assert.Equal(t, n.Newest, uint64(7))
+	assert.Equal(t, n.RulesRev, uint64(7))
 	assert.Equal(t, n.Servers.Rev, uint64(9))
 	assert.Equal(t, n.Lease.Holder, ident.VM("vm-1"))
 	assert.Equal(t, n.Incarnation, "vm-2-a")
@@ -127,9 +127,9 @@
 
 func TestOlderNewsAreRefused(t *testing.T) {
 	b := leader()
-	assert.Assert(t, b.SetRules(Raw{Rev: 7}))
-	assert.Assert(t, !b.SetRules(Raw{Rev: 7}))
-	assert.Assert(t, !b.SetRules(Raw{Rev: 6}))
+	assert.Assert(t, b.SetRules(RawRules{Rev: 7}))
+	assert.Assert(t, !b.SetRules(RawRules{Rev: 7}))
+	assert.Assert(t, !b.SetRules(RawRules{Rev: 6}))
 	assert.Assert(t, b.SetServers(ServerList{Rev: 2}))
 	assert.Assert(t, !b.SetServers(ServerList{Rev: 1}))
 }
--- a/internal/edge/poll/rules.go
+++ b/internal/edge/poll/rules.go
@@ -24,10 +24,10 @@
 // Rules are the one thing that all VMs know in common and that is large: up to a
 // megabyte. In the answers to questions they would fill the leader's network link, once
 // for each VM, and hold up the news beside them. So the news only name the newest
-// revision, and who lacks it asks any VM that has it, see [Client.Rules].
+// revision, and who lacks it asks any VM that has it, see [Client.RulesRev].
 
-// Raw is something that the store holds, as it stands there.
-type Raw struct {
+// RawRules is something that the store holds, as it stands there.
+type RawRules struct {
 	Rev  uint64          `json:"rev"`
 	Data json.RawMessage `json:"data"`
 
@@ -60,7 +60,7 @@
 // payload is rules to be sent to other VMs, compressed when the first asks for them: the
 // fast way, since VMs have a fifth of a core and callers wait meanwhile.
 type payload struct {
-	Raw
+	RawRules
 	once sync.Once
 }
 
@@ -144,40 +144,40 @@
 // Rules asks one VM for rules newer than a revision, and returns how many bytes they
 // were on the way. The error carries kind Absent where the VM has none, Busy while it
 // sends them to others, Malformed for what cannot be unpacked, and Down.
-func (c *Client) Rules(ctx context.Context, at netip.AddrPort, after uint64) (Raw, int, error) {
+func (c *Client) Rules(ctx context.Context, at netip.AddrPort, after uint64) (RawRules, int, error) {
 	url := fmt.Sprintf("http://%s%s?%s=%d", at, rulesPath, afterParam, after)
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
-		return Raw{}, 0, kinds.Wrap(kinds.Internal, err, "request for rules")
+		return RawRules{}, 0, kinds.Wrap(kinds.Internal, err, "request for rules")
 	}
 	req.Close = true // tells the other VM that they have arrived
 	resp, err := flow.DoWithTimeouts(c.web, req, rulesWait, bodySilence)
 	if err != nil {
-		return Raw{}, 0, kinds.Wrap(kinds.Unavailable, err, "rules of "+at.String())
+		return RawRules{}, 0, kinds.Wrap(kinds.Unavailable, err, "rules of "+at.String())
 	}
 	defer resp.Body.Close()
 	switch resp.StatusCode {
 	case http.StatusOK:
 	case http.StatusNoContent:
-		return Raw{}, 0, kinds.New(kinds.NotFound, "no newer rules at "+at.String())
+		return RawRules{}, 0, kinds.New(kinds.NotFound, "no newer rules at "+at.String())
 	case http.StatusServiceUnavailable:
-		return Raw{}, 0, kinds.New(kinds.Busy, at.String()+" sends rules to others")
+		return RawRules{}, 0, kinds.New(kinds.Busy, at.String()+" sends rules to others")
 	default:
-		return Raw{}, 0, kinds.New(kinds.Unavailable, "rules of "+at.String()+": "+resp.Status)
+		return RawRules{}, 0, kinds.New(kinds.Unavailable, "rules of "+at.String()+": "+resp.Status)
 	}
 	rev, err := strconv.ParseUint(resp.Header.Get(headerRev), 10, 64)
 	if err != nil {
-		return Raw{}, 0, kinds.Wrap(kinds.Malformed, err, "revision of rules of "+at.String())
+		return RawRules{}, 0, kinds.Wrap(kinds.Malformed, err, "revision of rules of "+at.String())
 	}
 	packed, err := io.ReadAll(io.LimitReader(resp.Body, mostRules))
 	if err != nil {
-		return Raw{}, 0, kinds.Wrap(kinds.Unavailable, err, "rules of "+at.String())
+		return RawRules{}, 0, kinds.Wrap(kinds.Unavailable, err, "rules of "+at.String())
 	}
 	data, err := unpack(packed)
 	if err != nil {
-		return Raw{}, 0, kinds.Wrap(kinds.Malformed, err, "rules of "+at.String())
+		return RawRules{}, 0, kinds.Wrap(kinds.Malformed, err, "rules of "+at.String())
 	}
-	return Raw{Rev: rev, Data: data, packed: packed}, len(packed), nil
+	return RawRules{Rev: rev, Data: data, packed: packed}, len(packed), nil
 }
 
 // unpack decompresses rules. More than the store can hold is Malformed.
--- a/internal/edge/poll/rules_test.go
+++ b/internal/edge/poll/rules_test.go
@@ -113,7 +113,7 @@
 		f.serve(other, second.Handler(func(*Request) {}))
 		c := f.client(nil)
 		data := []byte(strings.Repeat(`{"a":1},`, 1000))
-		first.SetRules(Raw{Rev: 7, Data: data})
+		first.SetRules(RawRules{Rev: 7, Data: data})
 		_, _, err := c.Rules(t.Context(), firstVM, 7)
 		assert.Equal(t, kinds.Of(err), kinds.NotFound)
 		_, _, err = c.Rules(t.Context(), other, 6)
@@ -138,7 +138,7 @@
 func TestAVMSendsRulesToAFewAtOnce(t *testing.T) {
 	inFleet(t, func(t *testing.T, f *fleet) {
 		b := leader()
-		b.SetRules(Raw{Rev: 7, Data: noise(100_000)})
+		b.SetRules(RawRules{Rev: 7, Data: noise(100_000)})
 		f.serve(firstVM, b.Handler(func(*Request) {}))
 		start := time.Now()
 		var g group.Group
@@ -166,7 +166,7 @@
 // share the link: the rules reach nobody for seconds.
 func TestAPlaceIsTakenUntilTheRulesHaveArrived(t *testing.T) {
 	b := leader()
-	b.SetRules(Raw{Rev: 7, Data: noise(30_000)})
+	b.SetRules(RawRules{Rev: 7, Data: noise(30_000)})
 	at, _ := launch(t, b)
 	var waiting []net.Conn
 	for range mostSent {
@@ -195,7 +195,7 @@
 func TestAVMThatFallsSilentKeepsNoPlace(t *testing.T) {
 	inFleet(t, func(t *testing.T, f *fleet) {
 		b := leader()
-		b.SetRules(Raw{Rev: 7, Data: noise(100_000)})
+		b.SetRules(RawRules{Rev: 7, Data: noise(100_000)})
 		f.serve(firstVM, b.Handler(func(*Request) {}))
 		var cut []net.Conn
 		for range mostSent {
@@ -225,7 +225,7 @@
 	inFleet(t, func(t *testing.T, f *fleet) {
 		b := leader()
 		data := noise(object.MaxValue)
-		b.SetRules(Raw{Rev: 7, Data: data})
+		b.SetRules(RawRules{Rev: 7, Data: data})
 		f.serve(firstVM, b.Handler(func(*Request) {}))
 		start := time.Now()
 		raw, _, err := f.client(func() time.Duration { return 6 * time.Millisecond }).Rules(t.Context(), firstVM, 0)
@@ -270,21 +270,21 @@
 	assert.NilError(t, json.Unmarshal([]byte(`{"vm":"vm-1","leads":true,"rules":{"rev":7,"data":{"a":1}}}`), &n))
 	assert.Equal(t, n.Rules.Rev, uint64(7))
 	assert.Equal(t, string(n.Rules.Data), `{"a":1}`)
-	assert.Equal(t, n.Newest, uint64(0))
+	assert.Equal(t, n.RulesRev, uint64(0))
 }
 
 // A VM knows that newer rules exist and fetches them, or could not read them. The leader
 // must not answer each of its questions at once: both would do nothing else.
 func TestRulesThatTheAskerKnowsOfAreNoNews(t *testing.T) {
 	b := leader()
-	b.SetRules(Raw{Rev: 7, Data: noise(100_000)})
-	n, worth, _ := b.look(time.Now(), &Request{VM: "vm-2", Rules: 6})
+	b.SetRules(RawRules{Rev: 7, Data: noise(100_000)})
+	n, worth, _ := b.look(time.Now(), &Request{VM: "vm-2", RulesRev: 6})
 	assert.Assert(t, worth)
-	assert.Equal(t, n.Newest, uint64(7))
+	assert.Equal(t, n.RulesRev, uint64(7))
 	text, err := json.Marshal(n)
 	assert.NilError(t, err)
 	assert.Assert(t, len(text) < 1000, "%d bytes", len(text))
-	_, worth, _ = b.look(time.Now(), &Request{VM: "vm-2", Rules: 7})
+	_, worth, _ = b.look(time.Now(), &Request{VM: "vm-2", RulesRev: 7})
 	assert.Assert(t, !worth)
 }
 
@@ -298,7 +298,7 @@
 	}
 	var packed int
 	for b.Loop() {
-		p := payload{Raw: Raw{Data: text.Bytes()}}
+		p := payload{RawRules: RawRules{Data: text.Bytes()}}
 		packed = len(p.pack())
 	}
 	b.ReportMetric(float64(text.Len()), "bytes")
