--- a/internal/edge/host/world_test.go
+++ b/internal/edge/host/cluster_test.go
@@ -30,58 +30,61 @@
 	"hawthornfield.org/hawthornfield/internal/rules/match"
 )
 
-// store is a platform's store in memory: one revision counts the changes of all
-// objects. VMs that are barred get no answer from it.
-type store struct {
+// memStore is an in-memory platform store. One revision counts the changes of all
+// objects.
+type memStore struct {
 	mu      sync.Mutex
 	rev     uint64
 	objects map[string]object.Object
-	log     []object.Change
-	more    chan struct{}
+	changes []object.Change
+	changed chan struct{}
 }
 
-// gateway is one VM's way to the store.
+// gateway is one VM's access to the store. It can be blocked, as in an outage that only
+// this VM sees.
 type gateway struct {
-	*store
-	mu     sync.Mutex
-	barred bool
-	rules  int // versions of the rules that it brought
+	*memStore
+	mu        sync.Mutex
+	blocked   bool
+	rulesRead int // revisions of the rules that this VM has read
 }
 
-// brought counts the versions of the rules among what the store answers.
-func (g *gateway) brought(o object.Object) {
+// countRules counts the revisions of the rules that the store returns.
+func (g *gateway) countRules(o object.Object) {
 	if o.Name != "config/main" {
 		return
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.rules++
+	g.rulesRead++
 }
 
-func (g *gateway) versions() int {
+func (g *gateway) rulesVersionsRead() int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.rules
+	return g.rulesRead
 }
 
-func (g *gateway) bar(on bool) {
+func (g *gateway) setBlocked(on bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.barred = on
+	g.blocked = on
 }
 
-func (g *gateway) open() error {
+func (g *gateway) checkBlocked() error {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.barred {
+	if g.blocked {
 		return kinds.New(kinds.Unavailable, "barred")
 	}
 	return nil
 }
 
-func newStore() *store { return &store{objects: map[string]object.Object{}, more: make(chan struct{})} }
+func newMemStore() *memStore {
+	return &memStore{objects: map[string]object.Object{}, changed: make(chan struct{})}
+}
 
-func (s *store) set(name string, value []byte) object.Version {
+func (s *memStore) set(name string, value []byte) object.Version {
 	s.rev++
 	o := object.Object{Name: name, Version: object.Version(s.rev), Value: value}
 	if value == nil {
@@ -90,13 +93,13 @@
 	} else {
 		s.objects[name] = o
 	}
-	s.log = append(s.log, object.Change{Object: o, At: object.Cursor(s.rev)})
-	close(s.more)
-	s.more = make(chan struct{})
+	s.changes = append(s.changes, object.Change{Object: o, At: object.Cursor(s.rev)})
+	close(s.changed)
+	s.changed = make(chan struct{})
 	return object.Version(s.rev)
 }
 
-func (s *store) write(name string, v any) {
+func (s *memStore) write(name string, v any) {
 	b, err := json.Marshal(v)
 	if err != nil {
 		panic(err)
@@ -107,11 +110,11 @@
 }
 
 func (g *gateway) Get(_ context.Context, name string) (object.Object, error) {
-	if err := g.open(); err != nil {
+	if err := g.checkBlocked(); err != nil {
 		return object.Object{}, err
 	}
-	g.store.mu.Lock()
-	defer g.store.mu.Unlock()
+	g.memStore.mu.Lock()
+	defer g.memStore.mu.Unlock()
 	o, ok := g.objects[name]
 	if !ok {
 		return o, kinds.New(kinds.NotFound, name)
@@ -120,11 +123,11 @@
 }
 
 func (g *gateway) Put(_ context.Context, name string, value []byte, old object.Version) (object.Version, error) {
-	if err := g.open(); err != nil {
+	if err := g.checkBlocked(); err != nil {
 		return 0, err
 	}
-	g.store.mu.Lock()
-	defer g.store.mu.Unlock()
+	g.memStore.mu.Lock()
+	defer g.memStore.mu.Unlock()
 	if g.objects[name].Version != old {
 		return 0, kinds.New(kinds.Conflict, name)
 	}
@@ -134,16 +137,16 @@
 func (g *gateway) Delete(context.Context, string, object.Version) error { return nil }
 
 func (g *gateway) List(_ context.Context, prefix string) ([]object.Object, object.Cursor, error) {
-	if err := g.open(); err != nil {
+	if err := g.checkBlocked(); err != nil {
 		return nil, 0, err
 	}
-	g.store.mu.Lock()
-	defer g.store.mu.Unlock()
+	g.memStore.mu.Lock()
+	defer g.memStore.mu.Unlock()
 	var all []object.Object
 	for name, o := range g.objects {
 		if strings.HasPrefix(name, prefix) {
 			all = append(all, o)
-			g.brought(o)
+			g.countRules(o)
 		}
 	}
 	return all, object.Cursor(g.rev), nil
@@ -154,19 +157,19 @@
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
 	for {
-		if err := g.open(); err != nil {
+		if err := g.checkBlocked(); err != nil {
 			return nil, 0, err
 		}
-		g.store.mu.Lock()
+		g.memStore.mu.Lock()
 		var all []object.Change
-		for _, c := range g.log {
+		for _, c := range g.changes {
 			if c.At > after && strings.HasPrefix(c.Name, prefix) {
 				all = append(all, c)
-				g.brought(c.Object)
+				g.countRules(c.Object)
 			}
 		}
-		more, at := g.more, object.Cursor(g.rev)
-		g.store.mu.Unlock()
+		more, at := g.changed, object.Cursor(g.rev)
+		g.memStore.mu.Unlock()
 		if len(all) > 0 {
 			return all, at, nil
 		}
@@ -180,27 +183,28 @@
 	}
 }
 
-// lagging is the store for calls that may lag. Here it does not, but it is another one:
-// what it says is no word of the store on what is newest.
-type lagging struct{ *gateway }
+// staleGateway is the store for calls that may return stale data. Its data are current
+// here, but as a different store its answers do not count as proof that something is the
+// newest.
+type staleGateway struct{ *gateway }
 
-// decoder reads entries and rules that are written as the product's own types.
-type decoder struct{}
+// jsonDecoder decodes entries and rules stored as JSON of the feed types.
+type jsonDecoder struct{}
 
-func (decoder) Server(_ string, b []byte) (feed.Server, error) {
+func (jsonDecoder) Server(_ string, b []byte) (feed.Server, error) {
 	var s feed.Server
 	err := json.Unmarshal(b, &s)
 	return s, kinds.Wrap(kinds.Malformed, err, "entry")
 }
 
-func (decoder) Rules(rev ident.Revision, b []byte) (feed.Rules, error) {
+func (jsonDecoder) Rules(rev ident.Revision, b []byte) (feed.Rules, error) {
 	var r feed.Rules
 	err := json.Unmarshal(b, &r)
 	r.Rev = rev
 	return r, kinds.Wrap(kinds.Malformed, err, "rules")
 }
 
-// backend is a server that serves the keys that it was granted.
+// backend is a backend server that serves the keys granted to it.
 type backend struct {
 	name ident.Server
 	web  *httptest.Server
@@ -235,23 +239,23 @@
 	return false
 }
 
-// world is a platform with some servers, and VMs on it.
-type world struct {
-	t     *testing.T
-	store *store
-	back  map[netip.AddrPort]*backend
-	vms   []*Host
-	ways  []*gateway
-	cfgs  []Config
-	// decoders are those of VMs of other versions.
+// testCluster is a platform with backend servers and some VMs.
+type testCluster struct {
+	t        *testing.T
+	store    *memStore
+	backends map[netip.AddrPort]*backend
+	vms      []*Host
+	gateways []*gateway
+	cfgs     []Config
+	// decoders replaces the decoder of single VMs, by index.
 	decoders map[int]feed.Decoder
-	log      *slog.Logger // of the VMs
-	text     bytes.Buffer // what they log, where a test reads it
+	log      *slog.Logger // log of the VMs
+	logText  bytes.Buffer // log output, in tests that check it
 }
 
 // Grant gives keys to the server at an address.
-func (w *world) Grant(_ context.Context, to netip.AddrPort, _ ident.Server, g feed.Grant) error {
-	b := w.back[to]
+func (tc *testCluster) Grant(_ context.Context, to netip.AddrPort, _ ident.Server, g feed.Grant) error {
+	b := tc.backends[to]
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.held[g.Span] = time.Now().Add(g.TTL)
@@ -259,33 +263,33 @@
 }
 
 // Release takes keys back.
-func (w *world) Release(_ context.Context, to netip.AddrPort, _ ident.Server, s ranges.Span, _ uint64) (string, error) {
-	b := w.back[to]
+func (tc *testCluster) Release(_ context.Context, to netip.AddrPort, _ ident.Server, s ranges.Span, _ uint64) (string, error) {
+	b := tc.backends[to]
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	delete(b.held, s)
 	return "token", nil
 }
 
-func newWorld(t *testing.T, vms int) *world {
-	w := &world{t: t, store: newStore(), back: map[netip.AddrPort]*backend{}, log: slog.New(slog.DiscardHandler)}
+func newTestCluster(t *testing.T, vms int) *testCluster {
+	tc := &testCluster{t: t, store: newMemStore(), backends: map[netip.AddrPort]*backend{}, log: slog.New(slog.DiscardHandler)}
 	for range vms {
-		w.cfgs = append(w.cfgs, Config{
-			VM: ident.VM("vm-" + strconv.Itoa(len(w.cfgs)+1)), Centre: "here",
-			Notice: 50 * time.Millisecond, Callers: free(t), Operators: free(t), Peers: free(t), Metrics: free(t),
+		tc.cfgs = append(tc.cfgs, Config{
+			VM: ident.VM("vm-" + strconv.Itoa(len(tc.cfgs)+1)), Centre: "here",
+			Notice: 50 * time.Millisecond, Callers: freeAddr(t), Operators: freeAddr(t), Peers: freeAddr(t), Metrics: freeAddr(t),
 			Bounds: Bounds{Drain: 2 * time.Second, Grace: 4 * time.Second, RetryRatio: 0.2, RetrySlack: 50},
 		})
 	}
-	return w
+	return tc
 }
 
-// taken holds the ports that free gave out in this process.
-var taken sync.Map
+// usedPorts holds the ports that freeAddr has returned in this process.
+var usedPorts sync.Map
 
-// free finds an address that nobody listens on. Its port is none that systems give to
-// outgoing connections: between this look and the start of a VM, another connection
-// of this machine would take one of those now and then.
-func free(t *testing.T) netip.AddrPort {
+// freeAddr finds an address on which nobody listens. Its port is outside the range for
+// outgoing connections, or another connection of this machine could take it before the VM
+// starts.
+func freeAddr(t *testing.T) netip.AddrPort {
 	const first, count = 10_000, 20_000
 	for {
 		port := first + rand.IntN(count)
@@ -294,27 +298,27 @@
 			continue
 		}
 		assert.NilError(t, l.Close())
-		if _, known := taken.LoadOrStore(port, true); !known {
+		if _, known := usedPorts.LoadOrStore(port, true); !known {
 			return netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 0, 0, 1}), uint16(port))
 		}
 	}
 }
 
-// serve adds a backend server and its entry.
-func (w *world) serve(svc ident.Service, name ident.Server) *backend {
+// addServer starts a backend server and writes its entry.
+func (tc *testCluster) addServer(svc ident.Service, name ident.Server) *backend {
 	b := &backend{name: name, held: map[ranges.Span]time.Time{}}
 	b.web = httptest.NewServer(b)
-	w.t.Cleanup(b.web.Close)
+	tc.t.Cleanup(b.web.Close)
 	at, err := netip.ParseAddrPort(strings.TrimPrefix(b.web.URL, "http://"))
-	assert.NilError(w.t, err)
-	w.back[at] = b
-	w.store.write("servers/"+string(name), feed.Server{Name: name, Service: svc, Addr: at, Centre: "here", Slots: 4, Incarnation: 1})
+	assert.NilError(tc.t, err)
+	tc.backends[at] = b
+	tc.store.write("servers/"+string(name), feed.Server{Name: name, Service: svc, Addr: at, Centre: "here", Slots: 4, Incarnation: 1})
 	return b
 }
 
-// rules puts rules in force: lookups by key, receipts without.
-func (w *world) rules(prefix string) {
-	w.store.write("config/main", feed.Rules{
+// setRules stores rules in which lookups are divided by key and receipts are not.
+func (tc *testCluster) setRules(prefix string) {
+	tc.store.write("config/main", feed.Rules{
 		List: []match.Rule{
 			{Name: "lookup", When: match.When{Prefix: prefix}, Then: match.Then{Service: "lookup", Key: "header:" + relay.HeaderKey, Idempotent: true, Retry: 1, Deadline: 5 * time.Second}},
 			{Name: "receipt", When: match.When{Prefix: "/receipt/"}, Then: match.Then{Service: "ledger", Deadline: 5 * time.Second}},
@@ -323,45 +327,46 @@
 	})
 }
 
-// start starts VM i.
-func (w *world) start(i int) *Host {
-	way := &gateway{store: w.store}
-	cfg := w.cfgs[i]
-	for j, other := range w.cfgs {
+// startVM starts VM i.
+func (tc *testCluster) startVM(i int) *Host {
+	gw := &gateway{memStore: tc.store}
+	cfg := tc.cfgs[i]
+	for j, other := range tc.cfgs {
 		if j != i {
 			cfg.Seeds = append(cfg.Seeds, other.Peers)
 		}
 	}
-	var decode feed.Decoder = decoder{}
-	if d, odd := w.decoders[i]; odd {
+	var decode feed.Decoder = jsonDecoder{}
+	if d, ok := tc.decoders[i]; ok {
 		decode = d
 	}
 	names := relay.DefaultHeaders()
 	names.PassThrough = []string{relay.HeaderKey}
 	h := New(cfg, Platform{
-		Store: way, StaleStore: lagging{way}, Decode: decode, Orders: w, Headers: names,
+		Store: gw, StaleStore: staleGateway{gw}, Decode: decode, Orders: tc, Headers: names,
 		Servers: "servers/", Rules: "config/main", OwnPrefix: "own/",
-	}, w.log)
-	assert.NilError(w.t, h.Start(w.t.Context()))
-	w.vms, w.ways = append(w.vms, h), append(w.ways, way)
+	}, tc.log)
+	assert.NilError(tc.t, h.Start(tc.t.Context()))
+	tc.vms, tc.gateways = append(tc.vms, h), append(tc.gateways, gw)
 	return h
 }
 
-// within waits until something holds.
-func (w *world) within(d time.Duration, what string, holds func() bool) {
-	w.t.Helper()
+// waitFor waits until a condition holds.
+func (tc *testCluster) waitFor(d time.Duration, what string, holds func() bool) {
+	tc.t.Helper()
 	for end := time.Now().Add(d); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
 		if holds() {
 			return
 		}
 	}
-	w.t.Fatalf("not within %v: %s", d, what)
+	tc.t.Fatalf("not within %v: %s", d, what)
 }
 
-// get asks VM i and returns the status and who answered.
-func (w *world) get(i int, path, key string) (int, string) {
-	r, err := http.NewRequestWithContext(w.t.Context(), http.MethodGet, "http://"+w.cfgs[i].Callers.String()+path, nil)
-	assert.NilError(w.t, err)
+// get sends a request to VM i and returns the status and the name of the server that
+// answered.
+func (tc *testCluster) get(i int, path, key string) (int, string) {
+	r, err := http.NewRequestWithContext(tc.t.Context(), http.MethodGet, "http://"+tc.cfgs[i].Callers.String()+path, nil)
+	assert.NilError(tc.t, err)
 	if key != "" {
 		r.Header.Set(relay.HeaderKey, key)
 	}
@@ -371,14 +376,14 @@
 	}
 	defer resp.Body.Close()
 	b, err := io.ReadAll(resp.Body)
-	assert.NilError(w.t, err)
+	assert.NilError(tc.t, err)
 	return resp.StatusCode, string(b)
 }
 
-// leads returns the index of the VM that leads, -1 for none.
-func (w *world) leads() int {
-	return slices.IndexFunc(w.vms, func(h *Host) bool {
-		_, leads := h.d.p.Board.Lease()
+// leaderIndex returns the index of the leader, or -1.
+func (tc *testCluster) leaderIndex() int {
+	return slices.IndexFunc(tc.vms, func(h *Host) bool {
+		_, leads := h.listeners.parts.Hub.Lease()
 		return leads
 	})
 }
--- a/internal/edge/host/counts.go
+++ b/internal/edge/host/counts.go
@@ -11,19 +11,20 @@
 	"hawthornfield.org/hawthornfield/internal/owner/ranges"
 )
 
-// counts are what this VM saw of keys and servers since the leader was last told.
-type counts struct {
+// loadCounts counts requests by key cell and response times by server since the last
+// report to the leader.
+type loadCounts struct {
 	mu    sync.Mutex
 	cells map[ident.Service]poll.CellCounts
 	sums  map[ident.Server]assign.LatencySum
 }
 
-func newCounts() *counts {
-	return &counts{cells: map[ident.Service]poll.CellCounts{}, sums: map[ident.Server]assign.LatencySum{}}
+func newLoadCounts() *loadCounts {
+	return &loadCounts{cells: map[ident.Service]poll.CellCounts{}, sums: map[ident.Server]assign.LatencySum{}}
 }
 
-// asked notes a request for a key.
-func (c *counts) asked(svc ident.Service, key ident.Key) {
+// countRequest counts a request for a key.
+func (c *loadCounts) countRequest(svc ident.Service, key ident.Key) {
 	cell, ok := ranges.CellOf(key)
 	if !ok {
 		return
@@ -36,8 +37,8 @@
 	c.cells[svc][cell]++
 }
 
-// answered notes how long a server took.
-func (c *counts) answered(s ident.Server, took time.Duration) {
+// countAnswer records how long a server took to answer.
+func (c *loadCounts) countAnswer(s ident.Server, took time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	sum := c.sums[s]
@@ -46,8 +47,8 @@
 	c.sums[s] = sum
 }
 
-// take returns what was counted and begins anew.
-func (c *counts) take() (map[ident.Service]poll.CellCounts, map[ident.Server]assign.LatencySum) {
+// drain returns the counts and resets them.
+func (c *loadCounts) drain() (map[ident.Service]poll.CellCounts, map[ident.Server]assign.LatencySum) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	cells, sums := c.cells, c.sums
@@ -55,8 +56,8 @@
 	return cells, sums
 }
 
-// back puts what could not be told back.
-func (c *counts) back(cells map[ident.Service]poll.CellCounts, sums map[ident.Server]assign.LatencySum) {
+// restore adds counts that could not be reported back to the current ones.
+func (c *loadCounts) restore(cells map[ident.Service]poll.CellCounts, sums map[ident.Server]assign.LatencySum) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for svc, all := range cells {
--- a/internal/edge/host/host.go
+++ b/internal/edge/host/host.go
@@ -1,7 +1,8 @@
-// Package host is one entry VM on a platform that lists backend servers and rules
-// in its store: the callers' front end, the exchange with other VMs, and, on the
-// VM that leads, the orders for keys. It wires decisions to their effects; what
-// the platform calls things is its adapter's.
+// Package host runs one entry VM on a platform whose store lists backend servers and
+// rules. It holds the listeners for callers, the exchange with other VMs and, on the
+// leader, the assignment of keys to servers. The packages that it wires together decide
+// what to do; this one carries out their decisions. The names and formats of the platform
+// are left to its adapter.
 package host
 
 import (
@@ -32,118 +33,121 @@
 	"hawthornfield.org/hawthornfield/internal/rules/revs"
 )
 
-// Config is what a VM learns from its settings.
+// Config holds the settings of a VM.
 type Config struct {
 	VM            ident.VM
 	Centre        ident.Centre
-	Callers       netip.AddrPort // requests
-	Operators     netip.AddrPort // readiness
-	Peers         netip.AddrPort // other entry VMs
+	Callers       netip.AddrPort // address for requests
+	Operators     netip.AddrPort // address for readiness checks
+	Peers         netip.AddrPort // address for other entry VMs
 	Metrics       netip.AddrPort
 	Store         netip.AddrPort
-	Seeds         []netip.AddrPort // some other VMs, which may be gone
-	History       time.Duration    // how far back the store's watches reach
+	Seeds         []netip.AddrPort // addresses of some other VMs, which may be gone
+	History       time.Duration    // how far back a watch of the store can start
 	Bounds        Bounds
-	CPUs          float64       // processors that this VM may use, in parts of one; zero: not known
-	UnknownFields []string      // fields of the settings that were passed over
-	Notice        time.Duration // how long the balancer needs to see that a VM leaves; zero is DefaultNotice
+	CPUs          float64       // processors that this VM may use, may be a fraction; zero if unknown
+	UnknownFields []string      // fields of the settings that were ignored
+	Notice        time.Duration // time that the load balancer needs to notice that a VM is leaving; zero means DefaultNotice
 }
 
-// Bounds are what the platform promises and demands.
+// Bounds are the limits that the platform sets and guarantees.
 type Bounds struct {
-	Drain       time.Duration // a server that leaves gets nothing later than this after it said so
-	Grace       time.Duration // from the signal to stop until the process is killed
-	RulesApply  time.Duration // rules are in force everywhere within this
-	MaxGrant    time.Duration // longest grant
+	Drain       time.Duration // a leaving server gets no request later than this after it announced that it leaves
+	Grace       time.Duration // from the stop signal until the process is killed
+	RulesApply  time.Duration // time within which new rules are in force on all VMs
+	MaxGrant    time.Duration // longest grant of keys
 	RetryWindow time.Duration
-	RetryRatio  float64 // repeats allowed in a window, as a part of the requests
-	RetrySlack  float64 // and beside them
+	RetryRatio  float64 // retries allowed in a window, as a fraction of the requests
+	RetrySlack  float64 // retries allowed in a window beyond that fraction
 }
 
-// Platform is what the adapter brings.
+// Platform holds what a platform's adapter provides.
 type Platform struct {
 	Store            object.Store // linearizable
-	StaleStore       object.Store // cheaper; lists and watches may be seconds behind
+	StaleStore       object.Store // cheaper; its lists and watches may be seconds behind
 	Decode           feed.Decoder
 	Orders           feed.Orders
 	Headers          relay.Headers
 	FormatRetryAfter func(time.Duration) string
-	Servers          string // kind of the servers' entries, with its slash
-	Rules            string // object that holds the rules
-	OwnPrefix        string // kind of the system's own objects, with its slash
-	// Calls counts the calls to the store by kind; nil when nobody counts.
+	Servers          string // prefix of the servers' entries, with its slash
+	Rules            string // name of the object that holds the rules
+	OwnPrefix        string // prefix of this system's own objects, with its slash
+	// Calls returns the number of calls to the store by kind; nil if they are not
+	// counted.
 	Calls func() map[string]int64
-	// Bytes are what goes to the store and to backend servers for control, by cause.
+	// Bytes counts the control traffic to the store and to backend servers, by cause.
 	Bytes map[string]*flow.Counter
 }
 
-// Host is one entry VM. Make one with New.
+// Host is one entry VM. Use New to create one.
 type Host struct {
-	cfg  Config
-	plat Platform
-	base plain
-	log  *slog.Logger
-	app  *fx.App
-	d    *doors
+	cfg       Config
+	plat      Platform
+	baseLog   baseLogger
+	log       *slog.Logger
+	app       *fx.App
+	listeners *listeners
 }
 
-// New prepares a VM. It opens nothing before Start.
+// New creates a VM. It opens no listener and no connection before Start.
 func New(cfg Config, p Platform, log *slog.Logger) *Host {
-	return &Host{cfg: cfg, plat: p, base: plain{log}, log: log.With("vm", cfg.VM)}
+	return &Host{cfg: cfg, plat: p, baseLog: baseLogger{log}, log: log.With("vm", cfg.VM)}
 }
 
-// plain is the log without the VM's name, for decisions, which name it themselves.
-type plain struct{ *slog.Logger }
+// baseLogger is a logger without the attribute for the VM's name. The decision record
+// uses it because it writes the name itself.
+type baseLogger struct{ *slog.Logger }
 
-// Times of starting and stopping.
+// Timeouts for starting and stopping.
 const (
-	startWait = 15 * time.Second
-	// stopReserve is what is left of the grace for the process's own end.
+	startTimeout = 15 * time.Second
+	// stopReserve is the part of the grace period kept for the exit of the process
+	// itself.
 	stopReserve = 500 * time.Millisecond
 )
 
-// Start wires the parts, opens the listeners and starts all duties.
+// Start wires the components, opens the listeners and starts the background goroutines.
 func (h *Host) Start(ctx context.Context) error {
 	h.app = fx.New(
 		fx.WithLogger(func() fxevent.Logger { return httpd.ErrorLogger{Log: h.log} }),
-		fx.Supply(h.cfg, h.plat, h.base, h.log),
-		fx.StartTimeout(startWait), fx.StopTimeout(h.stopWait()),
-		fx.Provide(newCounts, newMeter, newRecord, newState, newRelay, newFront, newBoard, newFleet, newQuarantine, newBook, newReign, newFetcher, newCourier, newGauges, newDoors),
-		fx.Invoke(func(d *doors) { h.d = d }),
+		fx.Supply(h.cfg, h.plat, h.baseLog, h.log),
+		fx.StartTimeout(startTimeout), fx.StopTimeout(h.stopTimeout()),
+		fx.Provide(newLoadCounts, newMeter, newRecord, newState, newRelay, newFront, newHub, newServerTracker, newQuarantine, newRuleManager, newCoordinator, newFetcher, newPoller, newGauges, newListeners),
+		fx.Invoke(func(l *listeners) { h.listeners = l }),
 	)
 	if err := h.app.Err(); err != nil {
 		return err
 	}
 	if len(h.cfg.UnknownFields) > 0 {
-		h.log.Info("settings passed over", "fields", h.cfg.UnknownFields)
+		h.log.Info("unknown settings ignored", "fields", h.cfg.UnknownFields)
 	}
 	h.log.Info("start", "centre", h.cfg.Centre, "callers", h.cfg.Callers, "peers", h.cfg.Peers)
 	return h.app.Start(ctx)
 }
 
-func (h *Host) stopWait() time.Duration { return max(h.cfg.Bounds.Grace-stopReserve, time.Second) }
+func (h *Host) stopTimeout() time.Duration { return max(h.cfg.Bounds.Grace-stopReserve, time.Second) }
 
-// Close shuts down gracefully and waits.
+// Close shuts the VM down gracefully and waits until it has stopped.
 func (h *Host) Close() error {
-	ctx, cancel := context.WithTimeout(context.Background(), h.stopWait())
+	ctx, cancel := context.WithTimeout(context.Background(), h.stopTimeout())
 	defer cancel()
 	err := h.app.Stop(ctx)
 	h.log.Info("stop")
 	return err
 }
 
-// Ready returns nil when requests can be served, and why not otherwise.
-func (h *Host) Ready() error { return h.d.ready() }
+// Ready returns nil if the VM can serve requests, and the reason otherwise.
+func (h *Host) Ready() error { return h.listeners.ready() }
 
-// closer is a part that is closed when the VM stops.
+// closer is a component that is closed when the VM stops.
 type closer interface{ Close() error }
 
-func closes(lc fx.Lifecycle, c closer) {
+func closeOnStop(lc fx.Lifecycle, c closer) {
 	lc.Append(fx.Hook{OnStop: func(context.Context) error { return c.Close() }})
 }
 
-// duties starts goroutines when the VM starts and ends them when it stops.
-func duties(lc fx.Lifecycle, g *group.Group, all ...func(context.Context) error) {
+// runWhileStarted runs functions in goroutines from the start of the VM until it stops.
+func runWhileStarted(lc fx.Lifecycle, g *group.Group, all ...func(context.Context) error) {
 	lc.Append(fx.Hook{
 		OnStart: func(context.Context) error {
 			for _, duty := range all {
@@ -157,49 +161,51 @@
 
 func newMeter(lc fx.Lifecycle, cfg Config) *meter.Meter {
 	m := meter.New(cfg.VM)
-	closes(lc, m)
+	closeOnStop(lc, m)
 	return m
 }
 
-// plainLines is how many plain decisions a second get a line of their own: all of a
-// usual day, a few in a hundred of the busiest.
-const plainLines = 60
+// plainDecisionsPerSecond is how many uneventful decisions per second are logged one by
+// one; the rest are summed. It covers all of them on a usual day and a few percent at
+// peak load.
+const plainDecisionsPerSecond = 60
 
-func newRecord(lc fx.Lifecycle, cfg Config, log plain) *record.Writer {
-	w := record.New(cfg.VM, log.Logger, record.WithRate(plainLines))
-	closes(lc, w)
+func newRecord(lc fx.Lifecycle, cfg Config, log baseLogger) *record.Writer {
+	w := record.New(cfg.VM, log.Logger, record.WithRate(plainDecisionsPerSecond))
+	closeOnStop(lc, w)
 	return w
 }
 
 func newState() *state.State { return state.New(nil) }
 
-func newBoard(cfg Config) *poll.Hub {
+func newHub(cfg Config) *poll.Hub {
 	return poll.NewHub(cfg.VM, string(cfg.VM)+"-"+strconv.FormatUint(rand.Uint64(), 36))
 }
 
-// dial is the longest wait for a connection to a backend server within a region.
-const dial = 400 * time.Millisecond
+// dialTimeout bounds the wait for a connection to a backend server in the same region.
+const dialTimeout = 400 * time.Millisecond
 
-// idle closes connections that nobody has used for long; whether one that was idle
-// is used again follows from what its server says.
-const idle = 30 * time.Second
+// idleTimeout closes connections to backend servers that have been idle this long.
+// Whether an idle connection is used again before that depends on what its server
+// announces.
+const idleTimeout = 30 * time.Second
 
 func newRelay(lc fx.Lifecycle, p Platform) *relay.Relay {
-	r := relay.New(relay.Config{Headers: p.Headers, Dial: dial, Idle: idle})
-	closes(lc, r)
+	r := relay.New(relay.Config{Headers: p.Headers, Dial: dialTimeout, Idle: idleTimeout})
+	closeOnStop(lc, r)
 	return r
 }
 
-// mostHeld is up to where a body is read whole before its request asks for a place:
-// it can then be sent elsewhere after a refusal, and a caller that sends slowly
-// holds no server's slot.
-const mostHeld = 1 << 20
+// maxBufferedBody is the largest request body, in bytes, that is read completely before
+// the request queues for a server. Such a request can be sent to another server after a
+// refusal, and a caller that sends slowly does not occupy a server's slot.
+const maxBufferedBody = 1 << 20
 
-func newFront(lc fx.Lifecycle, cfg Config, p Platform, s *state.State, r *relay.Relay, w *record.Writer, m *meter.Meter, c *counts, g *quarantine) *front.Front {
+func newFront(lc fx.Lifecycle, cfg Config, p Platform, s *state.State, r *relay.Relay, w *record.Writer, m *meter.Meter, c *loadCounts, g *quarantine) *front.Front {
 	f := &front.Front{
 		VM: cfg.VM, Centre: cfg.Centre, State: s, Relay: r, Record: w, Meter: m, Guard: g,
-		Limit:   config.Limit{Request: config.SpanOf(defaultRequest)},
-		Headers: p.Headers, BufferLimit: mostHeld, MaxOwnerWait: patience, FormatRetryAfter: p.FormatRetryAfter, OnKeyRequest: c.asked, OnAnswer: c.answered,
+		Limit:   config.Limit{Request: config.SpanOf(defaultRequestTimeout)},
+		Headers: p.Headers, BufferLimit: maxBufferedBody, MaxOwnerWait: maxOwnerWait, FormatRetryAfter: p.FormatRetryAfter, OnKeyRequest: c.countRequest, OnAnswer: c.countAnswer,
 	}
 	lc.Append(fx.Hook{
 		OnStart: func(context.Context) error { f.Start(); return nil },
@@ -208,33 +214,35 @@
 	return f
 }
 
-// patience is how long a request waits for its key to get an owner. A planned move
-// takes as long as the work that runs on the keys, a third of a second at most times;
-// the move after a loss takes seconds, and its requests are better told at once when
-// to come back.
-const patience = 400 * time.Millisecond
-
-// defaultRequest bounds a request whose rule and caller name no time.
-const defaultRequest = 30 * time.Second
-
-// ready says why requests should not be sent here, or nil. A VM that was ready once
-// stays so: a service that the operator adds has no owners of keys for a moment, and
-// all VMs at once would turn callers of the others away.
-func (d *doors) ready() error {
-	if d.p.Front.IsClosing() {
+// maxOwnerWait is how long a request waits while its key has no owner. A planned move
+// takes as long as the work that is running on the keys, usually a third of a second. A
+// move after the loss of a server takes seconds; its requests are better told at once
+// when to retry.
+const maxOwnerWait = 400 * time.Millisecond
+
+// defaultRequestTimeout applies to requests for which neither rule nor caller sets a
+// timeout.
+const defaultRequestTimeout = 30 * time.Second
+
+// ready returns the reason why requests should not be sent to this VM, or nil. Once a VM
+// has been ready it does not become unready for lack of key owners: a service that the
+// operator has just added has none for a moment, and all VMs would turn away the callers
+// of the other services at the same time.
+func (l *listeners) ready() error {
+	if l.parts.Front.IsClosing() {
 		return kinds.New(kinds.Closing, "shutting down")
 	}
-	if d.p.State.Rules.State() != revs.Serve {
+	if l.parts.State.Rules.State() != revs.Serve {
 		return kinds.New(kinds.Unavailable, "no rules yet")
 	}
-	if d.been.Load() {
+	if l.wasReady.Load() {
 		return nil
 	}
-	for name, svc := range d.p.State.Services() {
-		if svc.Divided() && svc.Finder() == nil && d.p.Fleet.lists(name) {
-			return kinds.New(kinds.NoOwner, "owners of keys not known yet: "+string(name))
+	for name, svc := range l.parts.State.Services() {
+		if svc.Divided() && svc.Finder() == nil && l.parts.Servers.hasServers(name) {
+			return kinds.New(kinds.NoOwner, "key owners not known yet: "+string(name))
 		}
 	}
-	d.been.Store(true)
+	l.wasReady.Store(true)
 	return nil
 }
--- /dev/null
+++ b/internal/edge/host/listeners.go
@@ -0,0 +1,98 @@
+package host
+
+import (
+	"cmp"
+	"context"
+	"log/slog"
+	"net/http"
+	"net/netip"
+	"sync/atomic"
+	"time"
+
+	"go.uber.org/fx"
+
+	"hawthornfield.org/hawthornfield/internal/core/group"
+	"hawthornfield.org/hawthornfield/internal/edge/front"
+	"hawthornfield.org/hawthornfield/internal/edge/httpd"
+	"hawthornfield.org/hawthornfield/internal/edge/meter"
+	"hawthornfield.org/hawthornfield/internal/edge/poll"
+	"hawthornfield.org/hawthornfield/internal/edge/state"
+)
+
+// Timeouts of the listeners that the operator's limits do not cover.
+const (
+	readHeaderTimeout = 10 * time.Second
+	callerIdleTimeout = 90 * time.Second
+	// DefaultNotice suits a load balancer that checks once per second and removes a VM
+	// after two failed checks.
+	DefaultNotice = 2500 * time.Millisecond
+)
+
+// listeners holds the VM's HTTP listeners.
+type listeners struct {
+	parts                              listenerParts
+	wasReady                           atomic.Bool // has been ready once
+	notice                             time.Duration
+	callers, operators, peers, metrics httpd.Listener
+}
+
+type listenerParts struct {
+	fx.In
+	Front       *front.Front
+	State       *state.State
+	Hub         *poll.Hub
+	Meter       *meter.Meter
+	Coordinator *coordinator
+	Poller      *poller
+	Gauges      *gauges
+	Servers     *serverTracker
+	Rules       *ruleManager
+	Quarantine  *quarantine
+	Log         *slog.Logger
+}
+
+func newListeners(lc fx.Lifecycle, cfg Config, p listenerParts) *listeners {
+	l := &listeners{parts: p, notice: cfg.Notice}
+	errorLog := slog.NewLogLogger(p.Log.Handler(), slog.LevelDebug)
+	serve := func(h http.Handler) *http.Server {
+		return &http.Server{Handler: h, ReadHeaderTimeout: readHeaderTimeout, IdleTimeout: callerIdleTimeout, ErrorLog: errorLog}
+	}
+	l.callers.Server = serve(p.Front.Handler())
+	l.callers.Pipeline = p.Front.Pipeline()
+	l.peers.Server = serve(p.Hub.Handler(func(req *poll.Request) {
+		p.Coordinator.onRequest(req)
+		p.Quarantine.addReports(req.Reports)
+	}))
+	l.metrics.Server = serve(p.Quarantine.handler(p.Meter.Handler()))
+	l.operators.Server = serve(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
+		if err := l.ready(); err != nil {
+			http.Error(w, err.Error(), http.StatusServiceUnavailable)
+			return
+		}
+		w.WriteHeader(http.StatusOK)
+	}))
+	for _, entry := range []struct {
+		listener *httpd.Listener
+		addr     netip.AddrPort
+		stop     func(context.Context) error
+	}{
+		{&l.peers, cfg.Peers, l.peers.Close},
+		{&l.metrics, cfg.Metrics, l.metrics.Close},
+		{&l.operators, cfg.Operators, l.operators.Close},
+		{&l.callers, cfg.Callers, l.shutdown},
+	} {
+		lc.Append(fx.Hook{OnStart: func(context.Context) error { return entry.listener.Start(entry.addr) }, OnStop: entry.stop})
+	}
+	return l
+}
+
+// shutdown stops serving callers: it reports not ready, hands over leadership, keeps
+// serving until the load balancer has noticed, and finishes the requests in flight.
+func (l *listeners) shutdown(ctx context.Context) error {
+	l.parts.Front.SetClosing()
+	l.parts.Coordinator.resign()
+	notice := cmp.Or(l.notice, DefaultNotice)
+	l.parts.Log.Info("shutting down", "flying", l.parts.Front.InFlight(), "notice", notice)
+	group.Sleep(ctx, notice)
+	return l.callers.Shutdown(ctx)
+}
--- a/internal/edge/host/pacer.go
+++ b/internal/edge/host/pacer.go
@@ -7,37 +7,39 @@
 )
 
 const (
-	// ordersAtOnce bounds the orders that have just been sent, to all servers together.
-	// An answer takes some 4 ms, so they allow six thousand orders a second, more than
-	// a processor sends.
-	ordersAtOnce = 24
-	// orderBrief is after how long an order counts no more: its server is silent, and
-	// must not hold up the renewals of others.
-	orderBrief = 20 * time.Millisecond
+	// maxOrderSlots bounds the orders in flight to all servers together. An answer takes
+	// about 4 ms, so the limit allows six thousand orders per second, more than one
+	// processor can send.
+	maxOrderSlots = 24
+	// orderSlotTime is when an unanswered order stops counting against the limit. Its
+	// server does not answer and must not delay the renewals of others.
+	orderSlotTime = 20 * time.Millisecond
 )
 
-// pacer spaces the orders of one VM. Renewals of all servers fall due together: sent
-// at once, a thousand of them wait in the VM's own queues for longer than their
-// time-out. Servers that are well then seem silent and lose their keys, and the VM is
-// too busy to answer the others, who take it for lost. The zero value is ready.
+// pacer limits how many orders a VM has in flight. The renewals for all servers fall due
+// together: if a thousand were sent at once, they would wait in the VM's own queues for
+// longer than their timeout. Healthy servers would then appear silent and lose their
+// keys, and the VM would be too busy to answer other VMs, which would consider it lost.
+// The zero value is ready to use.
 type pacer struct {
 	once  sync.Once
-	young chan struct{}
+	slots chan struct{}
 }
 
-// begin waits until an order may be sent, and returns what to call when it is answered.
-func (p *pacer) begin(ctx context.Context) (end func()) {
-	p.once.Do(func() { p.young = make(chan struct{}, ordersAtOnce) })
+// acquire waits until an order may be sent and returns a function to call when it is
+// answered.
+func (p *pacer) acquire(ctx context.Context) (end func()) {
+	p.once.Do(func() { p.slots = make(chan struct{}, maxOrderSlots) })
 	select {
-	case p.young <- struct{}{}:
+	case p.slots <- struct{}{}:
 	case <-ctx.Done():
 		return func() {}
 	}
-	var left sync.Once
-	leave := func() { left.Do(func() { <-p.young }) }
-	timer := time.AfterFunc(orderBrief, leave)
+	var once sync.Once
+	free := func() { once.Do(func() { <-p.slots }) }
+	timer := time.AfterFunc(orderSlotTime, free)
 	return func() {
 		timer.Stop()
-		leave()
+		free()
 	}
 }
--- a/internal/edge/host/pacer_test.go
+++ b/internal/edge/host/pacer_test.go
@@ -11,9 +11,9 @@
 	"hawthornfield.org/hawthornfield/internal/core/group"
 )
 
-// Renewals for hundreds of servers fall due together on a VM with a sixth of a
-// processor. Sent at once they wait for each other beyond their time-out, every server
-// seems silent, and all keys are taken away from servers that are well.
+// Guards against too many orders at once. Renewals for hundreds of servers fall due
+// together on a VM with a sixth of a processor; if all are sent at once they wait for
+// each other beyond their timeout, and healthy servers lose their keys.
 func TestOrdersAreSentAFewAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var p pacer
@@ -22,7 +22,7 @@
 		now <- 0
 		for range 1000 {
 			g.Go(func(ctx context.Context) error {
-				end := p.begin(ctx)
+				end := p.acquire(ctx)
 				n := <-now + 1
 				most = max(most, n)
 				now <- n
@@ -34,29 +34,29 @@
 		}
 		began := time.Now()
 		assert.NilError(t, g.Wait())
-		assert.Assert(t, most <= ordersAtOnce, "%d at once", most)
+		assert.Assert(t, most <= maxOrderSlots, "%d at once", most)
 		assert.Assert(t, time.Since(began) < 200*time.Millisecond, "%v", time.Since(began))
 	})
 }
 
-// A rack of servers goes dark. Orders to them stay unanswered until their time-out, and
-// the renewals of all others must not wait for that.
+// Guards against renewals that wait behind orders to servers that do not answer, for
+// example after a rack has lost power.
 func TestSilentServersDoNotHoldUpOthers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var p pacer
 		var g group.Group
 		for range 100 {
 			g.Go(func(ctx context.Context) error {
-				end := p.begin(ctx)
-				time.Sleep(grantWait)
+				end := p.acquire(ctx)
+				time.Sleep(grantTimeout)
 				end()
 				return nil
 			})
 		}
 		synctest.Wait()
 		began := time.Now()
-		p.begin(t.Context())()
-		assert.Assert(t, time.Since(began) <= 5*orderBrief, "%v", time.Since(began))
+		p.acquire(t.Context())()
+		assert.Assert(t, time.Since(began) <= 5*orderSlotTime, "%v", time.Since(began))
 		assert.NilError(t, g.Wait())
 	})
 }
--- /dev/null
+++ b/internal/edge/host/peer_servers.go
@@ -0,0 +1,61 @@
+package host
+
+import (
+	"time"
+
+	"hawthornfield.org/hawthornfield/internal/edge/feed"
+	"hawthornfield.org/hawthornfield/internal/edge/poll"
+	"hawthornfield.org/hawthornfield/internal/node/member"
+)
+
+// mergePeerList merges a server list from another VM, either complete or a delta.
+func (t *serverTracker) mergePeerList(l poll.ServerList) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if l.Rev < t.rev || l.Rev == t.rev && (l.Delta || !t.mismatch) {
+		return
+	}
+	list := make([]member.Entry[feed.Server], len(l.List))
+	for i, s := range l.List {
+		list[i] = member.Entry[feed.Server]{Name: s.Name, Rev: s.Rev, Value: s, Leaving: s.Leaving}
+	}
+	now := time.Now()
+	var changed bool
+	if l.Delta {
+		changed = t.members.MergePeerDelta(now, l.Rev, list, l.Gone)
+	} else {
+		changed = t.members.MergePeer(now, l.Rev, list)
+	}
+	if changed {
+		t.publish(l.Rev)
+	} else {
+		t.advanceRev(l.Rev)
+	}
+	t.mismatch = l.Delta && l.Rev == t.rev && l.Sum != poll.SumOf(t.list())
+}
+
+// fullListInterval is the least time between two requests for the complete server list. A
+// VM may differ from the leader for a legitimate reason, for example while it waits for a
+// server to be listed again.
+const fullListInterval = 5 * time.Second
+
+// knownRev returns the revision of the servers known here. It returns zero, which
+// requests the complete list, if the checksum after the last delta did not match.
+func (t *serverTracker) knownRev(now time.Time) uint64 {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if t.mismatch && !now.Before(t.nextFullList) {
+		t.nextFullList = now.Add(fullListInterval)
+		t.log.Info("server list differs from the leader's; requesting the complete list", "rev", t.rev)
+		return 0
+	}
+	return t.rev
+}
+
+// advanceRev records the revision of a newer list that changed nothing. Otherwise this VM
+// would keep asking with the older revision and get the newer list at once each time, in
+// a loop that costs processor time and traffic between data centres. The caller holds mu.
+func (t *serverTracker) advanceRev(rev uint64) {
+	t.rev = rev
+	t.hub.SetServers(poll.ServerList{Rev: rev, List: t.list()})
+}
--- a/internal/edge/host/quarantine.go
+++ b/internal/edge/host/quarantine.go
@@ -16,18 +16,18 @@
 	"hawthornfield.org/hawthornfield/internal/load/poison"
 )
 
-// quarantine keeps requests that crash servers from reaching more of them, see package
-// poison. VMs report what they saw to the leader with their questions, and its answers
-// tell all of them which requests are under suspicion. What is quarantined is kept in
-// the store, for the leader after all VMs were restarted.
+// quarantine keeps requests that crash servers from reaching more servers, see package
+// poison. VMs report crashes to the leader in their poll requests, and its responses tell
+// all VMs which requests are suspected. Quarantined requests are also kept in the store,
+// so that they outlast a restart of all VMs.
 type quarantine struct {
-	group group.Group
-	p     quarantineParts
-	armed atomic.Bool // the table is not empty
+	group    group.Group
+	parts    quarantineParts
+	nonEmpty atomic.Bool // whether the table has entries
 
-	mu    sync.Mutex
-	table *poison.Table
-	named map[poison.Fingerprint]bool // wide prints of what is quarantined, and logged as that
+	mu     sync.Mutex
+	table  *poison.Table
+	logged map[poison.Fingerprint]bool // caller-independent fingerprints of requests logged as quarantined
 
 	object quarantineObject
 }
@@ -35,109 +35,111 @@
 type quarantineParts struct {
 	fx.In
 	Platform Platform
-	Board    *poll.Hub
-	Fleet    *fleet
+	Hub      *poll.Hub
+	Servers  *serverTracker
 	Log      *slog.Logger
 }
 
 func newQuarantine(lc fx.Lifecycle, p quarantineParts) *quarantine {
-	q := &quarantine{p: p, table: poison.NewTable(), named: map[poison.Fingerprint]bool{}}
+	q := &quarantine{parts: p, table: poison.NewTable(), logged: map[poison.Fingerprint]bool{}}
 	q.object = quarantineObject{name: p.Platform.OwnPrefix + "quarantine", log: p.Log, readAt: time.Now()}
-	p.Board.SetCases(q)
-	duties(lc, &q.group, q.settle, q.keep)
+	p.Hub.SetCases(q)
+	runWhileStarted(lc, &q.group, q.reconcileLoop, q.syncLoop)
 	return q
 }
 
-// settleEvery is how often accusations are compared with the list of servers.
-const settleEvery = 250 * time.Millisecond
+// reconcileInterval is how often reported crashes are compared with the list of servers.
+const reconcileInterval = 250 * time.Millisecond
 
-func (q *quarantine) settle(ctx context.Context) error {
-	life := func(s ident.Server) poison.Liveness { life, _ := q.p.Fleet.life(s); return life }
-	for group.Sleep(ctx, settleEvery) {
-		if q.armed.Load() {
-			q.change(func(now time.Time) { q.table.Reconcile(now, life) })
+func (q *quarantine) reconcileLoop(ctx context.Context) error {
+	liveness := func(s ident.Server) poison.Liveness { liveness, _ := q.parts.Servers.liveness(s); return liveness }
+	for group.Sleep(ctx, reconcileInterval) {
+		if q.nonEmpty.Load() {
+			q.update(func(now time.Time) { q.table.Reconcile(now, liveness) })
 		}
 	}
 	return nil
 }
 
-// change changes the table, tells the log what is quarantined by that, and wakes the
-// VMs that wait for news.
-func (q *quarantine) change(f func(now time.Time)) {
+// update changes the table with f, logs which requests entered or left quarantine, and
+// wakes the VMs whose polls wait for news.
+func (q *quarantine) update(f func(now time.Time)) {
 	now := clock.Now()
 	q.mu.Lock()
 	before := q.table.Seq()
 	f(now)
-	q.armed.Store(q.table.Len() > 0)
-	news := q.table.Seq() != before
-	if news {
-		q.note(now)
+	q.nonEmpty.Store(q.table.Len() > 0)
+	changed := q.table.Seq() != before
+	if changed {
+		q.logChanges(now)
 	}
 	q.mu.Unlock()
-	if news {
-		q.p.Board.Wake()
+	if changed {
+		q.parts.Hub.Wake()
 	}
 }
 
-// note logs which requests came into quarantine and which left it. The caller holds mu.
-func (q *quarantine) note(now time.Time) {
-	barred := map[poison.Fingerprint]bool{}
+// logChanges logs which requests entered and left quarantine. The caller holds mu.
+func (q *quarantine) logChanges(now time.Time) {
+	quarantined := map[poison.Fingerprint]bool{}
 	for _, c := range q.table.Quarantined(now) {
 		p := c.Fingerprint.AnyCaller()
-		if !q.named[p] && !barred[p] {
+		if !q.logged[p] && !quarantined[p] {
 			var servers []ident.Server
 			for _, crash := range c.Crashes {
 				servers = append(servers, crash.Server)
 			}
-			q.p.Log.Warn("request quarantined", "print", p.String(), "servers", servers, "for", q.table.QuarantineLeft(now, c.Fingerprint))
+			q.parts.Log.Warn("request quarantined", "print", p.String(), "servers", servers, "for", q.table.QuarantineLeft(now, c.Fingerprint))
 		}
-		barred[p] = true
+		quarantined[p] = true
 	}
-	for p := range q.named {
-		if !barred[p] {
-			q.p.Log.Info("request out of quarantine", "print", p.String(), "crashes", q.table.Crashes(p))
+	for p := range q.logged {
+		if !quarantined[p] {
+			q.parts.Log.Info("request out of quarantine", "print", p.String(), "crashes", q.table.Crashes(p))
 		}
 	}
-	q.named = barred
+	q.logged = quarantined
 }
 
-// Suspects reports whether a request with this head is under suspicion, or any is.
+// Suspects reports whether a request with this head is suspected. With a nil head it
+// reports whether any request is.
 func (q *quarantine) Suspects(h *poison.Head) bool {
-	if h == nil || !q.armed.Load() {
-		return q.armed.Load()
+	if h == nil || !q.nonEmpty.Load() {
+		return q.nonEmpty.Load()
 	}
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	return q.table.Suspected(*h)
 }
 
-// QuarantineLeft is for how much longer a request may reach no server.
+// QuarantineLeft returns for how much longer a request must not be sent to any server.
 func (q *quarantine) QuarantineLeft(p poison.Fingerprint) time.Duration {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	return q.table.QuarantineLeft(clock.Now(), p)
 }
 
-// ReportCrash takes in that a server broke off under a request, and returns how many have.
-// Servers that leave break off what they do not finish.
+// ReportCrash records that a server broke off while it ran a request, and returns how
+// many servers have. Leaving servers are not counted, since they break off what they
+// cannot finish.
 func (q *quarantine) ReportCrash(p poison.Fingerprint, s ident.Server, id ident.Request) int {
-	if _, leaving := q.p.Fleet.life(s); leaving {
+	if _, leaving := q.parts.Servers.liveness(s); leaving {
 		return 0
 	}
 	n := 0
-	q.change(func(now time.Time) { n = q.table.RecordCrash(now, p, s) })
+	q.update(func(now time.Time) { n = q.table.RecordCrash(now, p, s) })
 	if n > 1 {
-		q.p.Log.Warn("another server broke off under a request", "print", p.AnyCaller().String(), "id", id, "server", s, "crashes", n)
+		q.parts.Log.Warn("another server broke off under a request", "print", p.AnyCaller().String(), "id", id, "server", s, "crashes", n)
 	}
 	return n
 }
 
-// Answered takes in that a request under suspicion was answered by a server.
+// Answered records that a server answered a suspected request.
 func (q *quarantine) Answered(p poison.Fingerprint) {
-	q.change(func(now time.Time) { q.table.Clear(now, p) })
+	q.update(func(now time.Time) { q.table.Clear(now, p) })
 }
 
-// Since lists the requests under suspicion that changed after a number.
+// Since returns the suspected requests that changed after a sequence number.
 func (q *quarantine) Since(seq uint64) poll.Cases {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -148,87 +150,89 @@
 	return c
 }
 
-// reports lists what a leader has not been told.
+// reports returns the crash reports that a leader has not received.
 func (q *quarantine) reports(leader string) []poison.Report {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	return q.table.Reports(clock.Now(), leader)
 }
 
-// told notes that a leader has got reports.
-func (q *quarantine) told(leader string, all []poison.Report) {
+// markReported records that a leader has received reports.
+func (q *quarantine) markReported(leader string, all []poison.Report) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.table.MarkReported(leader, all)
 }
 
-// heard takes in the reports of another VM, if this one leads.
-func (q *quarantine) heard(all []poison.Report) {
-	if _, leads := q.p.Board.Lease(); leads && len(all) > 0 {
-		q.change(func(now time.Time) { q.table.AddReports(now, all) })
+// addReports adds the reports of another VM, if this VM leads.
+func (q *quarantine) addReports(all []poison.Report) {
+	if _, leads := q.parts.Hub.Lease(); leads && len(all) > 0 {
+		q.update(func(now time.Time) { q.table.AddReports(now, all) })
 	}
 }
 
-// take takes in what the leader tells.
-func (q *quarantine) take(leader string, all []poison.Verdict) {
-	q.change(func(now time.Time) { q.table.ApplyVerdicts(now, leader, all) })
+// applyVerdicts applies the verdicts of the leader.
+func (q *quarantine) applyVerdicts(leader string, all []poison.Verdict) {
+	q.update(func(now time.Time) { q.table.ApplyVerdicts(now, leader, all) })
 }
 
-// count counts the requests under suspicion, and those of them in quarantine.
+// count returns the number of suspected requests and how many of them are quarantined.
 func (q *quarantine) count() (suspects, quarantined int) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	return q.table.Len(), len(q.table.Quarantined(clock.Now()))
 }
 
-// verdicts lists what is in quarantine.
+// verdicts returns the quarantined requests.
 func (q *quarantine) verdicts() []poison.Verdict {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	return q.table.Quarantine(clock.Now())
 }
 
-// readEvery is how often a VM that no leader tells anything reads what is kept.
-const readEvery = time.Second
+// storeReadInterval is how often a VM that receives nothing from a leader reads the
+// stored quarantine.
+const storeReadInterval = time.Second
 
-// keep brings the table and the object together: the leader reads it once and writes what
-// changed. A VM that hears no leader reads it, since it may serve callers all the same, and
-// so does one that starts, at once.
-func (q *quarantine) keep(ctx context.Context) error {
-	q.merge(q.object.read(ctx, q.p.Platform.StaleStore))
-	for group.Sleep(ctx, settleEvery) {
-		lease, leads := q.p.Board.Lease()
+// syncLoop keeps the table and the stored quarantine in step. The leader reads the object
+// once and writes changes. A VM that receives nothing from a leader reads it, since it
+// may still serve callers, and every VM reads it once when it starts.
+func (q *quarantine) syncLoop(ctx context.Context) error {
+	q.merge(q.object.read(ctx, q.parts.Platform.StaleStore))
+	for group.Sleep(ctx, reconcileInterval) {
+		lease, leads := q.parts.Hub.Lease()
 		switch {
 		case leads:
-			q.lead(ctx, lease.Incarnation)
-		case q.p.Board.Synced(time.Now()):
+			q.syncAsLeader(ctx, lease.Incarnation)
+		case q.parts.Hub.Synced(time.Now()):
 			q.object.leader, q.object.readAt = "", time.Now()
-		case time.Since(q.object.readAt) >= readEvery:
+		case time.Since(q.object.readAt) >= storeReadInterval:
 			q.object.leader, q.object.readAt = "", time.Now()
-			q.merge(q.object.read(ctx, q.p.Platform.StaleStore))
+			q.merge(q.object.read(ctx, q.parts.Platform.StaleStore))
 		}
 	}
 	return nil
 }
 
-// lead keeps the table while this VM leads.
-func (q *quarantine) lead(ctx context.Context, life string) {
-	if q.object.leader != life {
-		all, ok := q.object.read(ctx, q.p.Platform.Store)
+// syncAsLeader loads the stored quarantine once per term and writes it when it has
+// changed.
+func (q *quarantine) syncAsLeader(ctx context.Context, incarnation string) {
+	if q.object.leader != incarnation {
+		all, ok := q.object.read(ctx, q.parts.Platform.Store)
 		if !ok {
 			return
 		}
-		q.object.leader = life
+		q.object.leader = incarnation
 		q.merge(all, true)
 	}
 	all := q.verdicts()
-	if text := signature(all); text != q.object.held {
-		q.object.write(ctx, q.p.Platform.Store, all, text)
+	if sig := signature(all); sig != q.object.stored {
+		q.object.write(ctx, q.parts.Platform.Store, all, sig)
 	}
 }
 
 func (q *quarantine) merge(all []poison.Verdict, ok bool) {
 	if ok && len(all) > 0 {
-		q.change(func(now time.Time) { q.table.Merge(now, all) })
+		q.update(func(now time.Time) { q.table.Merge(now, all) })
 	}
 }
--- a/internal/edge/host/quarops.go
+++ b/internal/edge/host/quarantine_http.go
@@ -11,7 +11,8 @@
 
 const quarantinePath = "/quarantine"
 
-// handler serves operators beside the metrics: what is in quarantine, and its lifting.
+// handler serves operators on the metrics listener: it lists quarantined requests and
+// lifts their quarantine. All other paths go to metrics.
 func (q *quarantine) handler(metrics http.Handler) http.Handler {
 	engine := gin.New()
 	engine.NoRoute(gin.WrapH(metrics))
@@ -26,8 +27,8 @@
 			c.String(http.StatusNotFound, "not in quarantine here\n")
 			return
 		}
-		q.change(func(now time.Time) { q.table.Release(now, p) })
-		q.p.Log.Info("quarantine lifted by an operator", "print", p.String())
+		q.update(func(now time.Time) { q.table.Release(now, p) })
+		q.parts.Log.Info("quarantine lifted by an operator", "print", p.String())
 		c.Status(http.StatusNoContent)
 	})
 	return engine
--- /dev/null
+++ b/internal/edge/host/quarantine_object.go
@@ -0,0 +1,92 @@
+package host
+
+import (
+	"context"
+	"encoding/json"
+	"log/slog"
+	"time"
+
+	"hawthornfield.org/hawthornfield/internal/core/kinds"
+	"hawthornfield.org/hawthornfield/internal/edge/poll"
+	"hawthornfield.org/hawthornfield/internal/load/poison"
+	"hawthornfield.org/hawthornfield/internal/plat/object"
+)
+
+// quarantineObject is the store object that holds the quarantined requests.
+type quarantineObject struct {
+	name    string
+	log     *slog.Logger
+	leader  string // incarnation under which this VM leads and has read the object
+	version object.Version
+	stored  string    // signature of the stored cases
+	readAt  time.Time // last read by a VM that does not lead
+}
+
+// storedCases is the format of the object. At is the wall-clock time at which the ages in
+// Cases were valid.
+type storedCases struct {
+	At    time.Time                        `json:"at"`
+	Cases poll.LenientList[poison.Verdict] `json:"cases"`
+}
+
+// signature identifies cases and their crashes. It leaves out the ages, which always
+// change.
+func signature(all []poison.Verdict) string {
+	text := ""
+	for _, v := range all {
+		text += v.Fingerprint.String()
+		for _, c := range v.Crashes {
+			text += " " + string(c.Server)
+		}
+		text += "\n"
+	}
+	return text
+}
+
+// read returns the stored cases, and false if the store does not answer.
+func (c *quarantineObject) read(ctx context.Context, store object.Store) ([]poison.Verdict, bool) {
+	o, err := store.Get(ctx, c.name)
+	if kinds.Of(err) == kinds.NotFound {
+		c.version, c.stored = 0, ""
+		return nil, true
+	}
+	if err != nil {
+		return nil, false
+	}
+	c.version = o.Version
+	var stored storedCases
+	if err := json.Unmarshal(o.Value, &stored); err != nil {
+		c.log.Error("stored quarantine cannot be decoded; it will be rewritten", "rev", o.Version, "err", err)
+		c.stored = "unreadable"
+		return nil, true
+	}
+	c.stored = signature(stored.Cases)
+	age := max(time.Since(stored.At), 0)
+	for i := range stored.Cases {
+		v := &stored.Cases[i]
+		if v.Cleared > 0 {
+			v.Cleared += age
+		}
+		for j := range v.Crashes {
+			v.Crashes[j].Ago += age
+		}
+	}
+	return stored.Cases, true
+}
+
+// write stores the cases. After an error, such as a conflict or an ambiguous write, the
+// object is read again before the next write.
+func (c *quarantineObject) write(ctx context.Context, store object.Store, all []poison.Verdict, sig string) {
+	b, err := json.Marshal(storedCases{At: time.Now().Round(0), Cases: all})
+	if err != nil {
+		c.log.Error("quarantine write failed", "err", err)
+		return
+	}
+	version, err := store.Put(ctx, c.name, b, c.version)
+	if err != nil {
+		c.log.Warn("quarantine write failed", "old", c.version, "err", err)
+		c.leader = ""
+		return
+	}
+	c.version, c.stored = version, sig
+}
--- a/internal/edge/host/quarantine_test.go
+++ b/internal/edge/host/quarantine_test.go
@@ -14,82 +14,83 @@
 	"hawthornfield.org/hawthornfield/internal/rules/revs"
 )
 
-// printOf is the print of a lookup that [world.get] sends VM i.
-func (w *world) printOf(i int, path string) poison.Fingerprint {
-	at := url.URL{Host: w.cfgs[i].Callers.String()}
+// fingerprintOf is the fingerprint of a lookup that [testCluster.get] sends to VM i.
+func (tc *testCluster) fingerprintOf(i int, path string) poison.Fingerprint {
+	at := url.URL{Host: tc.cfgs[i].Callers.String()}
 	return poison.HeadOf(http.MethodGet, at.Host, path).Fingerprint("127.0.0.1", poison.BodyOf(nil))
 }
 
-func (w *world) barred(i int, p poison.Fingerprint) func() bool {
-	return func() bool { return w.vms[i].d.p.Guard.QuarantineLeft(p) > 0 }
+func (tc *testCluster) quarantined(i int, p poison.Fingerprint) func() bool {
+	return func() bool { return tc.vms[i].listeners.parts.Quarantine.QuarantineLeft(p) > 0 }
 }
 
-// Guards against a crashing request of which each VM knows only its own crashes.
+// Guards against a crashing request of which each VM knows only the crashes that it saw
+// itself.
 func TestEachVMKnowsTheCrashesThatOthersSaw(t *testing.T) {
-	w := newWorld(t, 3)
-	w.rules("/lookup/")
-	w.serve("lookup", "l1")
-	p := w.printOf(2, "/lookup/x")
+	tc := newTestCluster(t, 3)
+	tc.setRules("/lookup/")
+	tc.addServer("lookup", "l1")
+	p := tc.fingerprintOf(2, "/lookup/x")
 	for i := range 3 {
-		w.start(i)
-		w.within(patient, "ready", w.ready(i))
+		tc.startVM(i)
+		tc.waitFor(waitLimit, "ready", tc.ready(i))
 	}
 	for i, s := range []ident.Server{"gone-1", "gone-2", "gone-3"} {
-		w.vms[i].d.p.Guard.ReportCrash(p, s, "r")
+		tc.vms[i].listeners.parts.Quarantine.ReportCrash(p, s, "r")
 	}
 	for i := range 3 {
-		w.within(patient, "knows the request", w.barred(i, p))
+		tc.waitFor(waitLimit, "knows the request", tc.quarantined(i, p))
 	}
-	status, _ := w.get(2, "/lookup/x", "1")
+	status, _ := tc.get(2, "/lookup/x", "1")
 	assert.Equal(t, status, http.StatusServiceUnavailable)
-	status, _ = w.get(2, "/lookup/y", "1")
+	status, _ = tc.get(2, "/lookup/y", "1")
 	assert.Equal(t, status, http.StatusOK)
-	for _, vm := range w.vms {
+	for _, vm := range tc.vms {
 		assert.NilError(t, vm.Close())
 	}
 }
 
 // Guards against a quarantine that ends because every VM was restarted.
 func TestAQuarantineOutlastsAllVMs(t *testing.T) {
-	w := newWorld(t, 2)
-	w.rules("/lookup/")
-	w.serve("lookup", "l1")
-	w.start(0)
-	w.within(patient, "leads", func() bool { return w.leads() == 0 })
-	p := w.printOf(0, "/lookup/x")
+	tc := newTestCluster(t, 2)
+	tc.setRules("/lookup/")
+	tc.addServer("lookup", "l1")
+	tc.startVM(0)
+	tc.waitFor(waitLimit, "leads", func() bool { return tc.leaderIndex() == 0 })
+	p := tc.fingerprintOf(0, "/lookup/x")
 	for _, s := range []ident.Server{"gone-1", "gone-2", "gone-3"} {
-		w.vms[0].d.p.Guard.ReportCrash(p, s, "r")
+		tc.vms[0].listeners.parts.Quarantine.ReportCrash(p, s, "r")
 	}
-	w.within(patient, "kept", func() bool {
-		w.store.mu.Lock()
-		defer w.store.mu.Unlock()
-		_, ok := w.store.objects["own/quarantine"]
+	tc.waitFor(waitLimit, "kept", func() bool {
+		tc.store.mu.Lock()
+		defer tc.store.mu.Unlock()
+		_, ok := tc.store.objects["own/quarantine"]
 		return ok
 	})
-	assert.NilError(t, w.vms[0].Close())
-	w.start(1)
-	w.within(patient, "knows the request", w.barred(1, p))
-	assert.NilError(t, w.vms[1].Close())
+	assert.NilError(t, tc.vms[0].Close())
+	tc.startVM(1)
+	tc.waitFor(waitLimit, "knows the request", tc.quarantined(1, p))
+	assert.NilError(t, tc.vms[1].Close())
 }
 
-// Guards against a quarantine that no operator can end.
+// Guards against a quarantine that an operator cannot lift.
 func TestAnOperatorLiftsAQuarantine(t *testing.T) {
-	w := newWorld(t, 2)
-	w.rules("/lookup/")
-	w.serve("lookup", "l1")
-	p := w.printOf(0, "/lookup/x")
+	tc := newTestCluster(t, 2)
+	tc.setRules("/lookup/")
+	tc.addServer("lookup", "l1")
+	p := tc.fingerprintOf(0, "/lookup/x")
 	for i := range 2 {
-		w.start(i)
-		w.within(patient, "ready", w.ready(i))
+		tc.startVM(i)
+		tc.waitFor(waitLimit, "ready", tc.ready(i))
 	}
 	for _, s := range []ident.Server{"gone-1", "gone-2", "gone-3"} {
-		w.vms[0].d.p.Guard.ReportCrash(p, s, "r")
+		tc.vms[0].listeners.parts.Quarantine.ReportCrash(p, s, "r")
 	}
 	for i := range 2 {
-		w.within(patient, "knows the request", w.barred(i, p))
+		tc.waitFor(waitLimit, "knows the request", tc.quarantined(i, p))
 	}
 	lift := func(i int, name string) int {
-		at := "http://" + w.cfgs[i].Metrics.String() + quarantinePath + "/" + name
+		at := "http://" + tc.cfgs[i].Metrics.String() + quarantinePath + "/" + name
 		r, err := http.NewRequestWithContext(t.Context(), http.MethodDelete, at, nil)
 		assert.NilError(t, err)
 		resp, err := http.DefaultClient.Do(r)
@@ -101,28 +102,28 @@
 	assert.Equal(t, lift(1, p.String()), http.StatusNoContent)
 	assert.Equal(t, lift(1, p.String()), http.StatusNotFound)
 	for i := range 2 {
-		w.within(patient, "lifted everywhere", func() bool { return !w.barred(i, p)() })
+		tc.waitFor(waitLimit, "lifted everywhere", func() bool { return !tc.quarantined(i, p)() })
 	}
-	time.Sleep(2 * settleEvery)
-	for i, vm := range w.vms {
-		assert.Assert(t, !w.barred(i, p)(), "it does not come back")
+	time.Sleep(2 * reconcileInterval)
+	for i, vm := range tc.vms {
+		assert.Assert(t, !tc.quarantined(i, p)(), "it does not come back")
 		assert.NilError(t, vm.Close())
 	}
 }
 
-// Guards against a crashing request that gets through each VM that starts.
+// Guards against a crashing request that each newly started VM lets through.
 func TestAVMThatStartsKnowsTheQuarantineBeforeItServes(t *testing.T) {
-	w := newWorld(t, 1)
-	w.rules("/lookup/")
-	w.serve("lookup", "l1")
-	p := w.printOf(0, "/lookup/x")
+	tc := newTestCluster(t, 1)
+	tc.setRules("/lookup/")
+	tc.addServer("lookup", "l1")
+	p := tc.fingerprintOf(0, "/lookup/x")
 	crasher := poison.NewTable()
 	for _, s := range []ident.Server{"gone-1", "gone-2", "gone-3"} {
 		crasher.RecordCrash(clock.Now(), p, s)
 	}
-	w.store.write("own/quarantine", keptCases{At: time.Now(), Cases: crasher.Quarantine(clock.Now())})
-	h := w.start(0)
-	w.within(patient, "serves", func() bool { return h.d.p.State.Rules.State() == revs.Serve })
-	assert.Assert(t, w.barred(0, p)())
+	tc.store.write("own/quarantine", storedCases{At: time.Now(), Cases: crasher.Quarantine(clock.Now())})
+	h := tc.startVM(0)
+	tc.waitFor(waitLimit, "serves", func() bool { return h.listeners.parts.State.Rules.State() == revs.Serve })
+	assert.Assert(t, tc.quarantined(0, p)())
 	assert.NilError(t, h.Close())
 }
--- /dev/null
+++ b/internal/edge/host/servers.go
@@ -0,0 +1,355 @@
+package host
+
+import (
+	"context"
+	"log/slog"
+	"net/netip"
+	"slices"
+	"strings"
+	"sync"
+	"time"
+
+	"go.uber.org/fx"
+
+	"hawthornfield.org/hawthornfield/internal/core/group"
+	"hawthornfield.org/hawthornfield/internal/core/ident"
+	"hawthornfield.org/hawthornfield/internal/edge/feed"
+	"hawthornfield.org/hawthornfield/internal/edge/poll"
+	"hawthornfield.org/hawthornfield/internal/edge/state"
+	"hawthornfield.org/hawthornfield/internal/load/gate"
+	"hawthornfield.org/hawthornfield/internal/load/poison"
+	"hawthornfield.org/hawthornfield/internal/node/member"
+	"hawthornfield.org/hawthornfield/internal/plat/object"
+)
+
+// serverTracker tracks the backend servers and passes them to the gates.
+type serverTracker struct {
+	group group.Group
+	plat  Platform
+	state *state.State
+	hub   *poll.Hub
+	log   *slog.Logger
+
+	mu           sync.Mutex
+	members      member.Set[feed.Server]
+	services     map[ident.Service]feed.Service
+	vmCount      int
+	onChange     func([]feed.Server)
+	rev          uint64
+	mismatch     bool                       // the checksum after the last delta did not match that of the leader
+	nextFullList time.Time                  // when the complete list may be requested again
+	drain        time.Duration              // how long after its announcement a leaving server may get requests
+	leavingSince map[ident.Server]time.Time // when each leaving server was first seen to leave
+	dropped      map[ident.Server]bool      // leaving servers that no longer get requests
+	lastLogged   map[ident.Server]bool      // servers at the last log line; true if leaving
+	loggedFaults map[ident.Server]bool      // servers whose invalid entry has been logged
+}
+
+func newServerTracker(lc fx.Lifecycle, cfg Config, p Platform, s *state.State, hub *poll.Hub, log *slog.Logger) *serverTracker {
+	t := &serverTracker{plat: p, state: s, hub: hub, log: log, services: map[ident.Service]feed.Service{}, vmCount: 1, drain: cfg.Bounds.Drain, loggedFaults: map[ident.Server]bool{}, dropped: map[ident.Server]bool{}}
+	w := &watcher{
+		prefix: p.Servers, hub: hub, fresh: p.Store, stale: p.StaleStore, log: log,
+		toldByPeer: func() bool { _, servers := hub.Revs(); return servers > 0 },
+		onList:     t.replaceAll, onChange: t.applyChanges, onDown: t.storeDown, onUp: t.storeUp,
+	}
+	runWhileStarted(lc, &t.group, w.run, t.expireLoop)
+	return t
+}
+
+func (t *serverTracker) storeDown() {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.members.StoreDown()
+}
+
+// storeUp records that the store answered.
+func (t *serverTracker) storeUp() {
+	now := time.Now()
+	t.hub.SetStoreContact(now)
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.members.StoreUp(now)
+}
+
+// noteStoreSeenByLeader records for how long the store has answered the leader without
+// interruption.
+func (t *serverTracker) noteStoreSeenByLeader(upFor time.Duration) {
+	if upFor <= 0 {
+		return
+	}
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	now := time.Now()
+	if t.members.StoreSeenByPeer(now, now.Add(-upFor)) {
+		t.log.Info("store answered the leader while this VM could not reach it", "rev", t.rev, "steady", upFor)
+		t.publish(t.rev)
+	}
+}
+
+func (t *serverTracker) replaceAll(all []object.Object, cursor object.Cursor) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	var list []member.Entry[feed.Server]
+	for _, o := range all {
+		if e, ok := t.decode(o); ok {
+			list = append(list, e)
+		}
+	}
+	if t.members.ReplaceAll(time.Now(), uint64(cursor), list) {
+		t.publish(uint64(cursor))
+	}
+}
+
+func (t *serverTracker) applyChanges(all []object.Change, cursor object.Cursor) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	now := time.Now()
+	t.members.StoreUp(now)
+	changed := false
+	for _, c := range all {
+		e, ok := t.decode(c.Object)
+		if c.Version == 0 || !ok {
+			changed = t.members.Remove(now, e.Name, uint64(cursor)) || changed
+			continue
+		}
+		changed = t.members.Put(e) || changed
+	}
+	if changed {
+		t.publish(uint64(cursor))
+	}
+}
+
+// decode decodes a server's entry. It returns false for an entry that cannot be read.
+func (t *serverTracker) decode(o object.Object) (member.Entry[feed.Server], bool) {
+	name := strings.TrimPrefix(o.Name, t.plat.Servers)
+	e := member.Entry[feed.Server]{Name: ident.Server(name), Rev: uint64(o.Version)}
+	if o.Version == 0 {
+		return e, false
+	}
+	srv, err := t.plat.Decode.Server(name, o.Value)
+	fault := srv.InvalidFields
+	if err != nil {
+		fault = err.Error()
+	}
+	if fault != "" && !t.loggedFaults[e.Name] {
+		t.loggedFaults[e.Name] = true
+		t.log.Warn("server entry has a fault", "server", name, "rev", e.Rev, "taken", err == nil, "fault", fault)
+	}
+	if err != nil {
+		return e, false
+	}
+	srv.Rev = e.Rev
+	e.Value, e.Leaving = srv, srv.Leaving
+	return e, true
+}
+
+// expireLoop removes servers that are still missing some time after the store is back.
+func (t *serverTracker) expireLoop(ctx context.Context) error {
+	const every = 200 * time.Millisecond
+	for group.Sleep(ctx, every) {
+		t.mu.Lock()
+		now := time.Now()
+		if t.members.Expire(now) {
+			t.publish(t.rev)
+		} else if t.markDrained(now) {
+			t.updateGates(t.list())
+		}
+		t.mu.Unlock()
+	}
+	return nil
+}
+
+// publish passes the servers to the gates, the other VMs and the key assignment. The
+// caller holds mu.
+func (t *serverTracker) publish(rev uint64) {
+	t.rev = max(t.rev, rev)
+	var list []feed.Server
+	for _, e := range t.members.All() {
+		list = append(list, e.Value)
+	}
+	t.logChanges(list)
+	t.hub.SetServers(poll.ServerList{Rev: t.rev, List: list})
+	t.updateGates(list)
+	if t.onChange != nil {
+		t.onChange(list)
+	}
+}
+
+// logChanges logs which servers are new, leaving or gone. The caller holds mu.
+func (t *serverTracker) logChanges(list []feed.Server) {
+	now := make(map[ident.Server]bool, len(list))
+	var added, leaving, gone []ident.Server
+	for _, s := range list {
+		wasLeaving, known := t.lastLogged[s.Name]
+		switch {
+		case !known:
+			added = append(added, s.Name)
+		case s.Leaving && !wasLeaving:
+			leaving = append(leaving, s.Name)
+		}
+		now[s.Name] = s.Leaving
+	}
+	for name := range t.lastLogged {
+		if _, listed := now[name]; !listed {
+			gone = append(gone, name)
+		}
+	}
+	t.lastLogged = now
+	if len(added)+len(leaving)+len(gone) > 0 {
+		t.log.Info("servers", "rev", t.rev, "count", len(list), "came", added, "leave", leaving, "gone", gone)
+	}
+}
+
+// updateGates passes each service's servers to its gate. The caller holds mu.
+func (t *serverTracker) updateGates(list []feed.Server) {
+	now := time.Now()
+	t.trackLeaving(now, list)
+	infos := map[ident.Service][]gate.ServerInfo{}
+	addrs := map[ident.Service]map[ident.Server]netip.AddrPort{}
+	for _, s := range list {
+		if t.drained(now, s) {
+			continue
+		}
+		svc := t.services[s.Service]
+		infos[s.Service] = append(infos[s.Service], gate.ServerInfo{
+			Name: s.Name, Centre: s.Centre, Slots: s.Slots, Conns: svc.Conns, Cold: s.Cold > 0, Drain: s.Leaving,
+		})
+		if addrs[s.Service] == nil {
+			addrs[s.Service] = map[ident.Server]netip.AddrPort{}
+		}
+		addrs[s.Service][s.Name] = s.Addr
+	}
+	for name := range t.services {
+		svc, ok := t.state.Service(name)
+		if !ok {
+			continue
+		}
+		if addrs[name] == nil {
+			addrs[name] = map[ident.Server]netip.AddrPort{}
+		}
+		svc.SetAddrs(addrs[name])
+		svc.Gate.SetServers(infos[name])
+	}
+}
+
+// drainShare is the fraction of the drain time in which a leaving server may get requests
+// for keys that it still owns. The rest covers the transit of the requests and the delay
+// until this VM learned that the server leaves.
+const drainShare = 0.55
+
+// trackLeaving records when each server was first seen to leave. The caller holds mu.
+func (t *serverTracker) trackLeaving(now time.Time, list []feed.Server) {
+	next := make(map[ident.Server]time.Time)
+	for _, s := range list {
+		if !s.Leaving {
+			continue
+		}
+		next[s.Name] = now
+		if since, known := t.leavingSince[s.Name]; known {
+			next[s.Name] = since
+		}
+	}
+	t.leavingSince = next
+}
+
+// drained reports whether a server announced so long ago that it leaves that it must get
+// no more requests. By then its keys have other owners or their requests wait for one.
+// The platform counts a later request as sent to a server that is gone.
+func (t *serverTracker) drained(now time.Time, s feed.Server) bool {
+	since, leaving := t.leavingSince[s.Name]
+	return leaving && now.Sub(since) >= time.Duration(drainShare*float64(t.drain))
+}
+
+// markDrained marks the servers that have become drained since the last call and reports
+// whether there are any.
+func (t *serverTracker) markDrained(now time.Time) bool {
+	found := false
+	for name, since := range t.leavingSince {
+		if !t.dropped[name] && now.Sub(since) >= time.Duration(drainShare*float64(t.drain)) {
+			t.dropped[name], found = true, true
+		}
+	}
+	return found
+}
+
+// setServices applies the services of the rules in force.
+func (t *serverTracker) setServices(all []feed.Service) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	for _, s := range all {
+		t.services[s.Name] = s
+		if svc, ok := t.state.Service(s.Name); ok {
+			svc.Gate.SetShare(t.vmCount, 0)
+		}
+	}
+	t.updateGates(t.list())
+	if t.onChange != nil {
+		t.onChange(t.list())
+	}
+}
+
+func (t *serverTracker) list() []feed.Server {
+	var list []feed.Server
+	for _, e := range t.members.All() {
+		list = append(list, e.Value)
+	}
+	return list
+}
+
+// hasServers reports whether a service has servers.
+func (t *serverTracker) hasServers(svc ident.Service) bool {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return slices.ContainsFunc(t.list(), func(s feed.Server) bool { return s.Service == svc })
+}
+
+// liveness returns whether a server is alive, gone or unknown, and whether it is leaving.
+func (t *serverTracker) liveness(s ident.Server) (live poison.Liveness, leaving bool) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	e, listed := t.members.Has(s)
+	switch {
+	case t.members.Uncertain(time.Now()):
+		return poison.Unknown, e.Leaving
+	case listed:
+		return poison.Alive, e.Leaving
+	}
+	return poison.Gone, false
+}
+
+// setVMCount sets the number of VMs that share the servers.
+func (t *serverTracker) setVMCount(vms int) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if vms == t.vmCount {
+		return
+	}
+	t.vmCount = vms
+	for _, svc := range t.state.Services() {
+		svc.Gate.SetShare(vms, 0)
+	}
+}
+
+// subscribe sets the function that is called with the current servers and after each
+// change.
+func (t *serverTracker) subscribe(fn func([]feed.Server)) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.onChange = fn
+	if fn != nil {
+		fn(t.list())
+	}
+}
+
+// dividedServices returns the services that are divided by key.
+func (t *serverTracker) dividedServices() []ident.Service {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	var all []ident.Service
+	for name, s := range t.services {
+		if s.Divided {
+			all = append(all, name)
+		}
+	}
+	return all
+}
--- /dev/null
+++ b/internal/edge/host/servers_test.go
@@ -0,0 +1,54 @@
+package host
+
+import (
+	"log/slog"
+	"slices"
+	"testing"
+	"time"
+
+	"gotest.tools/v3/assert"
+
+	"hawthornfield.org/hawthornfield/internal/core/ident"
+	"hawthornfield.org/hawthornfield/internal/edge/feed"
+	"hawthornfield.org/hawthornfield/internal/edge/poll"
+	"hawthornfield.org/hawthornfield/internal/edge/state"
+)
+
+func newTestTracker() *serverTracker {
+	return &serverTracker{
+		state: state.New(nil), hub: poll.NewHub("vm-2", "a"), log: slog.New(slog.DiscardHandler),
+		services: map[ident.Service]feed.Service{}, dropped: map[ident.Server]bool{},
+	}
+}
+
+// Guards against a VM that keeps asking with an old revision. If a newer list holds no
+// change, the VM must still record its revision, or it is sent the list at once with each
+// poll, in an endless loop.
+func TestServerListWithoutChangesAdvancesRevision(t *testing.T) {
+	tr := newTestTracker()
+	list := []feed.Server{{Name: "lookup-1", Service: "lookup", Rev: 3}}
+	tr.mergePeerList(poll.ServerList{Rev: 5, List: list})
+	_, rev := tr.hub.Revs()
+	assert.Equal(t, rev, uint64(5))
+	tr.mergePeerList(poll.ServerList{Rev: 9, List: list})
+	_, rev = tr.hub.Revs()
+	assert.Equal(t, rev, uint64(9))
+}
+
+// Guards against a server that stays listed on one VM. The leader has dropped it, and
+// later deltas do not name it. The checksum of all servers differs, and the VM must
+// request the complete list once.
+func TestAVMThatMissedAServerAsksForAll(t *testing.T) {
+	tr := newTestTracker()
+	first := feed.Server{Name: "lookup-1", Service: "lookup", Rev: 3}
+	second := feed.Server{Name: "lookup-2", Service: "lookup", Rev: 6}
+	tr.mergePeerList(poll.ServerList{Rev: 5, List: []feed.Server{first, {Name: "lookup-0", Service: "lookup", Rev: 2}}})
+	now := time.Now()
+	assert.Equal(t, tr.knownRev(now), uint64(5))
+	tr.mergePeerList(poll.ServerList{Rev: 6, Delta: true, List: []feed.Server{second}, Sum: poll.SumOf([]feed.Server{first, second})})
+	assert.Equal(t, tr.knownRev(now), uint64(0))
+	assert.Equal(t, tr.knownRev(now), uint64(6), "the complete list is not requested again at once")
+	tr.mergePeerList(poll.ServerList{Rev: 6, List: []feed.Server{first, second}})
+	assert.Assert(t, slices.Equal(tr.list(), []feed.Server{first, second}))
+	assert.Equal(t, tr.knownRev(now.Add(fullListInterval)), uint64(6))
+}
--- a/internal/edge/host/stop_test.go
+++ b/internal/edge/host/stop_test.go
@@ -8,37 +8,37 @@
 	"gotest.tools/v3/assert"
 )
 
-// A VM is stopped in turn while the configuration grows. With the new rules came a quarter
-// of a second in which it read nothing, just as it closed its connections: requests that
-// callers had sent on them, in good faith, ended without an answer. It leaves the rules to
-// the other VMs, serves by those that it has, and gives no final answer by them.
+// Guards against requests that are cut off during a rolling restart. New rules kept a
+// stopping VM busy for a quarter of a second just as it closed its connections, and
+// requests already sent on them got no answer. It must ignore new rules, serve by the
+// current ones, and give no final refusal by them.
 func TestAVMThatStopsTakesInNoMoreRules(t *testing.T) {
-	w := newWorld(t, 2)
-	w.store.write("config/main", grown(900))
-	w.serve("ledger", "r1")
-	w.start(0)
-	w.within(patient, "leads", func() bool { return w.leads() == 0 })
-	h := w.start(1)
-	w.within(patient, "served", func() bool {
-		status, _ := w.get(1, "/receipt/1", "")
+	tc := newTestCluster(t, 2)
+	tc.store.write("config/main", rulesWithExtra(900))
+	tc.addServer("ledger", "r1")
+	tc.startVM(0)
+	tc.waitFor(waitLimit, "leads", func() bool { return tc.leaderIndex() == 0 })
+	h := tc.startVM(1)
+	tc.waitFor(waitLimit, "served", func() bool {
+		status, _ := tc.get(1, "/receipt/1", "")
 		return status == http.StatusOK
 	})
-	w.within(patient, "relies on the others", func() bool { _, ok := h.d.p.Book.relies(time.Now()); return ok })
-	time.Sleep(500 * time.Millisecond) // a watch of the store that began before ends
-	before, brought := h.d.p.State.Rules.Current().Rev, w.ways[1].versions()
-	h.d.p.Front.SetClosing()
-	w.store.write("config/main", grown(3000))
-	w.within(patient, "the new rules are known", func() bool { return h.d.p.State.Rules.Newest() > before })
-	time.Sleep(2 * fetchWait)
-	rev, _ := h.d.p.Board.Revs()
+	tc.waitFor(waitLimit, "relies on the others", func() bool { _, ok := h.listeners.parts.Rules.reliesOnPeers(time.Now()); return ok })
+	time.Sleep(500 * time.Millisecond) // lets a running watch of the store end
+	before, brought := h.listeners.parts.State.Rules.Current().Rev, tc.gateways[1].rulesVersionsRead()
+	h.listeners.parts.Front.SetClosing()
+	tc.store.write("config/main", rulesWithExtra(3000))
+	tc.waitFor(waitLimit, "the new rules are known", func() bool { return h.listeners.parts.State.Rules.Newest() > before })
+	time.Sleep(2 * peerFetchTimeout)
+	rev, _ := h.listeners.parts.Hub.Revs()
 	assert.Equal(t, rev, uint64(before), "not fetched")
-	assert.Equal(t, w.ways[1].versions(), brought, "not read from the store")
-	assert.Equal(t, h.d.p.State.Rules.Current().Rev, before)
-	status, _ := w.get(1, "/receipt/1", "")
+	assert.Equal(t, tc.gateways[1].rulesVersionsRead(), brought, "not read from the store")
+	assert.Equal(t, h.listeners.parts.State.Rules.Current().Rev, before)
+	status, _ := tc.get(1, "/receipt/1", "")
 	assert.Equal(t, status, http.StatusOK)
-	status, _ = w.get(1, "/added-2999/1", "")
+	status, _ = tc.get(1, "/added-2999/1", "")
 	assert.Equal(t, status, http.StatusServiceUnavailable, "another VM has the rule")
-	for _, vm := range w.vms {
+	for _, vm := range tc.vms {
 		assert.NilError(t, vm.Close())
 	}
 }
--- a/internal/edge/host/watch.go
+++ b/internal/edge/host/watch.go
@@ -13,71 +13,73 @@
 	"hawthornfield.org/hawthornfield/internal/plat/object"
 )
 
-// watcher follows one kind of objects: list, watch from there, and list again when
-// the place is lost.
+// watcher follows all objects with one prefix: it lists them, watches for changes from
+// there, and lists again when the store no longer knows the cursor.
 //
-// The VM that leads watches the store closely and tells the others. They watch too,
-// the cheaper way, for the moment in which the leader is cut off and nobody has
-// noticed yet.
+// The leader watches the linearizable store and tells the other VMs. They also watch, the
+// cheaper store, to cover the time in which the leader is cut off and nobody has noticed
+// yet.
 type watcher struct {
-	prefix  string
-	board   *poll.Hub
-	fresh   object.Store
-	stale   object.Store
-	log     *slog.Logger
-	told    func() bool // another VM told what is watched here
-	listed  func([]object.Object, object.Cursor)
-	changed func([]object.Change, object.Cursor)
-	down    func()
-	up      func() // the store answered, whether or not with news
-	// newest takes in that all that the store held at a time is known here, and up to
-	// which place in its sequence of changes.
-	newest func(at time.Time, place object.Cursor)
-	// rely, where set, reports whether the leader tells all that this watch would bring,
-	// and up to which place it has.
-	rely   func(now time.Time) (object.Cursor, bool)
-	failed int // calls in a row that came to nothing
-	lost   int // lists in a row whose place was forgotten at once
+	prefix     string
+	hub        *poll.Hub
+	fresh      object.Store
+	stale      object.Store
+	log        *slog.Logger
+	toldByPeer func() bool // reports whether another VM has sent what is watched here
+	onList     func([]object.Object, object.Cursor)
+	onChange   func([]object.Change, object.Cursor)
+	onDown     func()
+	onUp       func() // the store answered, with or without changes
+	// onCurrent is called when this VM knows everything that the store held at a time, up
+	// to a cursor in its sequence of changes.
+	onCurrent func(at time.Time, cursor object.Cursor)
+	// peersCover, if set, reports whether other VMs deliver everything that this watch
+	// would, and up to which cursor they have.
+	peersCover  func(now time.Time) (object.Cursor, bool)
+	failures    int // failed calls in a row
+	lostCursors int // lists in a row whose cursor the store refused at once
 }
 
 // Pauses of a watcher.
 const (
-	firstPause = 250 * time.Millisecond
-	lastPause  = 2 * time.Second
-	// tellWait is how long a VM that starts waits for the leader to tell it what it
-	// would otherwise ask the store for, at the full price and all VMs at once. A leader
-	// that is there answers within some 20 ms; where there is none, all callers wait.
-	tellWait = 100 * time.Millisecond
-	tellPoll = 20 * time.Millisecond
-	// gather is the pause after a change before the next watch: servers that start or
-	// leave together then cost one call and not one each. It is small beside the two
-	// seconds within which a change must be acted upon.
-	gather = 150 * time.Millisecond
-	// gatherTold is the same on a VM whom the leader tells of changes at once. Its own
-	// watch is for the second in which the leader is silent and still taken to lead.
-	gatherTold = 800 * time.Millisecond
+	minBackoff = 250 * time.Millisecond
+	maxBackoff = 2 * time.Second
+	// firstListWait is how long a starting VM waits for the leader to send what it would
+	// otherwise list from the linearizable store, which is expensive when all VMs do so
+	// at once. A reachable leader answers within about 20 ms; without one, all callers
+	// wait this long.
+	firstListWait = 100 * time.Millisecond
+	firstListPoll = 20 * time.Millisecond
+	// leaderBatchDelay is the pause between a change and the next watch, so that servers
+	// that start or leave together cost one call instead of one each. It is short
+	// compared with the two seconds within which a change must take effect.
+	leaderBatchDelay = 150 * time.Millisecond
+	// syncedBatchDelay is the same pause on a VM that the leader informs of changes at
+	// once. Its own watch only covers the second in which a silent leader still counts as
+	// the leader.
+	syncedBatchDelay = 800 * time.Millisecond
 )
 
-// store is the linearizable one on the VM that leads, which tells the others, and
-// the cheaper one elsewhere.
-func (w *watcher) store() object.Store {
-	if _, leads := w.board.Lease(); leads {
+// preferredStore returns the linearizable store on the leader, which informs the other
+// VMs, and the cheaper one on the others.
+func (w *watcher) preferredStore() object.Store {
+	if _, leads := w.hub.Lease(); leads {
 		return w.fresh
 	}
 	return w.stale
 }
 
-// first is where the first list comes from. A list that lags would do harm only to a
-// VM that knows nothing newer.
-func (w *watcher) first(ctx context.Context) object.Store {
-	for end := time.Now().Add(tellWait); time.Now().Before(end); {
-		if _, leads := w.board.Lease(); leads {
+// firstStore returns the store for the first list. A stale list is harmful only to a VM
+// that knows nothing newer.
+func (w *watcher) firstStore(ctx context.Context) object.Store {
+	for end := time.Now().Add(firstListWait); time.Now().Before(end); {
+		if _, leads := w.hub.Lease(); leads {
 			return w.fresh
 		}
-		if w.board.Synced(time.Now()) && w.told() {
+		if w.hub.Synced(time.Now()) && w.toldByPeer() {
 			return w.stale
 		}
-		if !group.Sleep(ctx, tellPoll) {
+		if !group.Sleep(ctx, firstListPoll) {
 			break
 		}
 	}
@@ -85,189 +87,192 @@
 }
 
 func (w *watcher) run(ctx context.Context) error {
-	store := w.first(ctx)
+	store := w.firstStore(ctx)
 	for ctx.Err() == nil {
-		at, ok := w.lean()
+		at, ok := w.coveredByPeers()
 		if !ok {
 			at, ok = w.list(ctx, store)
 		}
 		if ok {
 			w.follow(ctx, at)
-			w.rest(ctx)
+			w.backOff(ctx)
 		}
-		store = w.store()
+		store = w.preferredStore()
 	}
 	return nil
 }
 
 func (w *watcher) list(ctx context.Context, store object.Store) (object.Cursor, bool) {
 	asked := clock.Now()
-	turn := w.board.LeaderContext()
-	inner, cancel := context.WithCancel(ctx)
+	leaderCtx := w.hub.LeaderContext()
+	callCtx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	defer context.AfterFunc(turn, cancel)()
-	all, at, err := store.List(inner, w.prefix)
-	if err != nil && turn.Err() != nil {
-		return 0, false // the store answers who has won the lead: the next list need not wait for this one
+	defer context.AfterFunc(leaderCtx, cancel)()
+	all, cursor, err := store.List(callCtx, w.prefix)
+	if err != nil && leaderCtx.Err() != nil {
+		return 0, false // the election just showed that the store answers, so the next list need not wait out this one
 	}
 	if err != nil {
-		w.trouble(ctx, "list", err)
+		w.onFailure(ctx, "list", err)
 		return 0, false
 	}
-	w.well()
-	w.listed(all, at)
-	w.knows(store, asked, at)
-	return at, true
+	w.onSuccess()
+	w.onList(all, cursor)
+	w.noteCurrent(store, asked, cursor)
+	return cursor, true
 }
 
-// lean reports whether the leader's word makes the store's needless, and up to where.
-func (w *watcher) lean() (object.Cursor, bool) {
-	if w.rely == nil {
+// coveredByPeers reports whether other VMs make this watch unnecessary, and up to which
+// cursor.
+func (w *watcher) coveredByPeers() (object.Cursor, bool) {
+	if w.peersCover == nil {
 		return 0, false
 	}
-	return w.rely(time.Now())
+	return w.peersCover(time.Now())
 }
 
-// leanPoll is how often a VM that relies on the leader looks whether it still may.
-const leanPoll = 100 * time.Millisecond
+// coveredPoll is how often a VM that relies on other VMs checks whether it still may.
+const coveredPoll = 100 * time.Millisecond
 
-// doze waits for as long as the leader's word makes this watch needless, and returns from
-// where it goes on afterwards.
-func (w *watcher) doze(ctx context.Context, at object.Cursor) object.Cursor {
+// waitWhileCovered waits while other VMs make this watch unnecessary. It returns the
+// cursor from which to continue.
+func (w *watcher) waitWhileCovered(ctx context.Context, at object.Cursor) object.Cursor {
 	for ctx.Err() == nil {
-		seen, ok := w.lean()
+		cursor, ok := w.coveredByPeers()
 		if !ok {
 			break
 		}
-		at = max(at, seen)
-		w.pause(ctx, leanPoll)
+		at = max(at, cursor)
+		w.pause(ctx, coveredPoll)
 	}
 	return at
 }
 
-// follow watches until the place is lost.
+// follow watches until the store no longer knows the cursor.
 func (w *watcher) follow(ctx context.Context, at object.Cursor) {
-	w.lost++
+	w.lostCursors++
 	for ctx.Err() == nil {
-		at = w.doze(ctx, at)
-		store := w.store()
+		at = w.waitWhileCovered(ctx, at)
+		store := w.preferredStore()
 		asked, began := clock.Now(), time.Now()
-		all, next, err := w.wait(ctx, store, at)
+		all, next, err := w.watch(ctx, store, at)
 		switch {
-		case errors.Is(err, errTurned):
-			w.lost = 0
-			return // from now on the other store is watched; begin with its list
+		case errors.Is(err, errLeaderChanged):
+			w.lostCursors = 0
+			return // the other store is watched from now on, starting with a list
 		case kinds.Of(err) == kinds.NotFound:
-			return // the history is gone
+			return // the store has dropped this part of its history
 		case kinds.Of(err) == kinds.TooLarge || kinds.Of(err) == kinds.Malformed:
-			// The answer would be the same each time, until the store forgets what it
-			// holds. A list has the newest of each object alone.
-			w.trouble(ctx, "watch", err)
+			// The store would give the same answer each time until it drops its history.
+			// A list holds only the newest version of each object.
+			w.onFailure(ctx, "watch", err)
 			return
 		case err != nil:
-			w.trouble(ctx, "watch", err)
+			w.onFailure(ctx, "watch", err)
 			continue
 		}
-		w.well()
-		w.lost = 0
+		w.onSuccess()
+		w.lostCursors = 0
 		at = next
 		answered := clock.Now()
 		if len(all) > 0 {
-			w.changed(all, at)
+			w.onChange(all, at)
 		}
-		// An answer that lay here while this VM was suspended is older than it looks.
-		if slept := answered.Sub(asked) - time.Since(began); slept < answerLag {
-			w.knows(store, answered.Add(-answerLag), at)
+		// An answer that waited here while this VM was suspended is older than it seems.
+		if suspended := answered.Sub(asked) - time.Since(began); suspended < maxAnswerAge {
+			w.noteCurrent(store, answered.Add(-maxAnswerAge), at)
 		}
 		if len(all) > 0 {
-			w.gather(ctx)
+			w.waitForBatch(ctx)
 		}
 	}
 }
 
-// rest waits before the next list when the place of the last one was forgotten before
-// anything could be watched from it. A store that drops its history goes on answering
-// cheap lists from before that for seconds; without a pause each VM would list and
-// watch as fast as it can, a hundred calls a second, until they catch up.
-func (w *watcher) rest(ctx context.Context) {
-	if w.lost == 0 {
+// backOff waits before the next list if the store refused the cursor of the last one
+// before it could be used. A store that has dropped its history may answer cheap lists
+// from an older state for seconds. Without a pause, each VM would list and watch as fast
+// as it can, a hundred calls per second, until those lists catch up.
+func (w *watcher) backOff(ctx context.Context) {
+	if w.lostCursors == 0 {
 		return
 	}
-	most := lastPause
-	if _, leads := w.board.Lease(); leads {
-		most = firstPause
+	maxPause := maxBackoff
+	if _, leads := w.hub.Lease(); leads {
+		maxPause = minBackoff
 	}
-	w.pause(ctx, min(firstPause<<min(w.lost-1, 4), most))
+	w.pause(ctx, min(minBackoff<<min(w.lostCursors-1, 4), maxPause))
 }
 
-func (w *watcher) gather(ctx context.Context) {
-	if w.board.Synced(time.Now()) {
-		w.pause(ctx, gatherTold)
+func (w *watcher) waitForBatch(ctx context.Context) {
+	if w.hub.Synced(time.Now()) {
+		w.pause(ctx, syncedBatchDelay)
 		return
 	}
-	w.pause(ctx, gather)
+	w.pause(ctx, leaderBatchDelay)
 }
 
-// pause waits, but no longer than until this VM begins or ceases to lead: all others
-// rely on what the new leader sees.
+// pause sleeps, but wakes up when this VM becomes leader or stops being the leader: all
+// other VMs rely on what a new leader sees.
 func (w *watcher) pause(ctx context.Context, d time.Duration) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	defer context.AfterFunc(w.board.LeaderContext(), cancel)()
+	defer context.AfterFunc(w.hub.LeaderContext(), cancel)()
 	group.Sleep(ctx, d)
 }
 
-// errTurned ends a watch because this VM began or ceased to lead.
-var errTurned = errors.New("the lead changed")
+// errLeaderChanged ends a watch because this VM became leader or stopped being the
+// leader.
+var errLeaderChanged = errors.New("leadership changed")
 
-// wait watches until something changed or this VM begins or ceases to lead: a watch
-// that lags, begun before, would go on for seconds on the VM that all others rely on.
-func (w *watcher) wait(ctx context.Context, store object.Store, at object.Cursor) ([]object.Change, object.Cursor, error) {
-	turn := w.board.LeaderContext()
-	inner, cancel := context.WithCancel(ctx)
+// watch waits for a change, but no longer than until this VM becomes leader or stops
+// being the leader: a stale watch started before would otherwise run for seconds on the
+// VM that all others rely on.
+func (w *watcher) watch(ctx context.Context, store object.Store, at object.Cursor) ([]object.Change, object.Cursor, error) {
+	leaderCtx := w.hub.LeaderContext()
+	callCtx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	defer context.AfterFunc(turn, cancel)()
-	all, next, err := store.Watch(inner, w.prefix, at)
-	if err != nil && turn.Err() != nil && ctx.Err() == nil {
-		return nil, 0, errTurned
+	defer context.AfterFunc(leaderCtx, cancel)()
+	all, next, err := store.Watch(callCtx, w.prefix, at)
+	if err != nil && leaderCtx.Err() != nil && ctx.Err() == nil {
+		return nil, 0, errLeaderChanged
 	}
 	return all, next, err
 }
 
-// answerLag is how old a watch's answer may be as it arrives from a slow store.
-const answerLag = 300 * time.Millisecond
+// maxAnswerAge is how old the answer of a watch may be when it arrives from a slow store.
+const maxAnswerAge = 300 * time.Millisecond
 
-// knows passes on that all that the store held at a time is known here now.
-func (w *watcher) knows(store object.Store, at time.Time, place object.Cursor) {
-	if w.newest != nil && store == w.fresh {
-		w.newest(at, place)
+// noteCurrent reports that this VM knows everything that the store held at a time.
+func (w *watcher) noteCurrent(store object.Store, at time.Time, cursor object.Cursor) {
+	if w.onCurrent != nil && store == w.fresh {
+		w.onCurrent(at, cursor)
 	}
 }
 
-func (w *watcher) trouble(ctx context.Context, what string, err error) {
+func (w *watcher) onFailure(ctx context.Context, op string, err error) {
 	if ctx.Err() != nil {
 		return
 	}
-	if w.failed == 0 {
-		w.log.Warn("store lost", "what", what, "kind", w.prefix, "err", err)
-		if w.down != nil {
-			w.down()
+	if w.failures == 0 {
+		w.log.Warn("store lost", "what", op, "kind", w.prefix, "err", err)
+		if w.onDown != nil {
+			w.onDown()
 		}
 	}
-	pause := min(firstPause<<min(w.failed, 4), lastPause)
-	if w.failed == 0 {
-		pause = 0 // a watch that was dropped is no outage
+	pause := min(minBackoff<<min(w.failures, 4), maxBackoff)
+	if w.failures == 0 {
+		pause = 0 // a single dropped watch is not an outage
 	}
-	w.failed++
+	w.failures++
 	w.pause(ctx, pause)
 }
 
-func (w *watcher) well() {
-	if w.failed > 0 {
-		w.log.Info("store regained", "kind", w.prefix, "failed", w.failed)
+func (w *watcher) onSuccess() {
+	if w.failures > 0 {
+		w.log.Info("store regained", "kind", w.prefix, "failed", w.failures)
 	}
-	w.failed = 0
-	if w.up != nil {
-		w.up()
+	w.failures = 0
+	if w.onUp != nil {
+		w.onUp()
 	}
 }
--- a/internal/edge/host/watch_test.go
+++ b/internal/edge/host/watch_test.go
@@ -16,31 +16,31 @@
 	"hawthornfield.org/hawthornfield/internal/plat/object"
 )
 
-// forgetful is a store whose lists lag behind the history that it has dropped, until
-// it catches up. It counts calls.
-type forgetful struct {
+// forgetfulStore is a store that has dropped its history and whose lists return a cursor
+// from before that, until a given time. It counts calls.
+type forgetfulStore struct {
 	object.Store
 	until   time.Time
 	lists   int
 	watches int
 }
 
-func (s *forgetful) List(ctx context.Context, _ string) ([]object.Object, object.Cursor, error) {
+func (s *forgetfulStore) List(ctx context.Context, _ string) ([]object.Object, object.Cursor, error) {
 	s.lists++
-	return nil, 1, briefly(ctx)
+	return nil, 1, storeDelay(ctx)
 }
 
-func (s *forgetful) Watch(ctx context.Context, _ string, at object.Cursor) ([]object.Change, object.Cursor, error) {
+func (s *forgetfulStore) Watch(ctx context.Context, _ string, at object.Cursor) ([]object.Change, object.Cursor, error) {
 	s.watches++
 	if time.Now().Before(s.until) {
-		return nil, 0, kinds.New(kinds.NotFound, "this history is gone")
+		return nil, 0, kinds.New(kinds.NotFound, "history dropped")
 	}
 	<-ctx.Done()
 	return nil, at, kinds.Wrap(kinds.Unavailable, ctx.Err(), "watch")
 }
 
-// briefly is how long the store takes.
-func briefly(ctx context.Context) error {
+// storeDelay waits for the time that a call to the store takes.
+func storeDelay(ctx context.Context) error {
 	select {
 	case <-time.After(4 * time.Millisecond):
 		return nil
@@ -49,15 +49,16 @@
 	}
 }
 
-func newWatcher(b *poll.Hub, fresh, stale object.Store) *watcher {
+func newWatcher(hub *poll.Hub, fresh, stale object.Store) *watcher {
 	return &watcher{
-		prefix: "servers/", board: b, fresh: fresh, stale: stale, log: slog.New(slog.DiscardHandler),
-		told:   func() bool { return true },
-		listed: func([]object.Object, object.Cursor) {}, changed: func([]object.Change, object.Cursor) {},
+		prefix: "servers/", hub: hub, fresh: fresh, stale: stale, log: slog.New(slog.DiscardHandler),
+		toldByPeer: func() bool { return true },
+		onList:     func([]object.Object, object.Cursor) {}, onChange: func([]object.Change, object.Cursor) {},
 	}
 }
 
-// watchFor runs a watcher for a while of the test's own clock.
+// watchFor runs a watcher, calls meanwhile, and stops the watcher d later on the test's
+// simulated clock.
 func watchFor(t *testing.T, w *watcher, d time.Duration, meanwhile func()) {
 	var g group.Group
 	g.Go(w.run)
@@ -66,52 +67,53 @@
 	assert.NilError(t, g.Close())
 }
 
-// The store drops its history, and its cheap lists lag behind that for seconds. Each
-// list then leads to a watch that is refused at once. Without a pause each VM makes
-// some hundred calls a second, all of them paid for, and learns nothing.
-func TestAForgetfulStoreIsNotAskedAllTheTime(t *testing.T) {
+// Guards against a busy loop when the store has dropped its history and its cheap lists
+// lag behind for seconds. Each list leads to a watch that is refused at once, and without
+// a pause each VM makes about a hundred useless, billed calls per second.
+func TestNoBusyLoopWhenStoreDropsHistory(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		store := &forgetful{until: time.Now().Add(10 * time.Second)}
-		board := poll.NewHub("vm-2", "a")
-		board.SetSynced(time.Now())
-		watchFor(t, newWatcher(board, nil, store), 20*time.Second, func() {})
+		store := &forgetfulStore{until: time.Now().Add(10 * time.Second)}
+		hub := poll.NewHub("vm-2", "a")
+		hub.SetSynced(time.Now())
+		watchFor(t, newWatcher(hub, nil, store), 20*time.Second, func() {})
 		assert.Assert(t, store.lists <= 9, "%d lists", store.lists)
-		assert.Assert(t, store.lists >= 5, "it is tried again: %d lists", store.lists)
+		assert.Assert(t, store.lists >= 5, "it must list again: %d lists", store.lists)
 	})
 }
 
-// A VM rests between two calls when it begins to lead. All others rely on what it sees
-// from then on, so it must look at the store now.
-func TestWhoBeginsToLeadLooksAtOnce(t *testing.T) {
+// Guards against a new leader that first sleeps out the pause between two calls. All
+// other VMs rely on what it sees, so it must list at once.
+func TestNewLeaderListsAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		stale := &forgetful{until: time.Now().Add(time.Hour)}
-		fresh := &forgetful{}
-		board := poll.NewHub("vm-2", "a")
-		board.SetSynced(time.Now())
-		watchFor(t, newWatcher(board, fresh, stale), 50*time.Millisecond, func() {
+		stale := &forgetfulStore{until: time.Now().Add(time.Hour)}
+		fresh := &forgetfulStore{}
+		hub := poll.NewHub("vm-2", "a")
+		hub.SetSynced(time.Now())
+		watchFor(t, newWatcher(hub, fresh, stale), 50*time.Millisecond, func() {
 			time.Sleep(4 * time.Second)
 			assert.Equal(t, fresh.lists, 0)
-			board.SetLease(elect.Lease{Epoch: 2, Holder: "vm-2", Incarnation: "a"}, true)
+			hub.SetLease(elect.Lease{Epoch: 2, Holder: "vm-2", Incarnation: "a"}, true)
 		})
 		assert.Equal(t, fresh.lists, 1)
 		assert.Equal(t, fresh.watches, 1)
 	})
 }
 
-// Hundreds of VMs start. Whom the leader has told already takes the cheap list; one
-// that nobody tells anything asks the store itself before it relies on one that lags.
-func TestAStartAsksTheStoreOnlyWhereNobodyTells(t *testing.T) {
+// Guards against expensive lists when hundreds of VMs start. A VM that the leader has
+// already informed takes the cheap list; one without that information must ask the
+// linearizable store.
+func TestFirstListIsCheapIfLeaderInforms(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		for _, told := range []bool{true, false} {
-			fresh, stale := &forgetful{}, &forgetful{}
-			board := poll.NewHub("vm-2", "a")
-			watchFor(t, newWatcher(board, fresh, stale), time.Second, func() {
-				if told {
-					time.Sleep(tellWait / 2)
-					board.SetSynced(time.Now())
+		for _, informed := range []bool{true, false} {
+			fresh, stale := &forgetfulStore{}, &forgetfulStore{}
+			hub := poll.NewHub("vm-2", "a")
+			watchFor(t, newWatcher(hub, fresh, stale), time.Second, func() {
+				if informed {
+					time.Sleep(firstListWait / 2)
+					hub.SetSynced(time.Now())
 				}
 			})
-			if told {
+			if informed {
 				assert.Equal(t, fresh.lists, 0)
 				assert.Equal(t, stale.lists, 1)
 			} else {
@@ -121,67 +123,69 @@
 	})
 }
 
-// crowded is a store that holds more versions of one object than a watch may bring.
-type crowded struct {
+// oversizedStore is a store that holds more versions of an object than a watch may
+// return.
+type oversizedStore struct {
 	object.Store
 	lists int
 }
 
-func (s *crowded) List(ctx context.Context, _ string) ([]object.Object, object.Cursor, error) {
+func (s *oversizedStore) List(ctx context.Context, _ string) ([]object.Object, object.Cursor, error) {
 	s.lists++
-	return []object.Object{{Name: "config/main", Version: object.Version(s.lists)}}, 1, briefly(ctx)
+	return []object.Object{{Name: "config/main", Version: object.Version(s.lists)}}, 1, storeDelay(ctx)
 }
 
-func (s *crowded) Watch(ctx context.Context, _ string, _ object.Cursor) ([]object.Change, object.Cursor, error) {
-	if err := briefly(ctx); err != nil {
+func (s *oversizedStore) Watch(ctx context.Context, _ string, _ object.Cursor) ([]object.Change, object.Cursor, error) {
+	if err := storeDelay(ctx); err != nil {
 		return nil, 0, err
 	}
 	return nil, 0, kinds.New(kinds.TooLarge, "store answer")
 }
 
-// Versions of the rules come faster than a VM can take them in, and its watch would have
-// to bring all of them at once, which is too much. A VM that asked for the same again kept
-// its old rules until the store forgot the history; one that lists has the newest at once.
+// Guards against a watch that fails for good because its answer is too large: the rules
+// changed faster than the VM read them. A VM that repeated the watch kept its old rules
+// until the store dropped its history; one that lists gets the newest at once.
 func TestAWatchThatIsTooLargeEndsInAList(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := &crowded{}
+		s := &oversizedStore{}
 		var newest object.Version
 		w := newWatcher(poll.NewHub("vm-1", "life"), s, s)
-		w.listed = func(all []object.Object, _ object.Cursor) { newest = all[0].Version }
+		w.onList = func(all []object.Object, _ object.Cursor) { newest = all[0].Version }
 		watchFor(t, w, 10*time.Second, func() {})
 		assert.Assert(t, newest >= 5, "lists: %d", s.lists)
 		assert.Assert(t, s.lists <= 50, "lists without a pause: %d", s.lists)
 	})
 }
 
-// swallowing is a store that never answers the lists that are sent before a time.
-type swallowing struct {
-	forgetful
-	back time.Time
+// silentStore is a store that does not answer lists sent before a given time.
+type silentStore struct {
+	forgetfulStore
+	answersFrom time.Time
 }
 
-func (s *swallowing) List(ctx context.Context, prefix string) ([]object.Object, object.Cursor, error) {
-	if time.Now().Before(s.back) {
+func (s *silentStore) List(ctx context.Context, prefix string) ([]object.Object, object.Cursor, error) {
+	if time.Now().Before(s.answersFrom) {
 		s.lists++
 		ctx, cancel := context.WithTimeout(ctx, 2*time.Second)
 		defer cancel()
 		<-ctx.Done()
 		return nil, 0, kinds.Wrap(kinds.Unavailable, ctx.Err(), "list")
 	}
-	return s.forgetful.List(ctx, prefix)
+	return s.forgetfulStore.List(ctx, prefix)
 }
 
-// A new leader went on waiting for a list that it had sent into an outage of the store.
-func TestANewLeaderDoesNotWaitForAListOfBefore(t *testing.T) {
+// Guards against a new leader that waits for a list sent during a store outage that is
+// over.
+func TestNewLeaderDoesNotWaitForEarlierList(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		store := &swallowing{back: time.Now().Add(2500 * time.Millisecond)}
-		board := poll.NewHub("vm-2", "a")
+		store := &silentStore{answersFrom: time.Now().Add(2500 * time.Millisecond)}
+		hub := poll.NewHub("vm-2", "a")
 		known := false
-		w := newWatcher(board, store, store)
-		w.listed = func([]object.Object, object.Cursor) { known = true }
+		w := newWatcher(hub, store, store)
+		w.onList = func([]object.Object, object.Cursor) { known = true }
 		watchFor(t, w, 50*time.Millisecond, func() {
 			time.Sleep(2600 * time.Millisecond)
-			board.SetLease(elect.Lease{Epoch: 2, Holder: "vm-2", Incarnation: "a"}, true)
+			hub.SetLease(elect.Lease{Epoch: 2, Holder: "vm-2", Incarnation: "a"}, true)
 		})
 		assert.Assert(t, known)
 	})
