--- a/internal/edge/poll/change.go
+++ b/internal/edge/poll/change.go
@@ -8,7 +8,7 @@
 	"hawthornfield.org/hawthornfield/internal/owner/ranges"
 )
 
-// Change is what changed in who serves a service's keys.
+// Change is a change of the owners of a service's keys.
 type Change struct {
 	Epoch uint64
 	Seq   uint64
@@ -16,10 +16,11 @@
 	Spans []ranges.Assignment
 }
 
-// wireChange is a Change between VMs: a span is its first key, its last, and the
-// server's place among the names, from one; zero is nobody. Each VM is told all spans
-// when the lead changes, a thousand and more of some dozen servers. Naming the server
-// in each would make that three times the bytes, all of them the new leader's at once.
+// wireChange is the format of a Change between VMs. A span is its first key, its last
+// key, and the position of its server in Names, counted from 1; 0 means no server. When
+// the leader changes, each VM is sent all spans, over a thousand that belong to a few
+// dozen servers. With the server's name in each span the new leader would have to send
+// three times as many bytes, to all VMs at once.
 type wireChange struct {
 	Epoch uint64         `json:"epoch"`
 	Seq   uint64         `json:"seq"`
@@ -28,24 +29,24 @@
 	Spans [][3]uint16    `json:"spans"`
 }
 
-// MarshalJSON renders a change for other VMs.
+// MarshalJSON encodes a change for other VMs.
 func (c Change) MarshalJSON() ([]byte, error) {
 	w := wireChange{Epoch: c.Epoch, Seq: c.Seq, Full: c.Full, Spans: make([][3]uint16, len(c.Spans))}
-	places := map[ident.Server]uint16{"": 0}
+	positions := map[ident.Server]uint16{"": 0}
 	for i, s := range c.Spans {
-		place, known := places[s.Server]
+		position, known := positions[s.Server]
 		if !known {
 			w.Names = append(w.Names, s.Server)
-			place = uint16(len(w.Names))
-			places[s.Server] = place
+			position = uint16(len(w.Names))
+			positions[s.Server] = position
 		}
-		w.Spans[i] = [3]uint16{s.First, s.Last, place}
+		w.Spans[i] = [3]uint16{s.First, s.Last, position}
 	}
 	return json.Marshal(w)
 }
 
-// UnmarshalJSON reads what MarshalJSON wrote. A span of a server that is not named, or
-// that ends before it begins, is Malformed.
+// UnmarshalJSON decodes what MarshalJSON encoded. The error has kind Malformed for a span
+// with an unknown server or one that ends before it begins.
 func (c *Change) UnmarshalJSON(b []byte) error {
 	var w wireChange
 	if err := json.Unmarshal(b, &w); err != nil {
--- a/internal/edge/poll/change_test.go
+++ b/internal/edge/poll/change_test.go
@@ -13,7 +13,7 @@
 	"hawthornfield.org/hawthornfield/internal/owner/ranges"
 )
 
-func TestAChangeArrivesAsItWas(t *testing.T) {
+func TestChangeRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := Change{
 			Epoch: rapid.Uint64().Draw(t, "epoch"), Seq: rapid.Uint64().Draw(t, "seq"), Full: rapid.Bool().Draw(t, "full"),
@@ -43,9 +43,8 @@
 	}
 }
 
-// The lead changes, and the new leader tells each of hundreds of VMs all spans. On a
-// small network link that alone takes seconds, and the leases that it should renew
-// meanwhile run out.
+// Guards against a change so large that grants expire: a new leader sends all spans to
+// hundreds of VMs, which takes seconds on a slow link, while it should renew grants.
 func TestAllSpansFitIntoAFewKilobytes(t *testing.T) {
 	c := Change{Epoch: 7, Seq: 1, Full: true}
 	for i := range 1024 {
--- /dev/null
+++ b/internal/edge/poll/contact.go
@@ -0,0 +1,37 @@
+package poll
+
+import (
+	"time"
+
+	"hawthornfield.org/hawthornfield/internal/node/member"
+)
+
+// storeContact tracks for how long the store has answered this VM without interruption.
+// Other VMs use it as proof that the store was up while they could not reach it. It must
+// not cover an outage that this VM has not noticed yet, so it ends at the last answer and
+// not at the current time.
+type storeContact struct{ since, last time.Time }
+
+// answered records an answer of the store.
+func (t *storeContact) answered(now time.Time) {
+	if now.Sub(t.last) >= member.OutageGrace {
+		t.since = now
+	}
+	t.last = now
+}
+
+// upFor returns the time from the first answer to the last, or zero if the last is too
+// long ago.
+func (t *storeContact) upFor(now time.Time) time.Duration {
+	if now.Sub(t.last) >= member.OutageGrace {
+		return 0
+	}
+	return t.last.Sub(t.since)
+}
+
+// SetStoreContact records that the store answered this VM.
+func (h *Hub) SetStoreContact(now time.Time) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.contact.answered(now)
+}
--- a/internal/edge/poll/heartbeat.go
+++ b/internal/edge/poll/heartbeat.go
@@ -7,59 +7,60 @@
 	"time"
 )
 
-// Heartbeat is what the leader says of itself in the header of its answer. The rest may
-// take seconds over a thin link, and whoever waited for its end would believe meanwhile
-// that the leader is gone, take the lead from it, and so make all VMs ask for everything
-// once more.
+// Heartbeat is the leader's status in the header of its response. Over a slow link the
+// body may take seconds. A VM that waited for its end would consider the leader lost and
+// take over, and all VMs would then ask for everything again.
 type Heartbeat struct {
 	Epoch     uint64
-	StoreDown bool // it does not reach the store
+	StoreDown bool // the leader cannot reach the store
 }
 
-// Headers of a heartbeat. A VM that does not lead, or of an earlier version, sends none.
+// Headers of a heartbeat. A VM that does not lead, or runs an earlier version, sends
+// none.
 const (
-	headerEpoch = "Hawthorn-Epoch"
-	headerAway  = "Hawthorn-Away"
+	headerEpoch     = "Hawthorn-Epoch"
+	headerStoreDown = "Hawthorn-Away"
 )
 
-// heartbeatEvery is how often the heartbeat counts anew while the answer comes: well
-// within the leader's silence after which others take over.
-const heartbeatEvery = 200 * time.Millisecond
+// heartbeatInterval is how often the heartbeat is repeated to the reader while the body
+// arrives. It is well below the silence after which other VMs take over.
+const heartbeatInterval = 200 * time.Millisecond
 
-// heartbeat is that of an answer, if a leader gives it.
+// heartbeat returns the heartbeat of a response, and false if it is not from a leader.
 func (n *Response) heartbeat() (Heartbeat, bool) {
 	return Heartbeat{Epoch: n.Lease.Epoch, StoreDown: n.StoreDown}, n.IsLeader
 }
 
-// write adds the heartbeat to the header of an answer.
+// write adds the heartbeat to the header of a response.
 func (b Heartbeat) write(h http.Header) {
 	h.Set(headerEpoch, strconv.FormatUint(b.Epoch, 10))
-	h.Set(headerAway, strconv.FormatBool(b.StoreDown))
+	h.Set(headerStoreDown, strconv.FormatBool(b.StoreDown))
 }
 
-// readHeartbeat reads the heartbeat in the header of an answer, if there is one.
+// readHeartbeat reads the heartbeat from the header of a response, if there is one.
 func readHeartbeat(h http.Header) (Heartbeat, bool) {
 	epoch, err := strconv.ParseUint(h.Get(headerEpoch), 10, 64)
 	if err != nil {
 		return Heartbeat{}, false
 	}
-	return Heartbeat{Epoch: epoch, StoreDown: h.Get(headerAway) == strconv.FormatBool(true)}, true
+	return Heartbeat{Epoch: epoch, StoreDown: h.Get(headerStoreDown) == strconv.FormatBool(true)}, true
 }
 
-// heartbeatReader passes the heartbeat on as the answer comes.
+// heartbeatReader calls onHeartbeat while the body of a response arrives.
 type heartbeatReader struct {
 	io.Reader
-	beat  Heartbeat
-	heard func(Heartbeat)
-	next  time.Time
+	heartbeat   Heartbeat
+	onHeartbeat func(Heartbeat)
+	next        time.Time
 }
 
-// Read passes the heartbeat on with the first bytes, and again and again as others follow.
+// Read calls onHeartbeat with the first bytes, and again each heartbeatInterval as others
+// follow.
 func (s *heartbeatReader) Read(p []byte) (int, error) {
 	n, err := s.Reader.Read(p)
 	if now := time.Now(); n > 0 && !now.Before(s.next) {
-		s.next = now.Add(heartbeatEvery)
-		s.heard(s.beat)
+		s.next = now.Add(heartbeatInterval)
+		s.onHeartbeat(s.heartbeat)
 	}
 	return n, err
 }
--- a/internal/edge/poll/parts_test.go
+++ b/internal/edge/poll/lenient_test.go
@@ -7,8 +7,9 @@
 	"gotest.tools/v3/assert"
 )
 
-// Guards against news that cannot be read because one part of them is another version's.
-func TestAPartThatCannotBeReadLeavesTheNewsReadable(t *testing.T) {
+// Guards against a message that cannot be decoded because a VM of another version encodes
+// one item differently.
+func TestUndecodableItemLeavesMessageReadable(t *testing.T) {
 	for text, want := range map[string]int{
 		`{"vm":"v","cases":{"seq":3,"list":[{"print":"00"},{"print":"000102030405060708090a0b0c0d0e0f1011121314151617","crashes":[{"server":"s","ago":5}]}]}}`: 1,
 		`{"vm":"v","cases":{"seq":3,"list":{"print":7}}}`: 0,
--- a/internal/edge/poll/rules.go
+++ b/internal/edge/poll/rules.go
@@ -21,108 +21,110 @@
 	"hawthornfield.org/hawthornfield/internal/plat/object"
 )
 
-// Rules are the one thing that all VMs know in common and that is large: up to a
-// megabyte. In the answers to questions they would fill the leader's network link, once
-// for each VM, and hold up the news beside them. So the news only name the newest
-// revision, and who lacks it asks any VM that has it, see [Client.RulesRev].
+// Rules are the only large data that all VMs share, up to a megabyte. In poll responses
+// they would fill the leader's network link, once for each VM, and delay the other news.
+// So a response only names the newest revision, and a VM that lacks it fetches it from
+// any VM that has it, see [Client.Rules].
 
-// RawRules is something that the store holds, as it stands there.
+// RawRules holds rules as they are stored.
 type RawRules struct {
 	Rev  uint64          `json:"rev"`
 	Data json.RawMessage `json:"data"`
 
-	packed []byte // Data as another VM sent it, to be sent on
+	gzipped []byte // Data as another VM sent it, for forwarding
 }
 
 const (
 	rulesPath  = "/rules"
-	afterParam = "after"        // the newest revision that the asker has
-	headerRev  = "Hawthorn-Rev" // of the rules in an answer
-	// mostSent is how many VMs get the rules from this one at once. The others go on to
-	// a VM that has them by then, so that the number of those triples with each turn and
-	// none fills its link with them.
-	mostSent = 3
-	// mostRules bounds rules as they are unpacked, in bytes: twice what the store holds.
-	mostRules = 2 * object.MaxValue
-	// piece is written under one deadline, in bytes.
-	piece = 16 << 10
+	afterParam = "after"        // the newest revision that the client has
+	headerRev  = "Hawthorn-Rev" // revision of the rules in a response
+	// maxRulesTransfers is how many VMs can fetch the rules from this one at once. The
+	// others turn to a VM that has them by then, so the number of VMs with the rules
+	// multiplies with each turn and none fills its link with transfers.
+	maxRulesTransfers = 3
+	// maxRulesBytes bounds decompressed rules, in bytes: twice what the store can hold.
+	maxRulesBytes = 2 * object.MaxValue
+	// writeChunk is how many bytes are written under one deadline.
+	writeChunk = 16 << 10
 )
 
-// Times of a request for rules.
+// Timeouts of a request for rules.
 const (
-	// rulesWait is for the beginning of the answer, which nothing holds up.
-	rulesWait = 500 * time.Millisecond
-	// bodySilence is how long the rest of an answer may pause. A network that is busy
-	// loses packets and sends them again after a fifth of a second, then two.
-	bodySilence = time.Second
+	// rulesTimeout bounds the wait for the start of a response, which is sent without
+	// delay.
+	rulesTimeout = 500 * time.Millisecond
+	// bodyIdleTimeout is the longest pause within a response. A busy network loses
+	// packets and sends them again after a fifth of a second, then after two fifths.
+	bodyIdleTimeout = time.Second
 )
 
-// payload is rules to be sent to other VMs, compressed when the first asks for them: the
-// fast way, since VMs have a fifth of a core and callers wait meanwhile.
-type payload struct {
+// rulesPayload holds rules to send to other VMs. They are compressed when the first VM
+// asks, with the fastest method, because a VM may have a fifth of a processor and callers
+// wait meanwhile.
+type rulesPayload struct {
 	RawRules
 	once sync.Once
 }
 
-// pack returns the compressed rules.
-func (p *payload) pack() []byte {
+// compressed returns the rules in gzip format.
+func (p *rulesPayload) compressed() []byte {
 	p.once.Do(func() {
-		if p.packed != nil {
+		if p.gzipped != nil {
 			return
 		}
 		var b bytes.Buffer
-		z, _ := gzip.NewWriterLevel(&b, gzip.BestSpeed) // fails for unknown levels only
-		_, _ = z.Write(p.Data)                          // a buffer takes everything
+		z, _ := gzip.NewWriterLevel(&b, gzip.BestSpeed) // fails only for unknown levels
+		_, _ = z.Write(p.Data)                          // writes to a buffer cannot fail
 		_ = z.Close()
-		p.packed = b.Bytes()
+		p.gzipped = b.Bytes()
 	})
-	return p.packed
+	return p.gzipped
 }
 
-// newer returns the rules known here if they are newer than a revision, or nil.
-func (b *Hub) newer(after uint64) *payload {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if b.rules.Rev <= after {
+// newerRules returns the rules known here if they are newer than a revision, or nil.
+func (h *Hub) newerRules(after uint64) *rulesPayload {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	if h.rules.Rev <= after {
 		return nil
 	}
-	return b.rules
+	return h.rules
 }
 
-// send answers a request for rules: 204 without newer ones, 503 while as many VMs as may
-// be get them already.
-func (b *Hub) send(c *gin.Context) {
+// serveRules handles a request for rules. It answers 204 if there are no newer ones and
+// 503 while the maximum number of transfers is running.
+func (h *Hub) serveRules(c *gin.Context) {
 	after, err := strconv.ParseUint(c.Query(afterParam), 10, 64)
 	if err != nil {
 		c.Status(http.StatusBadRequest)
 		return
 	}
-	p := b.newer(after)
+	p := h.newerRules(after)
 	if p == nil {
 		c.Status(http.StatusNoContent)
 		return
 	}
-	if !b.sending.TryAcquire(1) {
+	if !h.rulesSlots.TryAcquire(1) {
 		c.Status(http.StatusServiceUnavailable)
 		return
 	}
-	defer b.sending.Release(1)
-	packed := p.pack()
+	defer h.rulesSlots.Release(1)
+	gz := p.compressed()
 	c.Header(headerRev, strconv.FormatUint(p.Rev, 10))
 	c.Header("Content-Type", "application/gzip")
-	c.Header("Content-Length", strconv.Itoa(len(packed)))
+	c.Header("Content-Length", strconv.Itoa(len(gz)))
 	c.Status(http.StatusOK)
-	if writeAll(c.Writer, packed) {
-		arrived(c.Request.Context())
+	if writeAll(c.Writer, gz) {
+		waitForClose(c.Request.Context())
 	}
 }
 
-// writeAll writes in pieces, and gives up when one does not leave in time: an asker that
-// was cut off would keep its place from others until the network gives up on it.
+// writeAll writes in chunks and gives up if one is not sent in time. Otherwise a client
+// that was cut off would occupy a transfer slot until the network gives up on it.
 func writeAll(w http.ResponseWriter, b []byte) bool {
 	ctl := http.NewResponseController(w)
-	for part := range slices.Chunk(b, piece) {
-		if ctl.SetWriteDeadline(time.Now().Add(bodySilence)) != nil {
+	for part := range slices.Chunk(b, writeChunk) {
+		if ctl.SetWriteDeadline(time.Now().Add(bodyIdleTimeout)) != nil {
 			return false
 		}
 		if _, err := w.Write(part); err != nil {
@@ -132,28 +134,28 @@
 	return ctl.Flush() == nil
 }
 
-// arrived waits until the asker has closed its connection, which it does when it has
-// everything. What is written has only reached the system's buffers: without this wait
-// all VMs would be served at once, and share a link that is thin.
-func arrived(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, bodySilence)
+// waitForClose waits until the client closes its connection, which it does when it has
+// received everything. Data that has been written may still be in the system's buffers;
+// without this wait all VMs would be served at once and share a slow link.
+func waitForClose(ctx context.Context) {
+	ctx, cancel := context.WithTimeout(ctx, bodyIdleTimeout)
 	defer cancel()
 	<-ctx.Done()
 }
 
-// Rules asks one VM for rules newer than a revision, and returns how many bytes they
-// were on the way. The error carries kind Absent where the VM has none, Busy while it
-// sends them to others, Malformed for what cannot be unpacked, and Down.
+// Rules fetches rules newer than a revision from one VM. It also returns their compressed
+// size in bytes. The error has kind NotFound if the VM has none, Busy if it is sending
+// them to other VMs, Malformed if they cannot be decompressed, and Unavailable otherwise.
 func (c *Client) Rules(ctx context.Context, at netip.AddrPort, after uint64) (RawRules, int, error) {
 	url := fmt.Sprintf("http://%s%s?%s=%d", at, rulesPath, afterParam, after)
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
-		return RawRules{}, 0, kinds.Wrap(kinds.Internal, err, "request for rules")
+		return RawRules{}, 0, kinds.Wrap(kinds.Internal, err, "create rules request")
 	}
-	req.Close = true // tells the other VM that they have arrived
-	resp, err := flow.DoWithTimeouts(c.web, req, rulesWait, bodySilence)
+	req.Close = true // closing the connection tells the other VM that the rules have arrived
+	resp, err := flow.DoWithTimeouts(c.http, req, rulesTimeout, bodyIdleTimeout)
 	if err != nil {
-		return RawRules{}, 0, kinds.Wrap(kinds.Unavailable, err, "rules of "+at.String())
+		return RawRules{}, 0, kinds.Wrap(kinds.Unavailable, err, "fetch rules from "+at.String())
 	}
 	defer resp.Body.Close()
 	switch resp.StatusCode {
@@ -161,37 +163,38 @@
 	case http.StatusNoContent:
 		return RawRules{}, 0, kinds.New(kinds.NotFound, "no newer rules at "+at.String())
 	case http.StatusServiceUnavailable:
-		return RawRules{}, 0, kinds.New(kinds.Busy, at.String()+" sends rules to others")
+		return RawRules{}, 0, kinds.New(kinds.Busy, at.String()+" is sending rules to other VMs")
 	default:
-		return RawRules{}, 0, kinds.New(kinds.Unavailable, "rules of "+at.String()+": "+resp.Status)
+		return RawRules{}, 0, kinds.New(kinds.Unavailable, "fetch rules from "+at.String()+": "+resp.Status)
 	}
 	rev, err := strconv.ParseUint(resp.Header.Get(headerRev), 10, 64)
 	if err != nil {
-		return RawRules{}, 0, kinds.Wrap(kinds.Malformed, err, "revision of rules of "+at.String())
+		return RawRules{}, 0, kinds.Wrap(kinds.Malformed, err, "parse rules revision from "+at.String())
 	}
-	packed, err := io.ReadAll(io.LimitReader(resp.Body, mostRules))
+	gz, err := io.ReadAll(io.LimitReader(resp.Body, maxRulesBytes))
 	if err != nil {
-		return RawRules{}, 0, kinds.Wrap(kinds.Unavailable, err, "rules of "+at.String())
+		return RawRules{}, 0, kinds.Wrap(kinds.Unavailable, err, "fetch rules from "+at.String())
 	}
-	data, err := unpack(packed)
+	data, err := decompress(gz)
 	if err != nil {
-		return RawRules{}, 0, kinds.Wrap(kinds.Malformed, err, "rules of "+at.String())
+		return RawRules{}, 0, kinds.Wrap(kinds.Malformed, err, "fetch rules from "+at.String())
 	}
-	return RawRules{Rev: rev, Data: data, packed: packed}, len(packed), nil
+	return RawRules{Rev: rev, Data: data, gzipped: gz}, len(gz), nil
 }
 
-// unpack decompresses rules. More than the store can hold is Malformed.
-func unpack(packed []byte) ([]byte, error) {
-	z, err := gzip.NewReader(bytes.NewReader(packed))
+// decompress decompresses rules. The error has kind Malformed if they are larger than
+// maxRulesBytes.
+func decompress(gz []byte) ([]byte, error) {
+	z, err := gzip.NewReader(bytes.NewReader(gz))
 	if err != nil {
 		return nil, err
 	}
-	b, err := io.ReadAll(io.LimitReader(z, mostRules+1))
+	b, err := io.ReadAll(io.LimitReader(z, maxRulesBytes+1))
 	if err != nil {
 		return nil, err
 	}
-	if len(b) > mostRules {
-		return nil, kinds.New(kinds.Malformed, fmt.Sprintf("more than %d bytes", mostRules))
+	if len(b) > maxRulesBytes {
+		return nil, kinds.New(kinds.Malformed, fmt.Sprintf("more than %d bytes", maxRulesBytes))
 	}
 	return b, nil
 }
--- a/internal/edge/poll/rules_test.go
+++ b/internal/edge/poll/rules_test.go
@@ -24,78 +24,78 @@
 	"hawthornfield.org/hawthornfield/internal/plat/object"
 )
 
-// slow is a connection that brings a packet at a time, with a pause before each.
-type slow struct {
+// slowConn is a connection that delivers one packet at a time, with a pause before each.
+type slowConn struct {
 	net.Conn
 	pause func() time.Duration
-	ctx   context.Context // ends when the connection is closed
+	ctx   context.Context // canceled when the connection is closed
 	end   context.CancelFunc
 }
 
-const packet = 1500 // bytes
+const packetSize = 1500 // bytes
 
-func (s slow) Read(b []byte) (int, error) {
+func (s slowConn) Read(b []byte) (int, error) {
 	if !group.Sleep(s.ctx, s.pause()) {
-		return 0, net.ErrClosed // it brought bytes after its end, and a silence that was none
+		return 0, net.ErrClosed // the connection was closed during the pause
 	}
-	return s.Conn.Read(b[:min(len(b), packet)])
+	return s.Conn.Read(b[:min(len(b), packetSize)])
 }
 
-func (s slow) Close() error {
+func (s slowConn) Close() error {
 	s.end()
 	return s.Conn.Close()
 }
 
-// fleet is some VMs on a network in memory.
-type fleet struct {
-	t    *testing.T
-	net  pipes.Net
-	ends []func()
+// testNet is an in-memory network with some VMs.
+type testNet struct {
+	t        *testing.T
+	net      pipes.Net
+	cleanups []func()
 }
 
 var firstVM = netip.MustParseAddrPort("10.0.0.1:7000")
 
-func (f *fleet) serve(at netip.AddrPort, h http.Handler) {
+func (tn *testNet) serve(at netip.AddrPort, h http.Handler) {
 	web := &http.Server{Handler: h}
-	l := f.net.Listen(at)
+	l := tn.net.Listen(at)
 	var g group.Group
 	g.Go(func(context.Context) error { _ = web.Serve(l); return nil })
-	f.ends = append(f.ends, func() {
+	tn.cleanups = append(tn.cleanups, func() {
 		_ = web.Close()
-		assert.NilError(f.t, g.Close())
+		assert.NilError(tn.t, g.Close())
 	})
 }
 
-// client makes a client whose answers come with pauses.
-func (f *fleet) client(pause func() time.Duration) *Client {
+// client creates a client whose responses arrive with pauses.
+func (tn *testNet) client(pause func() time.Duration) *Client {
 	c := NewClient()
-	tr := c.web.Transport.(*http.Transport)
+	tr := c.http.Transport.(*http.Transport)
 	tr.DialContext = c.Count(func(ctx context.Context, network, at string) (net.Conn, error) {
-		conn, err := f.net.DialText(ctx, network, at)
+		conn, err := tn.net.DialText(ctx, network, at)
 		if err != nil || pause == nil {
 			return conn, err
 		}
 		inner, end := context.WithCancel(context.Background())
-		return slow{conn, pause, inner, end}, nil
+		return slowConn{conn, pause, inner, end}, nil
 	})
-	f.ends = append(f.ends, tr.CloseIdleConnections)
+	tn.cleanups = append(tn.cleanups, tr.CloseIdleConnections)
 	return c
 }
 
-// inFleet runs a test on a network in memory and on a clock of its own.
-func inFleet(t *testing.T, test func(t *testing.T, f *fleet)) {
+// withTestNet runs a test on an in-memory network with a simulated clock.
+func withTestNet(t *testing.T, test func(t *testing.T, tn *testNet)) {
 	synctest.Test(t, func(t *testing.T) {
-		f := &fleet{t: t}
+		tn := &testNet{t: t}
 		defer func() {
-			for i := len(f.ends) - 1; i >= 0; i-- {
-				f.ends[i]()
+			for i := len(tn.cleanups) - 1; i >= 0; i-- {
+				tn.cleanups[i]()
 			}
 		}()
-		test(t, f)
+		test(t, tn)
 	})
 }
 
-func noise(n int) []byte {
+func randomBytes(n int) []byte {
 	b := make([]byte, n)
 	for i := range b {
 		b[i] = byte(rand.Uint32())
@@ -103,15 +103,15 @@
 	return b
 }
 
-// A VM lacks what another has. It gets the same bytes, and can pass them on as it got
-// them; from one that has nothing newer it gets nothing.
+// A VM that lacks rules gets the same bytes that another VM has, and can pass them on
+// without compressing them again. A VM with nothing newer sends nothing.
 func TestRulesPassFromVMToVM(t *testing.T) {
-	inFleet(t, func(t *testing.T, f *fleet) {
-		first, second := leader(), NewHub("vm-2", "vm-2-a")
+	withTestNet(t, func(t *testing.T, tn *testNet) {
+		first, second := newLeader(), NewHub("vm-2", "vm-2-a")
 		other := netip.MustParseAddrPort("10.0.0.2:7000")
-		f.serve(firstVM, first.Handler(func(*Request) {}))
-		f.serve(other, second.Handler(func(*Request) {}))
-		c := f.client(nil)
+		tn.serve(firstVM, first.Handler(func(*Request) {}))
+		tn.serve(other, second.Handler(func(*Request) {}))
+		c := tn.client(nil)
 		data := []byte(strings.Repeat(`{"a":1},`, 1000))
 		first.SetRules(RawRules{Rev: 7, Data: data})
 		_, _, err := c.Rules(t.Context(), firstVM, 7)
@@ -128,29 +128,28 @@
 		again, _, err := c.Rules(t.Context(), other, 6)
 		assert.NilError(t, err)
 		assert.Assert(t, bytes.Equal(again.Data, data))
-		assert.Assert(t, &second.rules.pack()[0] == &raw.packed[0], "not compressed again")
+		assert.Assert(t, &second.rules.compressed()[0] == &raw.gzipped[0], "not compressed again")
 	})
 }
 
-// Every VM learns of new rules in the same moment, and all ask the one that told them.
-// It sends them to a few and turns the others away at once, to whoever has them by then;
-// when one of the few has all of them, the next gets its place.
+// Guards against a VM that sends rules to all others at once. It must serve a few, turn
+// the others away at once, and serve the next when a transfer has ended.
 func TestAVMSendsRulesToAFewAtOnce(t *testing.T) {
-	inFleet(t, func(t *testing.T, f *fleet) {
-		b := leader()
-		b.SetRules(RawRules{Rev: 7, Data: noise(100_000)})
-		f.serve(firstVM, b.Handler(func(*Request) {}))
+	withTestNet(t, func(t *testing.T, tn *testNet) {
+		h := newLeader()
+		h.SetRules(RawRules{Rev: 7, Data: randomBytes(100_000)})
+		tn.serve(firstVM, h.Handler(func(*Request) {}))
 		start := time.Now()
 		var g group.Group
-		for range mostSent {
-			c := f.client(func() time.Duration { return 10 * time.Millisecond })
+		for range maxRulesTransfers {
+			c := tn.client(func() time.Duration { return 10 * time.Millisecond })
 			g.Go(func(ctx context.Context) error {
 				_, _, err := c.Rules(ctx, firstVM, 0)
 				return err
 			})
 		}
 		time.Sleep(50 * time.Millisecond)
-		c := f.client(nil)
+		c := tn.client(nil)
 		_, _, err := c.Rules(t.Context(), firstVM, 0)
 		assert.Equal(t, kinds.Of(err), kinds.Busy)
 		assert.Equal(t, time.Since(start), 50*time.Millisecond, "without a wait")
@@ -161,15 +160,15 @@
 	})
 }
 
-// The system takes what a VM sends into its buffers long before it has left over a thin
-// link. Were the places free by then, every VM would be served at once and all would
-// share the link: the rules reach nobody for seconds.
-func TestAPlaceIsTakenUntilTheRulesHaveArrived(t *testing.T) {
-	b := leader()
-	b.SetRules(RawRules{Rev: 7, Data: noise(30_000)})
-	at, _ := launch(t, b)
+// Guards against transfer slots that are freed when the data has only reached the
+// system's buffers. All VMs would be served at once and share a slow link, and none would
+// have the rules for seconds.
+func TestTransferSlotIsHeldUntilRulesArrive(t *testing.T) {
+	h := newLeader()
+	h.SetRules(RawRules{Rev: 7, Data: randomBytes(30_000)})
+	at, _ := startHub(t, h)
 	var waiting []net.Conn
-	for range mostSent {
+	for range maxRulesTransfers {
 		conn, err := net.Dial("tcp", at.String())
 		assert.NilError(t, err)
 		defer conn.Close()
@@ -184,22 +183,22 @@
 	_, _, err := c.Rules(t.Context(), at, 0)
 	assert.Equal(t, kinds.Of(err), kinds.Busy)
 	assert.NilError(t, waiting[0].Close())
-	for end := time.Now().Add(bodySilence / 2); err != nil && time.Now().Before(end); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(bodyIdleTimeout / 2); err != nil && time.Now().Before(end); time.Sleep(time.Millisecond) {
 		_, _, err = c.Rules(t.Context(), at, 0)
 	}
-	assert.NilError(t, err, "its place is free")
+	assert.NilError(t, err, "the transfer slot is free")
 }
 
-// A VM that gets the rules is cut off without a word. Its place must come free, or after
-// three of them nobody would get rules here any more.
-func TestAVMThatFallsSilentKeepsNoPlace(t *testing.T) {
-	inFleet(t, func(t *testing.T, f *fleet) {
-		b := leader()
-		b.SetRules(RawRules{Rev: 7, Data: noise(100_000)})
-		f.serve(firstVM, b.Handler(func(*Request) {}))
+// Guards against transfer slots that are never freed because the receiver was cut off.
+// After three of these, no VM would get rules from here.
+func TestSilentVMFreesTransferSlot(t *testing.T) {
+	withTestNet(t, func(t *testing.T, tn *testNet) {
+		h := newLeader()
+		h.SetRules(RawRules{Rev: 7, Data: randomBytes(100_000)})
+		tn.serve(firstVM, h.Handler(func(*Request) {}))
 		var cut []net.Conn
-		for range mostSent {
-			conn, err := f.net.Dial(t.Context(), firstVM)
+		for range maxRulesTransfers {
+			conn, err := tn.net.Dial(t.Context(), firstVM)
 			assert.NilError(t, err)
 			_, err = fmt.Fprintf(conn, "GET %s?%s=0 HTTP/1.1\r\nHost: x\r\n\r\n", rulesPath, afterParam)
 			assert.NilError(t, err)
@@ -207,10 +206,10 @@
 			assert.NilError(t, err)
 			cut = append(cut, conn)
 		}
-		c := f.client(nil)
+		c := tn.client(nil)
 		_, _, err := c.Rules(t.Context(), firstVM, 0)
 		assert.Equal(t, kinds.Of(err), kinds.Busy)
-		time.Sleep(2 * bodySilence)
+		time.Sleep(2 * bodyIdleTimeout)
 		_, _, err = c.Rules(t.Context(), firstVM, 0)
 		assert.NilError(t, err)
 		for _, conn := range cut {
@@ -219,22 +218,23 @@
 	})
 }
 
-// The store holds a megabyte that does not compress, and the link is thin: the rules take
-// seconds. They are not broken off as long as bytes come, and are as soon as none do.
-func TestTheLargestRulesTravelOverAThinLink(t *testing.T) {
-	inFleet(t, func(t *testing.T, f *fleet) {
-		b := leader()
-		data := noise(object.MaxValue)
-		b.SetRules(RawRules{Rev: 7, Data: data})
-		f.serve(firstVM, b.Handler(func(*Request) {}))
+// Guards against a transfer that is aborted although data still arrives. The largest
+// rules, a megabyte that does not compress, take seconds on a slow link; only a pause
+// without any bytes ends the transfer.
+func TestLargestRulesArriveOverASlowLink(t *testing.T) {
+	withTestNet(t, func(t *testing.T, tn *testNet) {
+		h := newLeader()
+		data := randomBytes(object.MaxValue)
+		h.SetRules(RawRules{Rev: 7, Data: data})
+		tn.serve(firstVM, h.Handler(func(*Request) {}))
 		start := time.Now()
-		raw, _, err := f.client(func() time.Duration { return 6 * time.Millisecond }).Rules(t.Context(), firstVM, 0)
+		raw, _, err := tn.client(func() time.Duration { return 6 * time.Millisecond }).Rules(t.Context(), firstVM, 0)
 		assert.NilError(t, err)
 		assert.Assert(t, bytes.Equal(raw.Data, data))
-		assert.Assert(t, time.Since(start) > 4*bodySilence)
+		assert.Assert(t, time.Since(start) > 4*bodyIdleTimeout)
 
 		left := 10
-		_, _, err = f.client(func() time.Duration {
+		_, _, err = tn.client(func() time.Duration {
 			if left--; left < 0 {
 				return time.Hour
 			}
@@ -245,27 +245,27 @@
 	})
 }
 
-// What comes unpacked to more than the store can hold is no rules, however small it is on
-// the way: it would fill the VM's memory.
+// Guards against compressed rules that fill the VM's memory: more than the store can hold
+// must be refused, however small the compressed form is.
 func TestRulesThatGrowWithoutBoundAreRefused(t *testing.T) {
-	inFleet(t, func(t *testing.T, f *fleet) {
+	withTestNet(t, func(t *testing.T, tn *testNet) {
 		var packed bytes.Buffer
 		z := gzip.NewWriter(&packed)
-		_, err := z.Write(make([]byte, mostRules+1))
+		_, err := z.Write(make([]byte, maxRulesBytes+1))
 		assert.NilError(t, err)
 		assert.NilError(t, z.Close())
-		f.serve(firstVM, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
+		tn.serve(firstVM, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 			w.Header().Set(headerRev, "7")
 			_, _ = w.Write(packed.Bytes())
 		}))
-		_, _, err = f.client(nil).Rules(t.Context(), firstVM, 0)
+		_, _, err = tn.client(nil).Rules(t.Context(), firstVM, 0)
 		assert.Equal(t, kinds.Of(err), kinds.Malformed)
 	})
 }
 
-// VMs of two versions run beside each other while they are replaced. One of the version
-// before sends its rules with its answer; the new ones still take them.
-func TestRulesInAnAnswerAreStillRead(t *testing.T) {
+// During an upgrade, a VM of the previous version sends rules in its poll response; newer
+// VMs must still read them.
+func TestRulesInAPollResponseAreStillRead(t *testing.T) {
 	var n Response
 	assert.NilError(t, json.Unmarshal([]byte(`{"vm":"vm-1","leads":true,"rules":{"rev":7,"data":{"a":1}}}`), &n))
 	assert.Equal(t, n.Rules.Rev, uint64(7))
@@ -273,33 +273,33 @@
 	assert.Equal(t, n.RulesRev, uint64(0))
 }
 
-// A VM knows that newer rules exist and fetches them, or could not read them. The leader
-// must not answer each of its questions at once: both would do nothing else.
-func TestRulesThatTheAskerKnowsOfAreNoNews(t *testing.T) {
-	b := leader()
-	b.SetRules(RawRules{Rev: 7, Data: noise(100_000)})
-	n, worth, _ := b.look(time.Now(), &Request{VM: "vm-2", RulesRev: 6})
+// Guards against a loop of polls. A VM that knows of newer rules is still fetching them
+// or could not decode them, so the leader must not answer its polls at once.
+func TestKnownRulesRevisionIsNoNews(t *testing.T) {
+	h := newLeader()
+	h.SetRules(RawRules{Rev: 7, Data: randomBytes(100_000)})
+	n, worth, _ := h.response(time.Now(), &Request{VM: "vm-2", RulesRev: 6})
 	assert.Assert(t, worth)
 	assert.Equal(t, n.RulesRev, uint64(7))
 	text, err := json.Marshal(n)
 	assert.NilError(t, err)
 	assert.Assert(t, len(text) < 1000, "%d bytes", len(text))
-	_, worth, _ = b.look(time.Now(), &Request{VM: "vm-2", RulesRev: 7})
+	_, worth, _ = h.response(time.Now(), &Request{VM: "vm-2", RulesRev: 7})
 	assert.Assert(t, !worth)
 }
 
-// BenchmarkPack compresses a configuration of some 4,200 routes, 0.7 MB, once for all VMs
-// that ask.
+// BenchmarkPack compresses a configuration of about 4,200 routes, 0.7 MB, which happens
+// once for all VMs that fetch it.
 func BenchmarkPack(b *testing.B) {
 	var text bytes.Buffer
 	for range 4200 {
 		fmt.Fprintf(&text, `"r-%x":{"host":"%x.example","once":true,"prefix":"/%x/","service":"s%x","timeout":2,"aim":0.25,"attempts":3,"priority":1,"note":"team-%x"},`,
-			noise(3), noise(3), noise(4), noise(3), noise(1))
+			randomBytes(3), randomBytes(3), randomBytes(4), randomBytes(3), randomBytes(1))
 	}
 	var packed int
 	for b.Loop() {
-		p := payload{RawRules: RawRules{Data: text.Bytes()}}
-		packed = len(p.pack())
+		p := rulesPayload{RawRules: RawRules{Data: text.Bytes()}}
+		packed = len(p.compressed())
 	}
 	b.ReportMetric(float64(text.Len()), "bytes")
 	b.ReportMetric(float64(packed), "packed-bytes")
--- a/internal/edge/poll/serve.go
+++ b/internal/edge/poll/serve.go
@@ -18,133 +18,137 @@
 )
 
 const (
-	askPath = "/news"
-	// mostBytes bounds a message: the whole list of some thousand servers and all owners
-	// of keys, and from a VM of an earlier version the rules.
-	mostBytes = 8 << 20
-	// dialWait is for VMs within a region.
-	dialWait = 300 * time.Millisecond
-	// answerWait is how much longer than Wait an answer may take to begin before the
-	// leader counts as silent.
-	answerWait = 500 * time.Millisecond
-	// mostAnswer bounds a question and its whole answer: a leader that was cut off while
-	// much of its answer is still in the network's buffers is heard no longer than this.
-	mostAnswer = 3 * time.Second
-	// thinLink is what one VM gets of a leader's link at the least, in bytes a second:
-	// one of 10 Mbit/s whose other traffic leaves a quarter, among five that read much
-	// at once.
-	thinLink = 64 << 10
+	pollPath = "/news"
+	// maxMessageBytes bounds a message. The largest holds the complete list of some
+	// thousand servers, all key owners and, from a VM of an earlier version, the rules.
+	maxMessageBytes = 8 << 20
+	// dialTimeout is for VMs in the same region.
+	dialTimeout = 300 * time.Millisecond
+	// answerTimeout is how much longer than PollTimeout a response may take to begin
+	// before the leader counts as silent.
+	answerTimeout = 500 * time.Millisecond
+	// pollDeadline bounds a poll including its response. It limits how long a leader that
+	// was cut off still counts as alive because parts of its response are in the
+	// network's buffers.
+	pollDeadline = 3 * time.Second
+	// minLinkRate is the least bandwidth that a VM gets of the leader's link, in bytes
+	// per second: a quarter of a 10 Mbit/s link, shared by five VMs that read large
+	// responses.
+	minLinkRate = 64 << 10
 )
 
-// reading is how long a VM may be busy with an answer of so many bytes, and not ask.
-func reading(size int) time.Duration {
-	return min(time.Duration(size)*time.Second/thinLink, mostAnswer)
+// readTime returns how long a VM may take to read a response of size bytes, during which
+// it does not poll.
+func readTime(size int) time.Duration {
+	return min(time.Duration(size)*time.Second/minLinkRate, pollDeadline)
 }
 
-// Handler answers questions. Heard is called with each of them.
-func (b *Hub) Handler(heard func(*Request)) http.Handler {
+// Handler returns the handler for requests of other VMs. It calls onRequest with each
+// poll request.
+func (h *Hub) Handler(onRequest func(*Request)) http.Handler {
 	gin.SetMode(gin.ReleaseMode)
 	engine := gin.New()
-	engine.POST(askPath, func(c *gin.Context) {
-		var a Request
-		body := http.MaxBytesReader(c.Writer, c.Request.Body, mostBytes)
-		if err := json.NewDecoder(body).Decode(&a); err != nil || a.VM == "" {
+	engine.POST(pollPath, func(c *gin.Context) {
+		var req Request
+		body := http.MaxBytesReader(c.Writer, c.Request.Body, maxMessageBytes)
+		if err := json.NewDecoder(body).Decode(&req); err != nil || req.VM == "" {
 			c.Status(http.StatusBadRequest)
 			return
 		}
-		a.came = clock.Now()
-		b.note(time.Now(), &a)
-		heard(&a)
-		b.answer(c, &a)
+		req.receivedAt = clock.Now()
+		h.notePeer(time.Now(), &req)
+		onRequest(&req)
+		h.servePoll(c, &req)
 	})
-	engine.GET(rulesPath, b.send)
+	engine.GET(rulesPath, h.serveRules)
 	return engine
 }
 
-// answer sends the news to an asker.
-func (b *Hub) answer(c *gin.Context, a *Request) {
-	n := b.wait(c.Request.Context(), a)
-	body, err := json.Marshal(n)
+// servePoll sends the response to a poll request.
+func (h *Hub) servePoll(c *gin.Context, req *Request) {
+	resp := h.waitResponse(c.Request.Context(), req)
+	body, err := json.Marshal(resp)
 	if err != nil {
 		c.Status(http.StatusInternalServerError)
 		return
 	}
-	if beat, ok := n.heartbeat(); ok {
+	if beat, ok := resp.heartbeat(); ok {
 		beat.write(c.Writer.Header())
 	}
-	b.busy(time.Now().Add(reading(len(body))), a.VM)
+	h.extendPeer(time.Now().Add(readTime(len(body))), req.VM)
 	c.Data(http.StatusOK, gin.MIMEJSON, body)
 }
 
-// wait returns news for the asker, as soon as there are some or Wait is over.
-func (b *Hub) wait(ctx context.Context, a *Request) Response {
+// waitResponse returns a response as soon as there is news or PollTimeout is over.
+func (h *Hub) waitResponse(ctx context.Context, req *Request) Response {
 	timer := time.NewTimer(PollTimeout)
 	defer timer.Stop()
 	for {
-		n, worth, more := b.look(time.Now(), a)
-		if worth {
-			return n
+		resp, hasNews, changed := h.response(time.Now(), req)
+		if hasNews {
+			return resp
 		}
 		select {
-		case <-more:
+		case <-changed:
 		case <-timer.C:
-			// What has no news may have changed all the same: for how long the rules are
-			// the newest, and the store steady.
-			n, _, _ = b.look(time.Now(), a)
-			return n
+			// Even without news, the freshness of the rules and the store's uptime may
+			// have changed.
+			resp, _, _ = h.response(time.Now(), req)
+			return resp
 		case <-ctx.Done():
-			return n
+			return resp
 		}
 	}
 }
 
-// Client asks other VMs.
+// Client sends requests to other VMs.
 type Client struct {
-	flow.Counter // of its questions and their answers
-	web          *http.Client
+	flow.Counter // counts the bytes of its requests and responses
+	http         *http.Client
 }
 
-// NewClient makes a client. Each question has a connection of its own kept, and
-// every wait has an end: a connection can go silent for good.
+// NewClient creates a client. It keeps idle connections, and every wait is bounded
+// because a connection can go silent for good.
 func NewClient() *Client {
-	dial := net.Dialer{Timeout: dialWait, KeepAlive: -1}
+	dial := net.Dialer{Timeout: dialTimeout, KeepAlive: -1}
 	c := &Client{}
-	c.web = &http.Client{Transport: &http.Transport{
+	c.http = &http.Client{Transport: &http.Transport{
 		DialContext: c.Count(dial.DialContext), DisableCompression: true, MaxIdleConnsPerHost: 2, IdleConnTimeout: 10 * time.Second,
 	}}
 	return c
 }
 
-// Poll asks one VM. Heard is called with the heartbeat of a leader as soon as its
-// answer begins and, while it goes on, several times a second. The error carries kind Down.
-func (c *Client) Poll(ctx context.Context, at netip.AddrPort, a *Request, heard func(Heartbeat)) (Response, error) {
+// Poll polls one VM. It calls onHeartbeat with the heartbeat of a leader as soon as the
+// response begins and several times a second while it arrives. The error has kind
+// Unavailable.
+func (c *Client) Poll(ctx context.Context, at netip.AddrPort, a *Request, onHeartbeat func(Heartbeat)) (Response, error) {
 	var n Response
-	ctx, cancel := context.WithTimeout(ctx, mostAnswer)
+	ctx, cancel := context.WithTimeout(ctx, pollDeadline)
 	defer cancel()
 	b, err := json.Marshal(a)
 	if err != nil {
-		return n, kinds.Wrap(kinds.Internal, err, "encode question")
+		return n, kinds.Wrap(kinds.Internal, err, "encode poll request")
 	}
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+at.String()+askPath, bytes.NewReader(b))
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+at.String()+pollPath, bytes.NewReader(b))
 	if err != nil {
-		return n, kinds.Wrap(kinds.Internal, err, "question")
+		return n, kinds.Wrap(kinds.Internal, err, "create poll request")
 	}
 	req.Header.Set("Content-Type", gin.MIMEJSON)
-	resp, err := flow.DoWithTimeouts(c.web, req, PollTimeout+answerWait, bodySilence)
+	resp, err := flow.DoWithTimeouts(c.http, req, PollTimeout+answerTimeout, bodyIdleTimeout)
 	if err != nil {
-		return n, kinds.Wrap(kinds.Unavailable, err, "ask "+at.String())
+		return n, kinds.Wrap(kinds.Unavailable, err, "poll "+at.String())
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
-		return n, kinds.New(kinds.Unavailable, "ask "+at.String()+": "+resp.Status)
+		return n, kinds.New(kinds.Unavailable, "poll "+at.String()+": "+resp.Status)
 	}
 	n.ReceivedAt = time.Now()
-	body := io.LimitReader(resp.Body, mostBytes)
-	if beat, ok := readHeartbeat(resp.Header); ok && heard != nil {
-		body = &heartbeatReader{Reader: body, beat: beat, heard: heard}
+	body := io.LimitReader(resp.Body, maxMessageBytes)
+	if beat, ok := readHeartbeat(resp.Header); ok && onHeartbeat != nil {
+		body = &heartbeatReader{Reader: body, heartbeat: beat, onHeartbeat: onHeartbeat}
 	}
 	if err := json.NewDecoder(body).Decode(&n); err != nil {
-		return n, kinds.Wrap(kinds.Unavailable, err, "answer of "+at.String())
+		return n, kinds.Wrap(kinds.Unavailable, err, "decode poll response of "+at.String())
 	}
 	return n, nil
 }
