--- a/internal/edge/feed/feed.go
+++ b/internal/edge/feed/feed.go
@@ -1,7 +1,6 @@
-// Package feed holds what a platform tells an entry VM while it runs: which rules
-// are in force, which services and backend servers there are, and how orders for
-// keys are given to them. A platform's adapter fills it in; nothing here knows
-// how that platform spells it.
+// Package feed defines what a platform's adapter provides to a running entry VM: the
+// rules in force, the services and backend servers, and the means to send orders for keys
+// to servers. It does not depend on a platform's names or formats.
 package feed
 
 import (
@@ -14,7 +13,7 @@
 	"hawthornfield.org/hawthornfield/internal/rules/match"
 )
 
-// Server is one backend server, in its own words.
+// Server is a backend server as described by its own entry in the store.
 type Server struct {
 	Name    ident.Server   `json:"name"`
 	Service ident.Service  `json:"service"`
@@ -22,36 +21,37 @@
 	Centre  ident.Centre   `json:"centre"`
 	Slots   int            `json:"slots"`
 	Leaving bool           `json:"leaving,omitempty"`
-	// Cold is for how much longer it is slow after its start.
+	// Cold is how much longer the server will be slow after its start.
 	Cold time.Duration `json:"cold,omitempty"`
-	// Incarnation tells one life of a server from the next under the same name.
+	// Incarnation distinguishes successive processes of a server with the same name.
 	Incarnation int64 `json:"born,omitempty"`
-	// Rev is the revision of the entry that says all this.
+	// Rev is the revision of the server's entry.
 	Rev uint64 `json:"rev,omitempty"`
-	// InvalidFields says which fields of the entry could not be read, for the log. The server
-	// is good all the same.
+	// InvalidFields names the fields of the entry that could not be read, for the log.
+	// The server is used all the same.
 	InvalidFields string `json:"-"`
 }
 
-// Service is one group of backend servers.
+// Service is a group of backend servers.
 type Service struct {
 	Name    ident.Service
 	Divided bool // divided by key: each key has one owner
 	Conns   int  // connections that each server accepts from all entry VMs together
 }
 
-// Limits bound what a caller may send, and how long it may take. Zero bounds nothing. A
-// negative limit could not be read, see [Limits.WithDefaults].
+// Limits restrict what a caller may send and how long it may take. Zero means no limit. A
+// negative value marks a limit that could not be read, see [Limits.WithDefaults].
 type Limits struct {
-	Header        int           // bytes of a request's headers
-	Body          int64         // bytes of a request's body
-	HeaderTimeout time.Duration // longest wait for a caller's headers
-	IdleTimeout   time.Duration // idle caller connections are closed after this
+	Header        int           // size of a request's headers, in bytes
+	Body          int64         // size of a request's body, in bytes
+	HeaderTimeout time.Duration // longest wait for a request's headers
+	IdleTimeout   time.Duration // idle caller connections are closed after this time
 }
 
-// WithDefaults takes the limits before for those that could not be read. No limit in their place
-// would let callers send what servers cannot bear, and a guessed one might turn away what
-// was always allowed. Where none was known either, there is none.
+// WithDefaults replaces limits that could not be read with those of before. Without a
+// limit, callers could send more than servers can handle, and a guessed limit might
+// refuse what was always allowed. If there is no earlier limit either, the result is no
+// limit.
 func (l Limits) WithDefaults(before Limits) Limits {
 	return Limits{
 		Header: orBefore(l.Header, before.Header), Body: orBefore(l.Body, before.Body),
@@ -66,19 +66,19 @@
 	return limit
 }
 
-// Rules are the rules in force, the services that they speak of, and the limits.
+// Rules are the rules in force, the services that they name, and the limits.
 type Rules struct {
-	Rev      ident.Revision // rises with each change
-	Name     string         // the operator's own name of the version, for logs
+	Rev      ident.Revision // increases with each change
+	Name     string         // the operator's name of this version, for logs
 	List     []match.Rule
 	Services []Service
 	Limits   Limits
-	Faults   match.Faults // what could not be read, for logs; the rest holds all the same
+	Faults   match.Faults // the parts that could not be read, for logs; everything else applies
 }
 
-// Grant gives a span of keys to a backend server for a while, counted from its
-// arrival there. Token, if there is one, is what the former owner said as it gave
-// the keys back; with it the next owner is not cold on them.
+// Grant assigns a span of keys to a backend server for a time that starts when the grant
+// arrives there. Token, if not empty, is what the previous owner returned when it
+// released the keys; it lets the new owner start warm.
 type Grant struct {
 	ranges.Span
 	Fence uint64
@@ -86,25 +86,24 @@
 	Token string
 }
 
-// Orders gives orders for keys to backend servers. Errors carry kind Fenced when
-// the server has obeyed a higher fence on one of the keys, Malformed when it does
-// not understand, Down when the order certainly did not reach it, and Ambiguous
-// when it may be obeyed now or seconds later. Kind Misrouted says that another server
-// has the address now, which obeyed nothing.
+// Orders sends orders for keys to backend servers. Errors carry kind Fenced if the server
+// has accepted a higher fence for one of the keys, Malformed if it does not understand
+// the order, Unavailable if the order certainly did not reach it, and Ambiguous if the
+// server may have obeyed it or may do so seconds later. Kind Misrouted means that another
+// server now has the address and did not obey.
 type Orders interface {
-	// Grant gives keys or renews a grant that was given before.
+	// Grant grants keys or renews an earlier grant.
 	Grant(ctx context.Context, to netip.AddrPort, s ident.Server, g Grant) error
-	// Release takes keys back. It returns when no work on them is left, with the
-	// token for the next owner.
+	// Release takes keys back. It returns when no work on them is left, with the token
+	// for the next owner.
 	Release(ctx context.Context, to netip.AddrPort, s ident.Server, keys ranges.Span, fence uint64) (token string, err error)
 }
 
-// Decoder decodes what a platform's store holds.
+// Decoder decodes the contents of a platform's store.
 type Decoder interface {
-	// Servers decodes the entries of servers. One that cannot be read names no
-	// server and is returned among the bad.
+	// Server decodes the entry of a server. It fails if the entry cannot be read.
 	Server(name string, value []byte) (Server, error)
-	// Rules decodes the rules in force. It fails only where no rule can be told from
-	// another: what cannot be read of one concerns that one alone.
+	// Rules decodes the rules in force. It fails only if single rules cannot be told
+	// apart; a fault within one rule affects that rule only.
 	Rules(rev ident.Revision, value []byte) (Rules, error)
 }
