--- a/internal/edge/poll/rules.go
+++ b/internal/edge/poll/rules.go
@@ -40,7 +40,7 @@
 	headerRev  = "Hawthorn-Rev" // revision of the rules in a response
 	// maxRulesTransfers is how many VMs can fetch the rules from this one at once. The
 	// others turn to a VM that has them by then, so the number of VMs with the rules
-	// multiplies with each turn and none fills its link with transfers.
+	// triples with each turn and none fills its link with transfers.
 	maxRulesTransfers = 3
 	// maxRulesBytes bounds decompressed rules, in bytes: twice what the store can hold.
 	maxRulesBytes = 2 * object.MaxValue
