--- a/internal/owner/elect/msg.go
+++ b/internal/owner/elect/msg.go
@@ -9,66 +9,66 @@
 	"hawthornfield.org/hawthornfield/internal/plat/object"
 )
 
-// Lease is the stored lead.
+// Lease is the stored leadership record.
 type Lease struct {
-	Epoch       uint64         `json:"epoch"` // rises with each change of the leader
+	Epoch       uint64         `json:"epoch"` // rises with each change of leader
 	Holder      ident.VM       `json:"holder"`
-	Incarnation string         `json:"life"` // of the holder's process
-	Addr        netip.AddrPort `json:"addr"` // where the others ask it
-	Beats       uint64         `json:"beats"`
+	Incarnation string         `json:"life"`  // unique to the holder's process
+	Addr        netip.AddrPort `json:"addr"`  // where the other VMs reach the holder
+	Renewals    uint64         `json:"beats"` // number of renewals
 }
 
-// Role is where a VM stands.
+// Role is the part that a VM plays in the election.
 type Role string
 
-// The stages.
+// The roles.
 const (
 	Follower Role = "follow"
-	Claim    Role = "claim" // a claim is on its way to the store
+	Claim    Role = "claim" // a claim has been sent to the store
 	Leader   Role = "lead"
 )
 
 // Messages.
 type (
-	// TickMsg passes time.
+	// TickMsg reports that time has passed.
 	TickMsg struct{}
-	// HeartbeatMsg says that the leader of an epoch answered. A troubled one does not
-	// reach the store: whoever does should take over.
+	// HeartbeatMsg reports that the leader of Epoch answered. RenewOverdue means that the
+	// leader cannot reach the store, so a VM that can should take over.
 	HeartbeatMsg struct {
 		Epoch        uint64
 		RenewOverdue bool
 	}
-	// SteppedDownMsg says that the leader of an epoch says that it leads no longer.
+	// SteppedDownMsg reports that the leader of Epoch says it no longer leads.
 	SteppedDownMsg struct{ Epoch uint64 }
-	// LeaseMsg tells of a lease that another VM knows.
+	// LeaseMsg carries a lease known to another VM.
 	LeaseMsg struct{ Lease Lease }
-	// RankMsg says how many VMs go first when somebody must take over.
+	// RankMsg carries the number of VMs that precede this one in a takeover.
 	RankMsg struct{ N int }
-	// ClusterFormedMsg says that another VM answered that a leader has answered before.
+	// ClusterFormedMsg reports that another VM answered which has followed a leader before.
 	ClusterFormedMsg struct{}
-	// ReadMsg answers a ReadCmd; Version zero means that there is no lease.
+	// ReadMsg is the result of a ReadCmd sent at Asked; Version zero means there is no lease.
 	ReadMsg struct {
 		Asked   time.Time
 		Lease   Lease
 		Version object.Version
 		Kind    kinds.Kind
 	}
-	// WroteMsg answers a WriteCmd.
+	// WroteMsg is the result of a WriteCmd sent at Asked.
 	WroteMsg struct {
 		Asked   time.Time
 		Lease   Lease
 		Version object.Version
 		Kind    kinds.Kind
 	}
-	// TermEndedMsg says that the leader of an epoch gives no orders any more: it says so
-	// itself, or its VM runs another process now.
+	// TermEndedMsg reports that the leader of Epoch no longer gives orders: it said so
+	// itself, or its VM now runs another process.
 	TermEndedMsg struct{ Epoch uint64 }
-	// EpochMsg tells of an epoch that another leader had. One that leads under the same
-	// or a lower one writes its lease anew, under an epoch above.
+	// EpochMsg reports an epoch used by another leader. A leader at the same or a lower
+	// epoch rewrites its lease at a higher one.
 	EpochMsg struct{ Epoch uint64 }
-	// StepDownMsg says that another VM would lead better than this one.
+	// StepDownMsg reports that another VM is better suited to lead.
 	StepDownMsg struct{}
-	// LeaveMsg ends leading for good: the process stops.
+	// LeaveMsg ends leadership for good because the process is stopping.
 	LeaveMsg struct{}
 )
 
@@ -76,12 +76,12 @@
 type (
 	// ReadCmd reads the lease.
 	ReadCmd struct{}
-	// WriteCmd writes the lease if its version is still Old.
+	// WriteCmd writes the lease if its stored version is still Old.
 	WriteCmd struct {
 		Lease Lease
 		Old   object.Version
 	}
-	// RoleChangeCmd says that the leader, or what this VM may do, has changed.
+	// RoleChangeCmd reports a change of the leader or of this VM's role.
 	RoleChangeCmd struct {
 		Role   Role
 		Lease  Lease
