--- a/internal/owner/assign/fresh_test.go
+++ b/internal/owner/assign/first_table_test.go
@@ -13,27 +13,27 @@
 	"hawthornfield.org/hawthornfield/internal/core/loop"
 )
 
-// A service starts for the first time, and its leader reads the store before it knows a
-// single server. Cut for none of them, a service of two hundred servers would give some
-// twice the keys of others for as long as the table lasts.
-func TestTheFirstTableIsCutForTheServersThereAre(t *testing.T) {
+// A service starts for the first time, and its leader reads the store before any server is
+// listed. If the key space were split for zero servers, a service of two hundred servers
+// would give some twice the keys of others for as long as the table lasts.
+func TestTheFirstTableIsCutForTheNumberOfServers(t *testing.T) {
 	for servers, rows := range map[int]int{10: 256, 200: 1024} {
 		now := time.Unix(1000, 0)
 		m := New()
 		tick := TickMsg{Authority: Authority{Epoch: 1, Until: now.Add(time.Hour), OldTermEnd: now}}
-		tell := func(msg loop.Msg) []loop.Cmd { _, cmds := m.Update(now, msg); return cmds }
-		tell(tick)
-		tell(ReadResultMsg{Kind: kinds.NotFound})
+		update := func(msg loop.Msg) []loop.Cmd { _, cmds := m.Update(now, msg); return cmds }
+		update(tick)
+		update(ReadResultMsg{Kind: kinds.NotFound})
 		var hosts []Server
 		for n := range servers {
 			hosts = append(hosts, Server{
 				Name: ident.Server("s" + strconv.Itoa(n)), Addr: netip.MustParseAddrPort("10.0.0.1:80"), Incarnation: 1, Slots: 2,
 			})
 		}
-		tell(ServersMsg{Servers: hosts})
+		update(ServersMsg{Servers: hosts})
 		wrote := false
 		for end := now.Add(5 * time.Second); now.Before(end) && !wrote; now = now.Add(50 * time.Millisecond) {
-			for _, c := range tell(tick) {
+			for _, c := range update(tick) {
 				if w, ok := c.(WriteCmd); ok {
 					wrote = true
 					assert.Equal(t, len(w.Table.Rows), rows)
@@ -49,41 +49,41 @@
 	}
 }
 
-// A service has more servers than its key space has stripes. Those beyond own nothing
-// and get no request, while callers of the others wait; the log must say so, once.
-func TestMoreServersThanStripesAreNoted(t *testing.T) {
+// A service has more servers than key ranges. The excess servers own nothing and get no
+// requests while callers of the others wait; the log must say so, once.
+func TestMoreServersThanRangesAreLogged(t *testing.T) {
 	const servers = 3000
 	now := time.Unix(1000, 0)
 	m := New()
 	tick := TickMsg{Authority: Authority{Epoch: 1, Until: now.Add(time.Hour), OldTermEnd: now}}
-	tell := func(msg loop.Msg) []loop.Cmd { _, cmds := m.Update(now, msg); return cmds }
-	tell(tick)
-	tell(ReadResultMsg{Kind: kinds.NotFound})
+	update := func(msg loop.Msg) []loop.Cmd { _, cmds := m.Update(now, msg); return cmds }
+	update(tick)
+	update(ReadResultMsg{Kind: kinds.NotFound})
 	var hosts []Server
 	for n := range servers {
 		hosts = append(hosts, Server{
 			Name: ident.Server("s" + strconv.Itoa(n)), Addr: netip.MustParseAddrPort("10.0.0.1:80"), Incarnation: 1, Slots: 2,
 		})
 	}
-	tell(ServersMsg{Servers: hosts})
-	notes, held := 0, map[ident.Server]bool{}
+	update(ServersMsg{Servers: hosts})
+	logged, held := 0, map[ident.Server]bool{}
 	for end := now.Add(5 * time.Second); now.Before(end); now = now.Add(50 * time.Millisecond) {
-		cmds := tell(tick)
+		cmds := update(tick)
 		for _, c := range cmds {
 			switch c := c.(type) {
 			case WriteCmd:
 				for _, r := range c.Table.Rows {
 					held[r.Owner] = true
 				}
-				tell(WriteResultMsg{Version: 1})
+				update(WriteResultMsg{Version: 1})
 			case LogCmd:
 				if c.Event == "servers without keys" {
-					notes++
-					assert.Equal(t, c.Reason, "1976 servers more than stripes")
+					logged++
+					assert.Equal(t, c.Reason, "1976 more servers than key ranges")
 				}
 			}
 		}
 	}
 	assert.Equal(t, len(held), 1024)
-	assert.Equal(t, notes, 1)
+	assert.Equal(t, logged, 1)
 }
--- a/internal/owner/assign/flaw.go
+++ b/internal/owner/assign/flaw.go
@@ -1,17 +1,17 @@
 package assign
 
-// flaw names a deliberately broken safety rule. Only tests set one, to show that the
-// properties notice.
+// flaw is a safety rule that is deliberately broken. Only tests set one, to show that they
+// detect the resulting violation.
 type flaw uint8
 
 // The flaws.
 const (
-	flawNone   flaw = iota
-	flawWait        // give a silent server's keys away without waiting for its grants
-	flawFlying      // forget grants that are still on their way
-	flawBar         // forget that a leader before may have renewed
-	flawFence       // give keys to the next owner under the fence of the last
-	flawBehind      // take another leader's table of the same epoch for one's own
-	flawLost        // give keys of a row that names nobody away at once
-	flawStale       // act on a draft before the store has agreed to it
+	flawNone               flaw = iota
+	flawSkipWait                // reassign a silent server's keys without waiting for its grants to expire
+	flawIgnoreInFlight          // ignore grants that have not been answered
+	flawIgnoreOldTerm           // ignore that an earlier leader may have renewed grants
+	flawKeepFence               // grant keys to the next owner under the previous owner's fence
+	flawAcceptForeignTable      // treat another leader's table of the same epoch as one's own
+	flawSkipLostWait            // reassign keys with an unknown owner at once
+	flawActBeforeWrite          // act on a draft before it has been written to the store
 )
--- a/internal/owner/assign/msg.go
+++ b/internal/owner/assign/msg.go
@@ -10,13 +10,13 @@
 	"hawthornfield.org/hawthornfield/internal/plat/object"
 )
 
-// Authority says until when this VM may give orders, and until when a leader
-// before it may still.
+// Authority says until when this VM may give orders, and until when an earlier leader still
+// may.
 type Authority struct {
 	Epoch      uint64
 	Until      time.Time
 	OldTermEnd time.Time
-	// LongGrants asks for grants that outlast an absence of the store.
+	// LongGrants asks for grants that outlast a store outage.
 	LongGrants bool
 }
 
@@ -27,32 +27,32 @@
 	Incarnation int64
 	Slots       int
 	Leaving     bool
-	Cold        time.Duration
+	Cold        time.Duration // warm-up time after its start
 }
 
 // Messages.
 type (
-	// TickMsg passes time, with the authority as it is now.
+	// TickMsg reports that time has passed, and the current authority.
 	TickMsg struct{ Authority }
-	// ServersMsg lists the servers that the platform lists.
+	// ServersMsg carries the platform's list of servers.
 	ServersMsg struct{ Servers []Server }
-	// LoadMsg reports requests and answers since the last report.
+	// LoadMsg reports requests and latencies since the last report.
 	LoadMsg struct {
 		Cells   map[uint16]uint32 // requests by cell
 		Servers map[ident.Server]LatencySum
 	}
-	// ReadResultMsg answers a ReadCmd; Version zero means that there is no table.
+	// ReadResultMsg is the result of a ReadCmd; Version zero means there is no table.
 	ReadResultMsg struct {
 		Table   ranges.Table
 		Version object.Version
 		Kind    kinds.Kind
 	}
-	// WriteResultMsg answers a WriteCmd.
+	// WriteResultMsg is the result of a WriteCmd.
 	WriteResultMsg struct {
 		Version object.Version
 		Kind    kinds.Kind
 	}
-	// OrderResultMsg answers an OrderCmd. Orders that were not sent are missing.
+	// OrderResultMsg is the result of an OrderCmd. Orders that were not sent are missing.
 	OrderResultMsg struct {
 		Server      ident.Server
 		Incarnation int64
@@ -60,13 +60,13 @@
 	}
 )
 
-// LatencySum adds up what was observed of a server's answers.
+// LatencySum adds up the observed latencies of a server.
 type LatencySum struct {
 	N     uint32        `json:"n"`
 	Total time.Duration `json:"took"`
 }
 
-// Order is one order for a span of keys: a grant, or a release.
+// Order is a grant or a release of a span of keys.
 type Order struct {
 	ranges.Span
 	Fence   uint64
@@ -75,27 +75,27 @@
 	Token   string
 }
 
-// OrderResult is what became of an order. Sent is the time right before it was sent, Waited how
-// long it waited for others in this VM's own queue.
+// OrderResult is the result of an order. Sent is the time right before it was sent, Waited
+// how long it waited in this VM's own queue.
 type OrderResult struct {
 	Order
 	Sent   time.Time
 	Waited time.Duration
 	Kind   kinds.Kind
-	Token  string // the token that a release brought
+	Token  string // returned by a release
 }
 
 // Commands.
 type (
 	// ReadCmd reads the table.
 	ReadCmd struct{}
-	// WriteCmd writes the table if its version is still Old.
+	// WriteCmd writes the table if its stored version is still Old.
 	WriteCmd struct {
 		Table ranges.Table
 		Old   object.Version
 	}
-	// OrderCmd gives a server orders, each only before Until. Grants go one after
-	// the other, and end with the first that is not answered.
+	// OrderCmd sends orders to a server, each only before Until. Grants are sent one after the
+	// other, up to the first that is not answered.
 	OrderCmd struct {
 		Server      ident.Server
 		Incarnation int64
@@ -103,17 +103,17 @@
 		Until       time.Time
 		Orders      []Order
 	}
-	// PublishCmd says who serves what from now on.
+	// PublishCmd publishes which servers serve which keys from now on.
 	PublishCmd struct {
 		Epoch, Seq uint64
 		Full       bool
 		Changes    []ranges.Assignment
 	}
-	// StaleEpochCmd says that another leader wrote the table under an epoch that this one's
-	// is not above. Another VM leads, and this one has not heard of it yet; or the lease
-	// was lost, and its epochs began anew.
+	// StaleEpochCmd reports that another leader wrote the table at an epoch that is not below
+	// this one's. Either another VM leads and this one has not heard of it yet, or the lease
+	// was lost and its epochs restarted.
 	StaleEpochCmd struct{ Epoch uint64 }
-	// LogCmd is a change of belief, for the log.
+	// LogCmd is an event for the log.
 	LogCmd struct {
 		Event     string
 		Server    ident.Server
--- a/internal/owner/assign/orders.go
+++ b/internal/owner/assign/orders.go
@@ -11,188 +11,189 @@
 	"hawthornfield.org/hawthornfield/internal/owner/ranges"
 )
 
-// orders gives what is due now: releases, grants, renewals.
-func (m *Model) orders(now time.Time) []loop.Cmd {
+// dueOrders returns the releases, grants and renewals that are due now.
+func (m *Model) dueOrders(now time.Time) []loop.Cmd {
 	releases := map[ident.Server][]Order{}
 	grants := map[ident.Server][]Order{}
 	for i := range m.rows {
 		r, s := &m.table.Rows[i], &m.rows[i]
-		if s.phase == freeing && !now.Before(m.free(s)) && !m.flying(r.PrevOwner) {
-			m.freed(r, s, "")
-			m.soil(now)
+		if s.phase == releasing && !now.Before(m.prevOwnerExpiry(s)) && !m.grantsInFlight(r.PrevOwner) {
+			m.markReleased(r, s, "")
+			m.markDirty(now)
 		}
 		switch s.phase {
-		case freeing:
-			if p := m.peers[r.PrevOwner]; p != nil && !r.Lost && !p.freeing && !now.Before(p.freeAt) {
+		case releasing:
+			if b := m.backends[r.PrevOwner]; b != nil && !r.Lost && !b.releasesPending && !now.Before(b.releaseAt) {
 				releases[r.PrevOwner] = append(releases[r.PrevOwner], Order{Span: r.Span, Fence: r.Fence, Release: true})
 			}
 		case granting, granted:
-			// A later life of the server gets a fence of its own first: under this one
-			// nobody would wait for what it was given.
-			if p := m.peers[r.Owner]; p != nil && p.due(now, s.phase) && p.Incarnation == r.Incarnation {
-				grants[r.Owner] = append(grants[r.Owner], m.grant(now, p, r, s))
+			// A restarted server first gets a new fence: nobody would wait for the expiry
+			// of what a new incarnation was granted under the old one.
+			if b := m.backends[r.Owner]; b != nil && b.grantDue(now, s.phase) && b.Incarnation == r.Incarnation {
+				grants[r.Owner] = append(grants[r.Owner], m.newGrant(now, b, r, s))
 			}
 		}
 	}
 	var out []loop.Cmd
-	// In a fixed order, so that the same messages always give the same commands.
+	// Send in sorted order, so that the same messages always give the same commands.
 	for _, name := range slices.Sorted(maps.Keys(releases)) {
-		p := m.peers[name]
-		p.freeing = true
-		out = append(out, m.order(p, releases[name]))
+		b := m.backends[name]
+		b.releasesPending = true
+		out = append(out, m.newOrderCmd(b, releases[name]))
 	}
 	for _, name := range slices.Sorted(maps.Keys(grants)) {
-		out = append(out, m.give(now, m.peers[name], grants[name]))
+		out = append(out, m.grantCmd(now, m.backends[name], grants[name]))
 	}
 	return out
 }
 
-// flying reports whether grants are on their way to a server: until it is known
-// when they were sent, nobody can say when they have run out.
-func (m *Model) flying(s ident.Server) bool {
-	p := m.peers[s]
-	return p != nil && p.busy && m.flaw != flawFlying
+// grantsInFlight reports whether grants to a server are unanswered. Their expiry is unknown
+// until it is known when they were sent.
+func (m *Model) grantsInFlight(s ident.Server) bool {
+	b := m.backends[s]
+	return b != nil && b.grantsPending && m.flaw != flawIgnoreInFlight
 }
 
-// due reports whether a grant in a phase should go out to the server now. Between
-// renewals only rows that it does not have yet do.
-func (p *peer) due(now time.Time, s phase) bool {
-	if p.busy || now.Before(p.pauseTo) {
+// grantDue reports whether a grant in the given phase should be sent now. Between renewals,
+// only rows that the server does not have yet are due.
+func (b *backend) grantDue(now time.Time, s phase) bool {
+	if b.grantsPending || now.Before(b.pausedUntil) {
 		return false
 	}
-	return s == granting || !now.Before(p.renewAt)
+	return s == granting || !now.Before(b.renewAt)
 }
 
-func (m *Model) grant(now time.Time, p *peer, r *ranges.Row, s *state) Order {
-	o := Order{Span: r.Span, Fence: r.Fence, TTL: m.bounded(Hold), Token: s.token}
-	if m.auth.LongGrants || now.Before(p.rough) || m.strained(now) {
-		o.TTL = m.bounded(LongHold)
+func (m *Model) newGrant(now time.Time, b *backend, r *ranges.Row, s *rowState) Order {
+	o := Order{Span: r.Span, Fence: r.Fence, TTL: m.capGrant(GrantTTL), Token: s.token}
+	if m.auth.LongGrants || now.Before(b.lossyUntil) || m.overloaded(now) {
+		o.TTL = m.capGrant(LongGrantTTL)
 	}
 	return o
 }
 
-// pause is the time until the next renewal of a server's grants.
-func (m *Model) pause(now time.Time) time.Duration {
-	if m.strained(now) {
-		return min(RenewRare, m.bounded(LongHold)/rareRenewals)
+// renewInterval returns the time until the next renewal of a server's grants.
+func (m *Model) renewInterval(now time.Time) time.Duration {
+	if m.overloaded(now) {
+		return min(SlowRenewInterval, m.capGrant(LongGrantTTL)/minSlowRenewals)
 	}
-	return min(Renew, m.bounded(Hold)/renewals)
+	return min(RenewInterval, m.capGrant(GrantTTL)/minRenewals)
 }
 
-func (m *Model) order(p *peer, list []Order) OrderCmd {
-	return OrderCmd{Server: p.Name, Incarnation: p.Incarnation, Addr: p.Addr, Until: m.auth.Until, Orders: list}
+func (m *Model) newOrderCmd(b *backend, list []Order) OrderCmd {
+	return OrderCmd{Server: b.Name, Incarnation: b.Incarnation, Addr: b.Addr, Until: m.auth.Until, Orders: list}
 }
 
-// give sends the grants that are due to one server. To a server that does not
-// answer go a few at a time: each may be obeyed without an answer, and would keep its
-// keys from others for a hold more.
-func (m *Model) give(now time.Time, p *peer, list []Order) OrderCmd {
-	if !p.silent.IsZero() {
-		list = list[:min(len(list), probes)]
+// grantCmd returns the due grants for one server. A silent server gets only a few at a
+// time: it may execute each without an answer, and would then block its keys for another
+// GrantTTL.
+func (m *Model) grantCmd(now time.Time, b *backend, list []Order) OrderCmd {
+	if !b.silentSince.IsZero() {
+		list = list[:min(len(list), silentProbes)]
 	}
-	if !now.Before(p.renewAt) {
-		p.renewAt = now.Add(m.pause(now))
+	if !now.Before(b.renewAt) {
+		b.renewAt = now.Add(m.renewInterval(now))
 	}
-	p.busy = true
-	return m.order(p, list)
+	b.grantsPending = true
+	return m.newOrderCmd(b, list)
 }
 
-// freed notes that a row's former owner has it no longer.
-func (m *Model) freed(r *ranges.Row, s *state, token string) {
-	s.phase, s.token, s.free, s.olderFree = granting, token, time.Time{}, false
+// markReleased records that a row's previous owner no longer has it.
+func (m *Model) markReleased(r *ranges.Row, s *rowState, token string) {
+	s.phase, s.token, s.prevExpiry, s.prevInherited = granting, token, time.Time{}, false
 	if r.Owner == "" {
 		s.phase = vacant
 	}
 	r.PrevOwner, r.Lost = "", false
 }
 
-// ordered takes in what became of orders.
-func (m *Model) ordered(now time.Time, msg OrderResultMsg) []loop.Cmd {
-	p := m.peers[msg.Server]
-	if p == nil {
+// ordersDone handles the results of orders.
+func (m *Model) ordersDone(now time.Time, msg OrderResultMsg) []loop.Cmd {
+	b := m.backends[msg.Server]
+	if b == nil {
 		return nil
 	}
 	if len(msg.Results) == 0 || !msg.Results[0].Release {
-		p.busy = false
+		b.grantsPending = false
 	} else {
-		p.freeing = false
+		b.releasesPending = false
 	}
 	var out []loop.Cmd
 	answered, missed := 0, 0
 	waited := time.Duration(0)
 	for _, d := range msg.Results {
 		if d.Release {
-			m.released(now, p, d)
+			m.releaseDone(now, b, d)
 			continue
 		}
 		waited += d.Waited
-		out = append(out, m.gave(p, msg.Incarnation, d)...)
+		out = append(out, m.grantDone(b, msg.Incarnation, d)...)
 		if d.Kind == kinds.None || d.Kind == kinds.Fenced {
 			answered++
 		} else {
 			missed++
 		}
 	}
-	out = append(out, m.waited(now, p, waited)...)
-	return append(out, m.heard(now, p, answered, missed)...)
+	out = append(out, m.noteQueueWait(now, b, waited)...)
+	return append(out, m.updateHealth(now, b, answered, missed)...)
 }
 
-// waited takes in how long the grants of one server waited in this VM's own queue.
-func (m *Model) waited(now time.Time, p *peer, d time.Duration) []loop.Cmd {
-	if d < tardy {
+// noteQueueWait starts the overload period if the grants of one server waited too long in
+// this VM's own queue.
+func (m *Model) noteQueueWait(now time.Time, b *backend, d time.Duration) []loop.Cmd {
+	if d < maxQueueWait {
 		return nil
 	}
-	before := m.strained(now)
-	m.strain = now.Add(strainFor)
+	before := m.overloaded(now)
+	m.overloadedUntil = now.Add(overloadPeriod)
 	if before {
 		return nil
 	}
-	return []loop.Cmd{LogCmd{Event: "grants go out late", Server: p.Name, Rows: len(m.rows), Reason: "they waited here for " + d.String()}}
+	return []loop.Cmd{LogCmd{Event: "grants go out late", Server: b.Name, Rows: len(m.rows), Reason: "they waited here for " + d.String()}}
 }
 
-// heard judges a server by how many of its grants were answered.
-func (m *Model) heard(now time.Time, p *peer, answered, missed int) []loop.Cmd {
+// updateHealth judges a server by how many of its grants were answered.
+func (m *Model) updateHealth(now time.Time, b *backend, answered, missed int) []loop.Cmd {
 	switch {
 	case answered > 0 && missed > 0:
-		p.rough, p.pauseTo = now.Add(roughFor), now.Add(again/2)
+		b.lossyUntil, b.pausedUntil = now.Add(lossyPeriod), now.Add(retryDelay/2)
 	case missed > 0:
-		p.pauseTo = now.Add(again)
+		b.pausedUntil = now.Add(retryDelay)
 	}
 	switch {
-	case answered > 0 && !p.silent.IsZero():
-		p.silent, p.renewAt = time.Time{}, time.Time{}
-		return []loop.Cmd{LogCmd{Event: "server answers again", Server: p.Name}}
-	case answered == 0 && missed > 0 && p.silent.IsZero():
-		p.silent = now
-		return []loop.Cmd{LogCmd{Event: "server does not answer", Server: p.Name}}
+	case answered > 0 && !b.silentSince.IsZero():
+		b.silentSince, b.renewAt = time.Time{}, time.Time{}
+		return []loop.Cmd{LogCmd{Event: "server answers again", Server: b.Name}}
+	case answered == 0 && missed > 0 && b.silentSince.IsZero():
+		b.silentSince = now
+		return []loop.Cmd{LogCmd{Event: "server does not answer", Server: b.Name}}
 	}
 	return nil
 }
 
-// released takes in the answer to a release. A server whose address another one has
-// has ended, and its keys with it.
-func (m *Model) released(now time.Time, p *peer, d OrderResult) {
-	r, s := m.row(d.Order)
+// releaseDone handles the answer to a release. A server whose address now belongs to another
+// one has ended, and holds no keys any more.
+func (m *Model) releaseDone(now time.Time, b *backend, d OrderResult) {
+	r, s := m.findRow(d.Order)
 	if d.Kind != kinds.None && d.Kind != kinds.Misrouted {
-		p.freeAt = now.Add(again)
+		b.releaseAt = now.Add(retryDelay)
 		return
 	}
-	if r == nil || s.phase != freeing || r.PrevOwner != p.Name || r.Lost {
+	if r == nil || s.phase != releasing || r.PrevOwner != b.Name || r.Lost {
 		return
 	}
-	m.freed(r, s, d.Token)
-	m.soil(now)
+	m.markReleased(r, s, d.Token)
+	m.markDirty(now)
 }
 
-// soil notes that the table here says more than the stored one.
-func (m *Model) soil(now time.Time) {
-	if m.dirty.IsZero() {
-		m.dirty = now
+// markDirty records that the table here is newer than the stored one.
+func (m *Model) markDirty(now time.Time) {
+	if m.dirtySince.IsZero() {
+		m.dirtySince = now
 	}
 }
 
-// row finds the row that an order was for, if it is still the same.
-func (m *Model) row(o Order) (*ranges.Row, *state) {
+// findRow returns the row that an order was for, or nil if it has changed since.
+func (m *Model) findRow(o Order) (*ranges.Row, *rowState) {
 	i := m.table.Find(o.First)
 	if i >= len(m.table.Rows) || m.table.Rows[i].Span != o.Span || m.table.Rows[i].Fence != o.Fence {
 		return nil, nil
@@ -200,50 +201,50 @@
 	return &m.table.Rows[i], &m.rows[i]
 }
 
-// gave takes in the answer to a grant.
-func (m *Model) gave(p *peer, born int64, d OrderResult) []loop.Cmd {
+// grantDone handles the answer to a grant.
+func (m *Model) grantDone(b *backend, incarnation int64, d OrderResult) []loop.Cmd {
 	if d.Kind != kinds.Unavailable && d.Kind != kinds.Misrouted {
-		// Obeyed or not, it may be: whoever owns these keys next waits for it.
-		m.mayHave(p, d)
+		// It may have been executed even without an answer: the next owner waits for its expiry.
+		m.extendExpiry(b, d)
 	}
-	r, s := m.row(d.Order)
-	same := r != nil && r.Owner == p.Name && (s.phase == granting || s.phase == granted)
+	r, s := m.findRow(d.Order)
+	same := r != nil && r.Owner == b.Name && (s.phase == granting || s.phase == granted)
 	switch d.Kind {
 	case kinds.None:
-		if same && born == r.Incarnation {
+		if same && incarnation == r.Incarnation {
 			s.phase, s.token = granted, ""
 		}
 	case kinds.Fenced, kinds.Malformed:
 		if !same {
-			return nil // its keys were taken back meanwhile
+			return nil // its keys have been reassigned meanwhile
 		}
-		s.phase = vacant // the next plan gives it a fence above
-		m.planAt = time.Time{}
-		return []loop.Cmd{LogCmd{Event: "grant refused", Server: p.Name, Rows: 1, Reason: d.Kind.String()}}
+		s.phase = vacant // the next plan raises its fence
+		m.nextPlan = time.Time{}
+		return []loop.Cmd{LogCmd{Event: "grant refused", Server: b.Name, Rows: 1, Reason: d.Kind.String()}}
 	case kinds.Misrouted:
-		m.planAt = time.Time{}
-		if !p.gone {
-			p.gone = true
-			return []loop.Cmd{LogCmd{Event: "another server has the address", Server: p.Name}}
+		m.nextPlan = time.Time{}
+		if !b.replaced {
+			b.replaced = true
+			return []loop.Cmd{LogCmd{Event: "another server has the address", Server: b.Name}}
 		}
 	default:
 		if same {
-			s.phase = granting // tried again soon, and not only at the next renewal
+			s.phase = granting // retried soon, and not only at the next renewal
 		}
 	}
 	return nil
 }
 
-// mayHave notes a grant on every row that it covers and whose keys the server has,
-// or has not given back.
-func (m *Model) mayHave(p *peer, d OrderResult) {
+// extendExpiry records a grant on every row that it covers and that the server owns or has
+// not released.
+func (m *Model) extendExpiry(b *backend, d OrderResult) {
 	for i := m.table.Find(d.First); i < len(m.table.Rows) && m.table.Rows[i].First <= d.Last; i++ {
 		r, s := &m.table.Rows[i], &m.rows[i]
 		switch {
-		case r.Owner == p.Name:
-			s.until = later(s.until, lapse(d.Sent, d.TTL))
-		case s.phase == freeing && (r.PrevOwner == p.Name || r.Lost):
-			s.free = later(s.free, lapse(d.Sent, d.TTL))
+		case r.Owner == b.Name:
+			s.expiry = later(s.expiry, grantExpiry(d.Sent, d.TTL))
+		case s.phase == releasing && (r.PrevOwner == b.Name || r.Lost):
+			s.prevExpiry = later(s.prevExpiry, grantExpiry(d.Sent, d.TTL))
 		}
 	}
 }
