--- a/internal/owner/ranges/table.go
+++ b/internal/owner/ranges/table.go
@@ -1,11 +1,11 @@
-// Package ranges says which backend server owns which keys where keys are numbers
-// and servers take them in ranges.
+// Package ranges records which backend server owns which keys when keys are numbers and
+// servers own ranges of them.
 //
-// The pattern it answers is that busy keys lie next to each other: one large range
-// for each server would give all of them to one. The key space is therefore cut
-// into stripes that are dealt out in turn, and a stripe that is busy by itself is
-// cut further. A [Table] is the agreed value, one object in the store for each
-// service; the request path reads a [View], which answers without a lock.
+// Busy keys tend to lie next to each other: with one large range for each server, one
+// server would get all of them. The key space is therefore split into many small ranges,
+// the rows, which are distributed over the servers; a row that is busy by itself is split
+// further. A [Table] is the agreed assignment, stored as one object for each service. The
+// request path reads a [View], which needs no lock.
 package ranges
 
 import (
@@ -16,67 +16,67 @@
 	"hawthornfield.org/hawthornfield/internal/core/kinds"
 )
 
-// Sizes of the key space.
+// Limits of the key space and of tables.
 const (
-	KeySpace = 1 << 16 // keys are the numbers below it
-	// Widest is how many keys a stripe has to begin with where servers are few. Each
-	// stripe is an order of some 350 bytes each 1.6 s, to a server that is mostly in
-	// another data centre: 1,024 stripes of 64 keys sent 6 MB between three data centres
-	// in 40 s, 40 in 100 of all bytes of a quiet day; 256 stripes send 2 MB. Narrower ones
-	// spread two hundred neighbouring busy keys over four servers before anybody has
-	// noticed that they are busy; wider ones leave that to cutting, in a plan or two.
+	KeySpace = 1 << 16 // keys are the numbers from 0 to KeySpace-1
+	// InitialWidth is the initial number of keys in a row where servers are few. Each row
+	// costs an order of some 350 bytes every 1.6 s to a server that is mostly in another data
+	// centre: 1,024 rows of 64 keys sent 6 MB between three data centres in 40 s, 40 in 100 of
+	// all bytes of a quiet day; 256 rows send 2 MB. Narrower rows spread two hundred
+	// neighbouring busy keys over four servers before their load has been noticed; with wider
+	// ones, that takes splitting in one or two plans.
 	//
-	// Gains 0.033 of a day's worth where bytes are dear (18 days), 0.007 and 0.005 where
-	// they are not (12 days each), against 64; with 128 four fifths of that.
-	Widest = 256
-	// narrowest is the same where servers are many: a leader renews a thousand stripes
-	// at a tenth of a core.
-	narrowest = 64
-	// rowsEach is how many stripes each server has to begin with, at least: one is then
+	// Compared with 64, the value of a day's service rises by 0.033 of the total where traffic
+	// is expensive (18 days), and by 0.007 and 0.005 where it is not (12 days each). A width
+	// of 128 gives four fifths of that.
+	InitialWidth = 256
+	// minInitialWidth is the initial width where servers are many: a leader renews a
+	// thousand rows with a tenth of a core.
+	minInitialWidth = 64
+	// minRowsPerServer is the minimum initial number of rows for each server. One row is then
 	// less than the band of 0.15 within which no keys move for balance.
-	rowsEach = 8
-	// CellWidth is the narrowest stripe that a busy one is cut into.
+	minRowsPerServer = 8
+	// CellWidth is the number of keys in a cell, the smallest row that splitting produces.
 	CellWidth = 4
-	// MostRows bounds a table, and with it what renewals cost.
-	MostRows = 2048
+	// MaxRows limits the size of a table, and with it the cost of renewals.
+	MaxRows = 2048
 )
 
-// Span is a run of keys, both ends included.
+// Span is a range of keys, both ends included.
 type Span struct {
 	First uint16 `json:"first"`
 	Last  uint16 `json:"last"`
 }
 
-// Len is how many keys a span holds.
+// Len returns the number of keys in the span.
 func (s Span) Len() int { return int(s.Last) - int(s.First) + 1 }
 
-// Row is one stripe and its owner.
+// Row is a range of keys and its owner.
 type Row struct {
 	Span
-	Owner       ident.Server // empty: nobody yet
-	Incarnation int64        // the owner's life that has the keys
-	Fence       uint64       // under which it has them
-	// PrevOwner is the owner before, as long as it is not certain that it has given the
-	// keys back.
+	Owner       ident.Server // empty: no owner yet
+	Incarnation int64        // of the owner's process that has the keys
+	Fence       uint64       // under which the owner has the keys
+	// PrevOwner is the previous owner, until it has certainly released the keys.
 	PrevOwner ident.Server
-	// LostRows says that nobody can tell any more who had the keys: the stored row named a
-	// server that the table does not have. Whoever it was may hold them for as long as
-	// the longest grant.
+	// Lost means that the holder of the keys is unknown, because the stored row named a
+	// server that the table does not list. That server may hold them for up to the longest
+	// grant.
 	Lost bool
 }
 
-// Table is the agreed ownership of one service's keys. Rows cover all keys in
-// their order. Treat a table as read-only: edits work on a Clone.
+// Table is the agreed assignment of one service's keys. Rows are sorted and cover all keys.
+// Treat a table as read-only and edit a Clone.
 type Table struct {
-	Epoch uint64 // of the leader who wrote it
-	Top   uint64 // highest fence ever used; fences only rise
+	Epoch uint64 // of the leader that wrote it
+	Top   uint64 // highest fence ever used; fences never decrease
 	Rows  []Row
 }
 
-// NewTable cuts the key space into stripes without owners, for so many servers.
+// NewTable splits the key space into rows without owners, enough for so many servers.
 func NewTable(servers int) Table {
-	width := Widest
-	for width > narrowest && KeySpace/width < rowsEach*servers {
+	width := InitialWidth
+	for width > minInitialWidth && KeySpace/width < minRowsPerServer*servers {
 		width /= 2
 	}
 	t := Table{Rows: make([]Row, 0, KeySpace/width)}
@@ -86,19 +86,19 @@
 	return t
 }
 
-// Clone returns a table whose rows may be changed.
+// Clone returns a copy whose rows may be changed.
 func (t Table) Clone() Table {
 	t.Rows = slices.Clone(t.Rows)
 	return t
 }
 
-// NextFence returns the next fence, above all that were ever used.
+// NextFence returns a new fence, above all that were ever used.
 func (t *Table) NextFence() uint64 {
 	t.Top++
 	return t.Top
 }
 
-// LostRows counts the rows of which nobody can tell who had their keys.
+// LostRows counts the rows whose holder is unknown.
 func (t Table) LostRows() int {
 	n := 0
 	for _, r := range t.Rows {
@@ -109,7 +109,7 @@
 	return n
 }
 
-// Find returns the index of the row that holds a key.
+// Find returns the index of the row that contains a key.
 func (t *Table) Find(key uint16) int {
 	i, _ := slices.BinarySearchFunc(t.Rows, key, func(r Row, k uint16) int {
 		switch {
@@ -123,13 +123,13 @@
 	return i
 }
 
-// Split cuts row i into pieces of a quarter, no narrower than a cell. The pieces
-// keep its owner and its fence. It reports whether it could.
+// Split splits row i into four pieces, none smaller than a cell. The pieces keep its owner
+// and fence. It reports whether the row could be split.
 func (t *Table) Split(i int) bool {
 	r := t.Rows[i]
 	const parts = 4
 	width := max(r.Len()/parts, CellWidth)
-	if r.Len() <= CellWidth || len(t.Rows)+parts > MostRows {
+	if r.Len() <= CellWidth || len(t.Rows)+parts > MaxRows {
 		return false
 	}
 	var pieces []Row
@@ -142,20 +142,20 @@
 	return true
 }
 
-// document is a table's form in the store: a row is first key, owner, life, fence,
-// former owner; owners are indexes from one, lives go with owners.
-type document struct {
+// storedTable is the stored form of a table. A row is [first key, owner, incarnation, fence,
+// previous owner]; owners are indexes into Servers, from 1, and 0 is none.
+type storedTable struct {
 	Epoch   uint64         `json:"epoch"`
 	Top     uint64         `json:"top"`
 	Servers []ident.Server `json:"servers"`
 	Rows    [][5]int64     `json:"rows"`
 }
 
-// Encode renders a table for the store.
+// Encode returns the stored form of the table.
 func (t Table) Encode() ([]byte, error) {
-	d := document{Epoch: t.Epoch, Top: t.Top, Rows: make([][5]int64, len(t.Rows))}
+	d := storedTable{Epoch: t.Epoch, Top: t.Top, Rows: make([][5]int64, len(t.Rows))}
 	index := map[ident.Server]int64{}
-	of := func(s ident.Server) int64 {
+	indexOf := func(s ident.Server) int64 {
 		if s == "" {
 			return 0
 		}
@@ -166,28 +166,28 @@
 		return index[s]
 	}
 	for i, r := range t.Rows {
-		from := of(r.PrevOwner)
+		prev := indexOf(r.PrevOwner)
 		if r.Lost {
-			from = lost
+			prev = unknownOwner
 		}
-		d.Rows[i] = [5]int64{int64(r.First), of(r.Owner), r.Incarnation, int64(r.Fence), from}
+		d.Rows[i] = [5]int64{int64(r.First), indexOf(r.Owner), r.Incarnation, int64(r.Fence), prev}
 	}
 	b, err := json.Marshal(d)
 	return b, kinds.Wrap(kinds.Internal, err, "encode table")
 }
 
-// lost stands for a former owner that nobody can name.
-const lost = -1
+// unknownOwner is the stored index of a previous owner that is unknown.
+const unknownOwner = -1
 
-// mostFence bounds fences: above it, they could not rise for long enough.
-const mostFence = 1 << 62
+// maxFence limits stored fences, so that they can still rise for long enough.
+const maxFence = 1 << 62
 
-// Decode reads what Encode wrote. A table that does not cover all keys in order
-// is Malformed. A row that is wrong by itself must not keep all other keys from their
-// owners: where it names a server that there is none of, it is Lost, and where its fence
-// is above the table's, the table's is raised.
+// Decode parses what Encode wrote. A table that does not cover all keys in order is
+// Malformed. A single invalid row must not keep all other keys from their owners: if it
+// names a server that is not listed, it is Lost, and if its fence is above the table's Top,
+// Top is raised.
 func Decode(b []byte) (Table, error) {
-	var d document
+	var d storedTable
 	if err := json.Unmarshal(b, &d); err != nil {
 		return Table{}, kinds.Wrap(kinds.Malformed, err, "decode table")
 	}
@@ -195,10 +195,10 @@
 	last := int64(KeySpace)
 	for i := len(d.Rows) - 1; i >= 0; i-- {
 		r := d.Rows[i]
-		if r[0] < 0 || r[0] >= last || r[3] < 0 || r[3] > mostFence {
-			return Table{}, kinds.New(kinds.Malformed, "decode table: bad row")
+		if r[0] < 0 || r[0] >= last || r[3] < 0 || r[3] > maxFence {
+			return Table{}, kinds.New(kinds.Malformed, "decode table: invalid row")
 		}
-		t.Rows[i] = d.row(r, uint16(last-1))
+		t.Rows[i] = d.decodeRow(r, uint16(last-1))
 		t.Top = max(t.Top, t.Rows[i].Fence)
 		last = r[0]
 	}
@@ -208,15 +208,15 @@
 	return t, nil
 }
 
-// row reads one row that ends with a key.
-func (d *document) row(r [5]int64, last uint16) Row {
+// decodeRow decodes one row whose last key is given.
+func (d *storedTable) decodeRow(r [5]int64, last uint16) Row {
 	row := Row{Span: Span{First: uint16(r[0]), Last: last}, Fence: uint64(r[3])}
-	if !d.knows(r[1]) {
+	if !d.validIndex(r[1]) {
 		row.Lost = true
 		return row
 	}
 	row.Owner, row.Incarnation = d.server(r[1]), r[2]
-	if !d.knows(r[4]) {
+	if !d.validIndex(r[4]) {
 		row.Lost = true
 		return row
 	}
@@ -224,9 +224,9 @@
 	return row
 }
 
-func (d *document) knows(i int64) bool { return i >= 0 && i <= int64(len(d.Servers)) }
+func (d *storedTable) validIndex(i int64) bool { return i >= 0 && i <= int64(len(d.Servers)) }
 
-func (d *document) server(i int64) ident.Server {
+func (d *storedTable) server(i int64) ident.Server {
 	if i == 0 {
 		return ""
 	}
--- a/internal/owner/ranges/table_test.go
+++ b/internal/owner/ranges/table_test.go
@@ -30,7 +30,7 @@
 	return tab
 }
 
-func TestATableComesBackAsItWasWritten(t *testing.T) {
+func TestATableRoundTripsThroughItsEncoding(t *testing.T) {
 	seeds.Check(t, func(t *rapid.T) {
 		tab := drawTable(t)
 		b, err := tab.Encode()
@@ -57,8 +57,8 @@
 	})
 }
 
-// Another program, or a slip of this one, wrote a table with a hole. Read as it
-// stands, the keys in the hole would have no owner and nobody would notice.
+// A faulty writer stored a table with a gap. If it were accepted, the keys in the gap would
+// have no owner and nobody would notice.
 func TestATableWithAHoleIsRefused(t *testing.T) {
 	for _, text := range []string{
 		``, `{}`, `{"rows":[]}`, `{"rows":[[4,0,0,0,0]]}`, `{"rows":[[0,0,0,-1,0]]}`,
@@ -71,10 +71,9 @@
 	assert.NilError(t, err)
 }
 
-// One row of the stored table names a server that the table does not have, or a fence
-// above all that were used. Refused as a whole, the table would keep every key of the
-// service from its owner, for good.
-func TestOneBadRowLeavesTheOthersTheirOwners(t *testing.T) {
+// One stored row names a server that is not listed, or has a fence above Top. If the whole
+// table were rejected, every key of the service would stay without its owner for good.
+func TestAnInvalidRowDoesNotAffectTheOthers(t *testing.T) {
 	tab, err := Decode([]byte(`{"epoch":3,"top":5,"servers":["a"],"rows":[[0,1,7,4,0],[16,2,7,9,1],[32,1,7,5,2],[48,-1,7,3,0]]}`))
 	assert.NilError(t, err)
 	assert.DeepEqual(t, tab, Table{Epoch: 3, Top: 9, Rows: []Row{
@@ -91,9 +90,9 @@
 	assert.DeepEqual(t, back, tab)
 }
 
-// Where servers are many, wide stripes would give some of them twice the keys of others,
-// or none; where they are few, narrow ones cost an order each for nothing.
-func TestStripesAreAsManyAsTheServersNeed(t *testing.T) {
+// With many servers, wide rows would give some of them twice the keys of others, or none;
+// with few servers, narrow rows cost an order each without any benefit.
+func TestANewTableHasEnoughRowsForItsServers(t *testing.T) {
 	for servers, rows := range map[int]int{0: 256, 1: 256, 17: 256, 32: 256, 33: 512, 64: 512, 65: 1024, 400: 1024} {
 		tab := NewTable(servers)
 		assert.Equal(t, len(tab.Rows), rows, "%d servers", servers)
@@ -101,19 +100,19 @@
 	}
 }
 
-func TestATableStaysWithinItsBound(t *testing.T) {
+func TestSplittingStopsAtMaxRows(t *testing.T) {
 	tab := NewTable(400)
 	for i := 0; i < len(tab.Rows); i++ {
 		for tab.Split(i) {
 			continue
 		}
 	}
-	assert.Assert(t, len(tab.Rows) <= MostRows)
+	assert.Assert(t, len(tab.Rows) <= MaxRows)
 }
 
-// A VM hears of changes as differences, misses some and gets the whole. It must see
-// the same owners as one that heard everything.
-func TestDifferencesAndTheWholeAgree(t *testing.T) {
+// A VM receives changes, misses some and then gets the full view. It must see the same
+// owners as a VM that received every change.
+func TestChangesAndAFullViewAgree(t *testing.T) {
 	seeds.Check(t, func(t *rapid.T) {
 		var all *View
 		for seq := range uint64(rapid.IntRange(1, 10).Draw(t, "changes")) {
@@ -133,10 +132,10 @@
 	})
 }
 
-// One VM leads for months while servers come and go, and the others hear of changes only.
-// Once there had been 65,536 servers, the next one's keys were said to be another
-// server's: every request for them was sent to one that does not have them.
-func TestAViewNamesTheRightServerAfterManyHadTheKeys(t *testing.T) {
+// One VM leads for months while servers come and go, and the others receive only changes.
+// Once there had been 65,536 servers, the next one's keys were reported as another server's,
+// and every request for them was sent to a server that does not have them.
+func TestAViewNamesTheRightServerAfterManyServersHadTheKeys(t *testing.T) {
 	const many = 1 << 16
 	var v *View
 	whole := func(i int) []Assignment {
@@ -157,12 +156,11 @@
 		b, _ := v.Owner("65535")
 		assert.Equal(t, b.Server, ident.Server("stays"))
 	}
-	assert.Assert(t, len(v.names) <= fewNames)
+	assert.Assert(t, len(v.names) <= minCompactNames)
 }
 
-// As many servers as there are cells have keys at once, which is more than are kept
-// without a look at whether they are in use.
-func TestAViewNamesAsManyServersAsThereAreCells(t *testing.T) {
+// As many servers as cells have keys at the same time, which is more than minCompactNames.
+func TestAViewHoldsOneServerPerCell(t *testing.T) {
 	var all []Assignment
 	for i := range KeySpace / CellWidth {
 		all = append(all, Assignment{Span: Span{First: uint16(i * CellWidth), Last: uint16(i*CellWidth + CellWidth - 1)}, Server: ident.Server("s-" + strconv.Itoa(i))})
@@ -174,7 +172,7 @@
 	assert.Equal(t, len(v.Spans()), 1)
 }
 
-func TestWhatIsNoKeyHasNoOwner(t *testing.T) {
+func TestAnInvalidKeyHasNoOwner(t *testing.T) {
 	var v *View
 	v = v.Apply(1, 1, true, []Assignment{{Span: Span{First: 0, Last: 65535}, Server: "a"}})
 	for _, k := range []ident.Key{"", "-1", "65536", "x", "1.5", " 1"} {
--- a/internal/owner/ranges/view.go
+++ b/internal/owner/ranges/view.go
@@ -8,30 +8,30 @@
 	"hawthornfield.org/hawthornfield/internal/owner/table"
 )
 
-// Assignment says which server serves a span now; an empty Server that none does,
-// because its keys are between two owners.
+// Assignment says which server serves a span now. An empty Server means none, because the
+// keys are being moved between two owners.
 type Assignment struct {
 	Span
 	Server ident.Server
 }
 
-// View answers which server serves a key now. It differs from the table while
-// keys move: the former owner serves until it is asked to give them back, and the
-// next one only once it has them. A View never changes: Apply makes another. The
-// zero View has no owner for any key.
+// View answers which server serves a key now. It differs from the table while keys move: the
+// previous owner serves until it is asked to release them, and the next one only once it has
+// them. A View never changes: Apply returns a new one. The zero View has no owner for any
+// key.
 type View struct {
-	Epoch uint64
-	Seq   uint64
-	cells [KeySpace / CellWidth]uint16 // index of the server plus one
-	names []ident.Server
-	index map[ident.Server]uint16
-	room  int // names that there may be before those out of use are dropped
+	Epoch     uint64
+	Seq       uint64
+	cells     [KeySpace / CellWidth]uint16 // index into names plus one; 0: no server
+	names     []ident.Server
+	index     map[ident.Server]uint16
+	compactAt int // number of names at which unused ones are dropped
 }
 
-// fewNames are kept without a look at whether they are still in use.
-const fewNames = 256
+// minCompactNames is the number of names below which unused ones are never dropped.
+const minCompactNames = 256
 
-// Apply returns the view after changes. A full one begins with nothing.
+// Apply returns the view after changes. If full, the changes replace the whole view.
 func (v *View) Apply(epoch, seq uint64, full bool, changes []Assignment) *View {
 	next := &View{}
 	if !full && v != nil {
@@ -44,7 +44,7 @@
 		next.index[name] = uint16(i + 1)
 	}
 	for _, c := range changes {
-		at := next.place(c.Server)
+		at := next.serverIndex(c.Server)
 		for cell := int(c.First) / CellWidth; cell <= int(c.Last)/CellWidth; cell++ {
 			next.cells[cell] = at
 		}
@@ -52,26 +52,26 @@
 	return next
 }
 
-// place returns the index of a server plus one, and zero for none. Servers that serve
-// nothing any more make room first: over a long lead they would become more than an
-// index can tell apart, and keys would be said to be another server's.
-func (v *View) place(s ident.Server) uint16 {
+// serverIndex returns the index of a server plus one, and zero for none. It drops unused
+// names first: otherwise a long-lived leader would exceed the range of an index, and keys
+// would be reported as another server's.
+func (v *View) serverIndex(s ident.Server) uint16 {
 	if s == "" {
 		return 0
 	}
 	if at := v.index[s]; at != 0 {
 		return at
 	}
-	if len(v.names) >= max(v.room, fewNames) {
+	if len(v.names) >= max(v.compactAt, minCompactNames) {
 		v.compact()
-		v.room = 2 * len(v.names)
+		v.compactAt = 2 * len(v.names)
 	}
 	v.names = append(v.names, s)
 	v.index[s] = uint16(len(v.names))
 	return v.index[s]
 }
 
-// compact keeps the names of those servers only that serve some cell.
+// compact keeps only the names of servers that serve some cell.
 func (v *View) compact() {
 	old := v.names
 	v.names, v.index = nil, map[ident.Server]uint16{}
@@ -88,7 +88,7 @@
 	}
 }
 
-// Owner finds the server of a key, a number in decimal. It does not allocate.
+// Owner returns the server of a key, which is a decimal number. It does not allocate.
 func (v *View) Owner(k ident.Key) (table.Owner, bool) {
 	if v == nil {
 		return table.Owner{}, false
@@ -107,13 +107,13 @@
 	return o, true
 }
 
-// CellOf returns the cell of a key, and false for what is no key.
+// CellOf returns the cell of a key, and false for an invalid key.
 func CellOf(k ident.Key) (uint16, bool) {
 	n, err := strconv.ParseUint(string(k), 10, 16)
 	return uint16(n / CellWidth), err == nil
 }
 
-// Spans lists who serves what, for a reader who has nothing yet.
+// Spans lists the whole view, for a reader that has none yet.
 func (v *View) Spans() []Assignment {
 	var all []Assignment
 	for i, at := range v.cells {
