--- a/internal/owner/lease/lease_test.go
+++ b/internal/owner/lease/lease_test.go
@@ -11,7 +11,7 @@
 	"hawthornfield.org/hawthornfield/internal/fake/seeds"
 )
 
-func TestDefaultTimesLeaveRoomWithinASecond(t *testing.T) {
+func TestDefaultTimesAreConsistentAndFitIntoASecond(t *testing.T) {
 	d := Default()
 	assert.NilError(t, d.Check())
 	assert.Equal(t, d.MaxRemaining(), 727*time.Millisecond)
@@ -19,9 +19,9 @@
 	assert.Equal(t, kinds.Of(d.Check()), kinds.BadRequest)
 }
 
-// Clocks run at slightly different rates, and an order can be delayed for any
-// time before it is sent or read. Whoever waits must never see the wait end
-// while the server still believes in its lease.
+// Clocks run at slightly different rates, and an order can be delayed for any time before it
+// is sent or read. Whoever waits for a lease to end must never stop waiting while the server
+// still considers it valid.
 func TestWaitOutlastsEveryLease(t *testing.T) {
 	d := Default()
 	rate := func(rt *rapid.T, name string) float64 {
@@ -34,7 +34,7 @@
 		leaseEnds := time.Duration(float64(d.TTL) / theirs)
 		waitEnds := travel + time.Duration(float64(d.MaxRemaining())/ours)
 		assert.Assert(rt, leaseEnds < waitEnds)
-		// The same for an authority: asked at 0, written and read later.
+		// The same for an authority: requested at 0, written and read later.
 		start := time.Unix(0, 0)
 		used := time.Duration(float64(d.AuthorityEnd(start, d.Term).Sub(start)) / ours)
 		waited := travel + time.Duration(float64(d.PriorAuthorityEnd(start, d.Term).Sub(start))/theirs)
