--- a/internal/owner/place/balance.go
+++ b/internal/owner/place/balance.go
@@ -2,43 +2,42 @@
 
 import "math"
 
-// half is how far into the band moves go once they began. Without it a server
-// at the edge would start moves at every plan.
-const half = 0.5
+// targetShare is the share of the band to which moves bring a server's load once they have
+// begun. Without it, a server at the edge of the band would cause moves in every plan.
+const targetShare = 0.5
 
-// balance moves items between servers that take keys, if one is outside the
-// band, until all are well inside, nothing helps any more, or the budget is
-// spent. What one of the two steps moves can open a way for the other, so both
-// are repeated. Each move goes from a higher ratio to one that stays below it,
-// so the repetition ends.
+// balance moves items between accepting servers if one is outside the band, until all are
+// well inside it, no move helps, or the budget is spent. A move of one step can enable
+// moves of the other, so both are repeated. Each move goes from a higher load ratio to one
+// that stays below it, so the loop ends.
 func (p *plan) balance() {
-	if p.mean <= 0 {
+	if p.meanRatio <= 0 {
 		return
 	}
 	b := p.in.Band
-	for before := -1; p.spent > before; {
-		before = p.spent
-		if p.worst() > p.mean*(1+b.High) {
-			p.relieve(p.mean * (1 + half*b.High))
+	for before := -1; p.balanceMoves > before; {
+		before = p.balanceMoves
+		if p.maxRatio() > p.meanRatio*(1+b.High) {
+			p.relieve(p.meanRatio * (1 + targetShare*b.High))
 		}
-		if p.hosts[p.byRatio.top()].ratio() < p.mean*(1-b.Low) {
-			p.fill(p.mean * (1 - half*b.Low))
+		if p.hosts[p.byRatio.top()].ratio() < p.meanRatio*(1-b.Low) {
+			p.fill(p.meanRatio * (1 - targetShare*b.Low))
 		}
 	}
 }
 
-func (p *plan) worst() float64 {
+func (p *plan) maxRatio() float64 {
 	worst := 0.0
-	for _, h := range p.takers {
+	for _, h := range p.accepting {
 		worst = max(worst, p.hosts[h].ratio())
 	}
 	return worst
 }
 
-// busiest returns the server with the highest ratio that can still be helped.
+// busiest returns the server with the highest load ratio that is not stuck, or -1.
 func (p *plan) busiest() int {
 	best := -1
-	for _, h := range p.takers {
+	for _, h := range p.accepting {
 		if p.hosts[h].stuck {
 			continue
 		}
@@ -49,10 +48,10 @@
 	return best
 }
 
-// relieve takes from the busiest servers until all are below the target.
+// relieve moves items away from the busiest servers until all are at or below the target.
 func (p *plan) relieve(target float64) {
-	p.unstick()
-	for p.spent < p.in.Band.Budget {
+	p.clearStuck()
+	for p.balanceMoves < p.in.Band.Budget {
 		from := p.busiest()
 		if from < 0 || p.hosts[from].ratio() <= target {
 			return
@@ -63,17 +62,17 @@
 	}
 }
 
-func (p *plan) unstick() {
+func (p *plan) clearStuck() {
 	for h := range p.hosts {
 		p.hosts[h].stuck = false
 	}
 }
 
-// relieveOne moves one item away from a server. It prefers the largest one that
-// brings the server to the target and the other not above it; failing that, the
-// largest that leaves the other below where this server was, which still lowers
-// the worst. What fits nowhere stays: a key that exceeds a server by itself is
-// never moved, and everything around it is.
+// relieveOne moves one item away from a server. It prefers the largest one that brings the
+// server to the target without raising the other above it; failing that, the largest that
+// leaves the other below this server's ratio, which still lowers the maximum. An item that
+// fits nowhere stays: a key that exceeds a server by itself is never moved, but the items
+// around it are.
 func (p *plan) relieveOne(from int, target float64) bool {
 	h := &p.hosts[from]
 	to := p.byRatio.top()
@@ -83,92 +82,93 @@
 	o := &p.hosts[to]
 	excess := h.load - target*h.capacity
 	room := target*o.capacity - o.load
-	i := p.largest(from, min(max(excess, p.smallest(from)), room))
+	i := p.largestItem(from, min(max(excess, p.smallestLoad(from)), room))
 	if i >= 0 {
-		p.give(i, p.near(i, target, to), Excess)
+		p.moveForBalance(i, p.preferHome(i, target, to), Excess)
 		return true
 	}
-	if i, to = p.anyGain(from); i < 0 {
+	if i, to = p.bestImprovement(from); i < 0 {
 		return false
 	}
-	p.give(i, to, Excess)
+	p.moveForBalance(i, to, Excess)
 	return true
 }
 
-// anyGain looks at every server for the item that lowers the worst of both most.
-// Servers of different capacity make this necessary: what does not fit the one
-// that is least loaded for its capacity may fit a larger one.
-func (p *plan) anyGain(from int) (best, to int) {
+// bestImprovement returns the item and the server that give the lowest maximum of both
+// ratios. Servers of different capacity require trying all of them: an item that does not
+// fit the server with the lowest ratio may fit a larger one.
+func (p *plan) bestImprovement(from int) (best, to int) {
 	h := &p.hosts[from]
-	best, least := -1, h.ratio()-tiny(h.ratio())
-	for _, k := range p.takers {
+	best, lowest := -1, h.ratio()-roundingSlack(h.ratio())
+	for _, k := range p.accepting {
 		o := &p.hosts[k]
 		if k == from {
 			continue
 		}
-		i := p.largest(from, least*o.capacity-o.load)
+		i := p.largestItem(from, lowest*o.capacity-o.load)
 		if i < 0 {
 			continue
 		}
 		load := p.items[i].load
-		if worse := max((o.load+load)/o.capacity, (h.load-load)/h.capacity); worse < least {
-			best, to, least = i, k, worse
+		if worse := max((o.load+load)/o.capacity, (h.load-load)/h.capacity); worse < lowest {
+			best, to, lowest = i, k, worse
 		}
 	}
 	return best, to
 }
 
-// tiny keeps rounding from making an exchange of equals look like a gain.
-func tiny(load float64) float64 { return load * 1e-9 }
+// roundingSlack keeps a rounding error from making an exchange of equal items look useful.
+func roundingSlack(load float64) float64 { return load * 1e-9 }
 
-// smallest returns the load of the smallest item that a server has.
-func (p *plan) smallest(h int) float64 {
+// smallestLoad returns the load of the smallest item of a server, or infinity.
+func (p *plan) smallestLoad(h int) float64 {
 	items := p.sortItems(h)
 	for k := len(items) - 1; k >= 0; k-- {
-		if x := &p.items[items[k]]; x.now == h && x.load > 0 {
+		if x := &p.items[items[k]]; x.host == h && x.load > 0 {
 			return x.load
 		}
 	}
 	return math.Inf(1)
 }
 
-// near prefers a server in the data centre of the item's callers, if it stays
-// within the target.
-func (p *plan) near(i int, target float64, other int) int {
-	to := p.least(p.items[i].slice)
-	if to == p.items[i].now || (p.hosts[to].load+p.items[i].load)/p.hosts[to].capacity > target {
+// preferHome returns a server in the data centre of the item's callers if it stays within
+// the target, and other if not.
+func (p *plan) preferHome(i int, target float64, other int) int {
+	to := p.leastLoaded(p.items[i].slice)
+	if to == p.items[i].host || (p.hosts[to].load+p.items[i].load)/p.hosts[to].capacity > target {
 		return other
 	}
 	return to
 }
 
-// fill gives to the idlest servers until all are above the target. It takes from
-// the busiest, never below the mean.
+// fill moves items to the least loaded servers until all are at or above the target. It
+// takes them from the busiest servers, never bringing one below the mean by more than its
+// smallest item.
 func (p *plan) fill(target float64) {
-	p.unstick()
-	for p.spent < p.in.Band.Budget {
+	p.clearStuck()
+	for p.balanceMoves < p.in.Band.Budget {
 		to := p.byRatio.top()
 		from := p.busiest()
-		if from < 0 || from == to || p.hosts[to].ratio() >= target || p.hosts[from].ratio() <= p.mean {
+		if from < 0 || from == to || p.hosts[to].ratio() >= target || p.hosts[from].ratio() <= p.meanRatio {
 			return
 		}
 		need := target*p.hosts[to].capacity - p.hosts[to].load
-		spare := p.hosts[from].load - p.mean*p.hosts[from].capacity
-		i := p.largest(from, min(max(need, p.smallest(from)), max(spare, p.smallest(from))))
-		if i < 0 || (p.hosts[to].load+p.items[i].load)/p.hosts[to].capacity >= p.hosts[from].ratio()-tiny(p.mean) {
+		spare := p.hosts[from].load - p.meanRatio*p.hosts[from].capacity
+		i := p.largestItem(from, min(max(need, p.smallestLoad(from)), max(spare, p.smallestLoad(from))))
+		if i < 0 || (p.hosts[to].load+p.items[i].load)/p.hosts[to].capacity >= p.hosts[from].ratio()-roundingSlack(p.meanRatio) {
 			p.hosts[from].stuck = true
 			continue
 		}
-		p.give(i, to, Fill)
+		p.moveForBalance(i, to, Fill)
 	}
 }
 
-// give moves an item for balance.
-func (p *plan) give(i, to int, why Reason) {
+// moveForBalance moves an item and counts it against the budget.
+func (p *plan) moveForBalance(i, to int, reason Reason) {
 	x := &p.items[i]
-	if x.why == "" {
-		x.why = why
+	if x.reason == "" {
+		x.reason = reason
 	}
-	p.spent++
-	p.put(i, to)
+	p.balanceMoves++
+	p.assign(i, to)
 }
