--- a/internal/owner/sketch/sketch_test.go
+++ b/internal/owner/sketch/sketch_test.go
@@ -17,28 +17,28 @@
 
 var t0 = time.Date(2026, 10, 1, 6, 0, 0, 0, time.UTC)
 
-// exact counts without bound, as a reference.
-type exact struct {
-	at    time.Time
-	half  time.Duration
-	sums  map[int]float64
-	total float64
+// exactCounts counts without a limit, as a reference.
+type exactCounts struct {
+	updated  time.Time
+	halfLife time.Duration
+	sums     map[int]float64
+	total    float64
 }
 
-func (e *exact) add(now time.Time, k int, w float64) {
-	f := math.Exp2(-float64(now.Sub(e.at)) / float64(e.half))
+func (e *exactCounts) add(now time.Time, k int, w float64) {
+	f := math.Exp2(-float64(now.Sub(e.updated)) / float64(e.halfLife))
 	for i := range e.sums {
 		e.sums[i] *= f
 	}
 	e.total = e.total*f + w
 	e.sums[k] += w
-	e.at = now
+	e.updated = now
 }
 
-// drawn feeds the same additions to a sketch and to the reference.
-func drawn(t *rapid.T, end time.Time) (*Sketch[int], *exact) {
+// drawSketch makes the same random additions to a sketch and to the reference.
+func drawSketch(t *rapid.T, end time.Time) (*Sketch[int], *exactCounts) {
 	s := New[int](rapid.IntRange(1, 8).Draw(t, "size"), 10*time.Second)
-	e := &exact{at: t0, half: 10 * time.Second, sums: map[int]float64{}}
+	e := &exactCounts{updated: t0, halfLife: 10 * time.Second, sums: map[int]float64{}}
 	now := t0
 	for range rapid.IntRange(0, 80).Draw(t, "adds") {
 		step := time.Duration(rapid.SampledFrom([]int{0, 0, 100, 3000, 30_000}).Draw(t, "ms")) * time.Millisecond
@@ -55,31 +55,31 @@
 	return s, e
 }
 
-const slack = 1e-6
+const tolerance = 1e-6
 
-// bounds checks the promises of the package for one sketch.
-func bounds(t *rapid.T, s *Sketch[int], now time.Time, sums map[int]float64, total float64) {
-	assert.Assert(t, math.Abs(s.Total(now)-total) <= slack*(1+total), "%v %v", s.Total(now), total)
+// checkBounds checks the guarantees of the package for one sketch.
+func checkBounds(t *rapid.T, s *Sketch[int], now time.Time, sums map[int]float64, total float64) {
+	assert.Assert(t, math.Abs(s.Total(now)-total) <= tolerance*(1+total), "%v %v", s.Total(now), total)
 	listed := map[int]bool{}
 	for _, c := range s.Top(now, s.Len()) {
 		listed[c.Key] = true
-		assert.Assert(t, sums[c.Key] <= c.Weight+slack, "key %d: true %v, counted %+v", c.Key, sums[c.Key], c)
-		assert.Assert(t, sums[c.Key] >= c.Weight-c.Error-slack, "key %d: true %v, counted %+v", c.Key, sums[c.Key], c)
+		assert.Assert(t, sums[c.Key] <= c.Weight+tolerance, "key %d: true %v, counted %+v", c.Key, sums[c.Key], c)
+		assert.Assert(t, sums[c.Key] >= c.Weight-c.Error-tolerance, "key %d: true %v, counted %+v", c.Key, sums[c.Key], c)
 	}
-	least := s.Export(now, s.Len()).MinWeight
+	minWeight := s.Export(now, s.Len()).MinWeight
 	for k, w := range sums {
-		assert.Assert(t, listed[k] || w <= least+slack, "key %d with %v of %v is missing, least %v", k, w, total, least)
+		assert.Assert(t, listed[k] || w <= minWeight+tolerance, "key %d with %v of %v is missing, least %v", k, w, total, minWeight)
 	}
 }
 
 func TestCountsAreNeverTooLowAndHeavyKeysNeverMissing(t *testing.T) {
 	seeds.Check(t, func(t *rapid.T) {
 		end := t0.Add(20 * time.Minute)
-		s, e := drawn(t, end)
-		bounds(t, s, end, e.sums, e.total)
+		s, e := drawSketch(t, end)
+		checkBounds(t, s, end, e.sums, e.total)
 		assert.Assert(t, s.Len() <= s.size)
 		for k, w := range e.sums {
-			if w <= e.total/float64(s.size)+slack {
+			if w <= e.total/float64(s.size)+tolerance {
 				continue
 			}
 			found := false
@@ -89,21 +89,20 @@
 			assert.Assert(t, found, "key %d has %v of %v", k, w, e.total)
 		}
 		for _, c := range s.Hot(end, 0.2) {
-			assert.Assert(t, e.sums[c.Key] >= 0.2*e.total-slack)
+			assert.Assert(t, e.sums[c.Key] >= 0.2*e.total-tolerance)
 		}
 	})
 }
 
-// Each entry VM sees the part of the callers that the balancer gives it. Merged,
-// their sketches must promise the same for the sum, also when only their heads
-// are sent and when the merged one is counted on.
+// Each entry VM sees only part of the callers. The guarantees must hold for the sum of merged
+// sketches, also when only their heaviest counters are sent and after further additions.
 func TestMergedSketchesKeepTheirBounds(t *testing.T) {
 	seeds.Check(t, func(t *rapid.T) {
 		end := t0.Add(time.Minute)
 		sums, total := map[int]float64{}, 0.0
 		var parts []Export[int]
 		for range rapid.IntRange(1, 4).Draw(t, "vms") {
-			s, e := drawn(t, end)
+			s, e := drawSketch(t, end)
 			parts = append(parts, s.Export(end, rapid.IntRange(0, 8).Draw(t, "sent")))
 			total += e.total
 			for k, w := range e.sums {
@@ -111,24 +110,24 @@
 			}
 		}
 		m := Merge(end, rapid.IntRange(1, 12).Draw(t, "size"), 10*time.Second, parts...)
-		bounds(t, m, end, sums, total)
+		checkBounds(t, m, end, sums, total)
 		later := end.Add(time.Duration(rapid.SampledFrom([]int{0, 3, 600}).Draw(t, "later")) * time.Second)
-		fade := math.Exp2(-later.Sub(end).Seconds() / 10)
+		decay := math.Exp2(-later.Sub(end).Seconds() / 10)
 		for k := range sums {
-			sums[k] *= fade
+			sums[k] *= decay
 		}
 		m.Add(later, 99, 5)
 		sums[99] += 5
-		bounds(t, m, later, sums, total*fade+5)
+		checkBounds(t, m, later, sums, total*decay+5)
 		for _, c := range m.Top(later, m.Len()) {
-			assert.Assert(t, fade == 1 || c.Key != 99 || c.Error <= fade*total+slack, "%+v", c)
+			assert.Assert(t, decay == 1 || c.Key != 99 || c.Error <= decay*total+tolerance, "%+v", c)
 		}
 	})
 }
 
-// A key that was hot an hour ago must not hold its place against one that is hot
-// now, or the plan would keep moving the wrong key.
-func TestOldHeatFades(t *testing.T) {
+// A key that was hot an hour ago must not rank above one that is hot now, or plans would keep
+// moving the wrong key.
+func TestOldWeightsDecay(t *testing.T) {
 	s := New[ident.Key](4, 30*time.Second)
 	for range 1000 {
 		s.Add(t0, "old", 1)
@@ -166,7 +165,7 @@
 	t.Logf("export of 32 counters: %d bytes", len(raw))
 }
 
-// BenchmarkAdd counts under a Zipf load over ten million keys.
+// BenchmarkAdd counts a Zipf load over ten million keys.
 func BenchmarkAdd(b *testing.B) {
 	s := New[ident.Key](0, 0)
 	z := rand.NewZipf(rand.New(rand.NewPCG(1, 2)), 1.1, 10, 10_000_000)
