--- a/internal/owner/table/codec.go
+++ b/internal/owner/table/codec.go
@@ -10,32 +10,32 @@
 	"hawthornfield.org/hawthornfield/internal/core/wire"
 )
 
-// Format is the version of the encoding. It rises when an older program would
-// misunderstand the value; such a program then fails with kind Newer and keeps
-// its hands off, where guessing could give one key two owners.
+// Format is the version of the encoding. It rises when an older program would misinterpret
+// the value; such a program then fails with kind NewerVersion instead of guessing, which
+// could give one key two owners.
 const Format = 1
 
-// form is the encoded value. Owners are two bytes for each slice, big endian.
-type form struct {
-	V      uint           `cbor:"v"`
-	Svc    ident.Service  `cbor:"svc"`
-	Rev    ident.Revision `cbor:"rev"`
-	Rows   []Row          `cbor:"rows"`
-	Hot    []Hot          `cbor:"hot"`
-	Owners []byte         `cbor:"own"`
+// encodedTable is the encoded form. Owners holds two bytes for each slice, big endian.
+type encodedTable struct {
+	V       uint           `cbor:"v"`
+	Service ident.Service  `cbor:"svc"`
+	Rev     ident.Revision `cbor:"rev"`
+	Rows    []Row          `cbor:"rows"`
+	Hot     []Hot          `cbor:"hot"`
+	Owners  []byte         `cbor:"own"`
 }
 
-// Encode renders the table as the value of its object.
+// Encode returns the table in its stored form.
 func (t Table) Encode() ([]byte, error) {
-	own := make([]byte, 0, 2*len(t.owners))
+	owners := make([]byte, 0, 2*len(t.owners))
 	for _, o := range t.owners {
-		own = binary.BigEndian.AppendUint16(own, o)
+		owners = binary.BigEndian.AppendUint16(owners, o)
 	}
-	return wire.Encode(form{V: Format, Svc: t.Service, Rev: t.Rev, Rows: t.Rows, Hot: t.Hot, Owners: own})
+	return wire.Encode(encodedTable{V: Format, Service: t.Service, Rev: t.Rev, Rows: t.Rows, Hot: t.Hot, Owners: owners})
 }
 
-// Decode reads a table. It fails with kind Newer for a later format, and with
-// kind Malformed for a value that is out of bounds or contradicts itself.
+// Decode decodes a table. It fails with kind NewerVersion for a later format, and with kind
+// Malformed for a value that is out of bounds or inconsistent.
 func Decode(b []byte) (Table, error) {
 	var v struct {
 		V uint `cbor:"v"`
@@ -46,36 +46,36 @@
 	if v.V > Format {
 		return Table{}, kinds.New(kinds.NewerVersion, "table in a later format")
 	}
-	var f form
+	var f encodedTable
 	if err := wire.Decode(b, &f); err != nil {
 		return Table{}, err
 	}
-	return f.table()
+	return f.decode()
 }
 
-func (f form) table() (Table, error) {
+func (f encodedTable) decode() (Table, error) {
 	n := len(f.Owners) / 2
 	if f.V != Format || n == 0 || n > MaxSlices || len(f.Owners)%2 != 0 || len(f.Rows) > MaxServers || len(f.Hot) > MaxHot {
 		return Table{}, kinds.New(kinds.Malformed, "table out of bounds")
 	}
-	t := Table{Service: f.Svc, Rev: f.Rev, Rows: f.Rows, Hot: f.Hot, owners: make([]uint16, n)}
+	t := Table{Service: f.Service, Rev: f.Rev, Rows: f.Rows, Hot: f.Hot, owners: make([]uint16, n)}
 	for x := range t.owners {
 		t.owners[x] = binary.BigEndian.Uint16(f.Owners[2*x:])
 	}
-	return t, t.check()
+	return t, t.validate()
 }
 
-// check refuses a table that contradicts itself: look-ups rely on the order of
-// rows and hot keys, and on owners that exist.
-func (t Table) check() error {
-	bad := kinds.New(kinds.Malformed, "table contradicts itself")
+// validate rejects an inconsistent table: look-ups rely on the order of rows and hot keys, and
+// on the existence of all owners.
+func (t Table) validate() error {
+	bad := kinds.New(kinds.Malformed, "table is inconsistent")
 	for i, r := range t.Rows {
 		if r.Name == "" || r.Rev > t.Rev || i > 0 && t.Rows[i-1].Name >= r.Name {
 			return bad
 		}
 	}
 	for i, h := range t.Hot {
-		_, known := t.row(h.Server)
+		_, known := t.rowIndex(h.Server)
 		if !known || h.Key == "" || len(h.Key) > MaxKey || i > 0 && t.Hot[i-1].Key >= h.Key {
 			return bad
 		}
--- a/internal/owner/table/delta.go
+++ b/internal/owner/table/delta.go
@@ -8,48 +8,48 @@
 	"hawthornfield.org/hawthornfield/internal/core/wire"
 )
 
-// Delta is the difference between two revisions of a table. Peers exchange
-// deltas: a move of one slice costs a hundred bytes or so instead of a table.
+// Delta is the difference between two revisions of a table. VMs exchange deltas, because the
+// move of one slice takes about a hundred bytes instead of a whole table.
 type Delta struct {
-	V    uint           `cbor:"v"`
-	Svc  ident.Service  `cbor:"svc"`
-	From ident.Revision `cbor:"from"`
-	Base uint64         `cbor:"base"` // digest of the table it applies to
-	To   ident.Revision `cbor:"to"`
-	Sum  uint64         `cbor:"sum"` // digest of the result
-	Rows []Row          `cbor:"rows,omitempty"`
-	Drop []ident.Server `cbor:"drop,omitempty"`
-	Own  []Give         `cbor:"own,omitempty"`
-	Hot  []Hot          `cbor:"hot,omitempty"` // Server "" ends the override
+	V            uint           `cbor:"v"`
+	Service      ident.Service  `cbor:"svc"`
+	From         ident.Revision `cbor:"from"`
+	BaseDigest   uint64         `cbor:"base"` // digest of the table that it applies to
+	To           ident.Revision `cbor:"to"`
+	ResultDigest uint64         `cbor:"sum"` // digest of the result
+	Rows         []Row          `cbor:"rows,omitempty"`
+	Removed      []ident.Server `cbor:"drop,omitempty"`
+	Owners       []OwnerChange  `cbor:"own,omitempty"`
+	Hot          []Hot          `cbor:"hot,omitempty"` // an empty Server ends the override
 }
 
-// Give lists slices by their new owner.
-type Give struct {
+// OwnerChange lists slices with their new owner.
+type OwnerChange struct {
 	To     ident.Server  `cbor:"to"`
 	Slices []ident.Slice `cbor:"at"`
 }
 
-// Diff returns what turns a into b: rows and owners that changed, nothing else.
-// It is sound for any two tables of one service with the same slice count.
+// Diff returns the rows, owners and hot keys that change from a to b. It is valid for any two
+// tables of one service with the same number of slices.
 func Diff(a, b Table) Delta {
-	d := Delta{V: Format, Svc: b.Service, From: a.Rev, Base: a.Digest(), To: b.Rev, Sum: b.Digest()}
+	d := Delta{V: Format, Service: b.Service, From: a.Rev, BaseDigest: a.Digest(), To: b.Rev, ResultDigest: b.Digest()}
 	for _, r := range b.Rows {
 		if old, ok := a.Row(r.Name); !ok || old != r {
 			d.Rows = append(d.Rows, r)
 		}
 	}
 	for _, r := range a.Rows {
-		if _, ok := b.row(r.Name); !ok {
-			d.Drop = append(d.Drop, r.Name)
+		if _, ok := b.rowIndex(r.Name); !ok {
+			d.Removed = append(d.Removed, r.Name)
 		}
 	}
-	d.Own = gives(a, b)
-	d.Hot = overrides(a, b)
+	d.Owners = ownerChanges(a, b)
+	d.Hot = hotChanges(a, b)
 	return d
 }
 
-func gives(a, b Table) []Give {
-	var out []Give
+func ownerChanges(a, b Table) []OwnerChange {
+	var out []OwnerChange
 	at := map[ident.Server]int{}
 	for x := range b.owners {
 		s := b.OwnerOf(ident.Slice(x))
@@ -60,14 +60,14 @@
 		if !ok {
 			i = len(out)
 			at[s] = i
-			out = append(out, Give{To: s})
+			out = append(out, OwnerChange{To: s})
 		}
 		out[i].Slices = append(out[i].Slices, ident.Slice(x))
 	}
 	return out
 }
 
-func overrides(a, b Table) []Hot {
+func hotChanges(a, b Table) []Hot {
 	var out []Hot
 	for _, h := range b.Hot {
 		if s, ok := a.HotOwner(h.Key); !ok || s != h.Server {
@@ -75,29 +75,28 @@
 		}
 	}
 	for _, h := range a.Hot {
-		if _, ok := b.hot(h.Key); !ok {
+		if _, ok := b.hotIndex(h.Key); !ok {
 			out = append(out, Hot{Key: h.Key})
 		}
 	}
 	return out
 }
 
-// Apply returns the table after the delta. It fails with kind Conflict when the
-// delta is for another table or revision, and with kind Malformed when the
-// result is not what the sender had: the receiver then asks for the whole table
-// and loses nothing.
+// Apply returns the table with the delta applied. It fails with kind Conflict if the delta is
+// for another table or revision, and with kind Malformed if the result differs from the
+// sender's table. The receiver then asks for the whole table, so nothing is lost.
 func (t Table) Apply(d Delta) (Table, error) {
 	if d.V > Format {
 		return t, kinds.New(kinds.NewerVersion, "table delta in a later format")
 	}
-	if d.Svc != t.Service || d.From != t.Rev || d.Base != t.Digest() || d.To <= d.From {
+	if d.Service != t.Service || d.From != t.Rev || d.BaseDigest != t.Digest() || d.To <= d.From {
 		return t, kinds.New(kinds.Conflict, "table delta for another revision")
 	}
 	e, err := t.patch(d)
 	if err != nil {
 		return t, err
 	}
-	if e.check() != nil || e.Digest() != d.Sum {
+	if e.validate() != nil || e.Digest() != d.ResultDigest {
 		return t, kinds.New(kinds.Malformed, "table delta gives another result")
 	}
 	return e, nil
@@ -108,17 +107,17 @@
 	if len(d.Rows) > MaxServers || len(d.Hot) > 2*MaxHot {
 		return t, bad
 	}
-	e := t.edit()
+	e := t.copyForEdit()
 	e.Rev = d.To
 	for _, r := range d.Rows {
-		if _, ok := e.row(r.Name); !ok {
+		if _, ok := e.rowIndex(r.Name); !ok {
 			e.insert(r.Name)
 		}
-		i, _ := e.row(r.Name)
+		i, _ := e.rowIndex(r.Name)
 		e.Rows[i] = r
 	}
-	for _, g := range d.Own {
-		i, ok := e.row(g.To)
+	for _, g := range d.Owners {
+		i, ok := e.rowIndex(g.To)
 		if !ok && g.To != "" {
 			return t, bad
 		}
@@ -133,12 +132,12 @@
 		}
 	}
 	e.patchHot(d.Hot)
-	return e, e.drop(d.Drop)
+	return e, e.removeServers(d.Removed)
 }
 
 func (t *Table) patchHot(hot []Hot) {
 	for _, h := range hot {
-		i, found := t.hot(h.Key)
+		i, found := t.hotIndex(h.Key)
 		switch {
 		case found && h.Server == "":
 			t.Hot = slices.Delete(t.Hot, i, i+1)
@@ -150,7 +149,7 @@
 	}
 }
 
-func (t *Table) drop(names []ident.Server) error {
+func (t *Table) removeServers(names []ident.Server) error {
 	for _, s := range names {
 		rev := t.Rev
 		e, err := t.Removed(s)
@@ -163,10 +162,10 @@
 	return nil
 }
 
-// Encode renders the delta for a peer.
+// Encode returns the delta in the form sent to another VM.
 func (d Delta) Encode() ([]byte, error) { return wire.Encode(d) }
 
-// DecodeDelta reads a delta; its content is checked by [Table.Apply].
+// DecodeDelta decodes a delta; its content is checked by [Table.Apply].
 func DecodeDelta(b []byte) (Delta, error) {
 	var d Delta
 	err := wire.Decode(b, &d)
--- a/internal/owner/table/joint_test.go
+++ b/internal/owner/table/edit_test.go
@@ -9,10 +9,10 @@
 	"hawthornfield.org/hawthornfield/internal/core/kinds"
 )
 
-// Two holders change the table in the same moment, and the second edit is put on
-// what the first one made. It must not undo the first, nor pass where the rules
-// for an edit of its own would have stopped it.
-func TestAnEditIsHeldToItsRulesOnALaterTable(t *testing.T) {
+// Two lessors change the table at the same time, and the second edit is applied to the result
+// of the first. It must not undo the first, and the rules for a separate edit must still
+// apply.
+func TestEditRulesApplyToALaterTable(t *testing.T) {
 	tab, err := New("lookup", 4, "a", "b", "c")
 	assert.NilError(t, err)
 	tab, err = tab.WithAssigned(Move{Slice: 0, To: "a"}, Move{Slice: 1, To: "a"}, Move{Slice: 2, To: "b"})
@@ -29,17 +29,17 @@
 	assert.Equal(t, both.OwnerOf(0), ident.Server("c"))
 	assert.Equal(t, both.OwnerOf(2), ident.Server("c"))
 
-	barred, err := seen.WithMinEpoch("a", 4)
+	raised, err := seen.WithMinEpoch("a", 4)
 	assert.NilError(t, err)
-	_, err = barred.WithEdit(edit)
+	_, err = raised.WithEdit(edit)
 	assert.Equal(t, kinds.Of(err), kinds.Fenced)
 
 	gained, err := seen.WithMoves("b", 0, Move{Slice: 2, To: "a"})
 	assert.NilError(t, err)
 	_, err = gained.WithEdit(edit)
-	assert.Equal(t, kinds.Of(err), kinds.Conflict, "the set is not the one that the holder saw")
+	assert.Equal(t, kinds.Of(err), kinds.Conflict, "the server's keys are not those that the lessor saw")
 	_, err = both.WithEdit(edit)
 	assert.Equal(t, kinds.Of(err), kinds.Conflict, "the same edit twice")
 	_, err = seen.WithEdit(Edit{Server: "a", Epoch: 2})
-	assert.Equal(t, kinds.Of(err), kinds.Fenced, "bars never fall")
+	assert.Equal(t, kinds.Of(err), kinds.Fenced, "minimum epochs never decrease")
 }
--- a/internal/owner/table/table.go
+++ b/internal/owner/table/table.go
@@ -1,18 +1,17 @@
-// Package table says which backend server owns which key of a divided service.
+// Package table records which backend server owns which key of a sharded service.
 //
-// A [Table] is the agreed value: one object in the store for each service. It
-// gives every slice an owner, lists the few hot keys that are owned apart from
-// their slice, and keeps a bar for each server: the epoch of the one seat
-// holder that may still change that server's rows. Its revision only rises.
+// A [Table] is the agreed assignment, stored as one object for each service. It gives every
+// slice an owner, lists the few hot keys that are owned apart from their slice, and keeps a
+// minimum epoch for each server: the epoch of the only lessor that may still change that
+// server's rows. Its revision only rises.
 //
-// Users hold 460 million keys, which nobody can list in one place; slices make
-// the agreed state small (64k slices are two bytes each) and a move cheap. A
-// load that sits on one key would then drag a whole slice along, so single keys
-// can be overridden.
+// Users hold 460 million keys, which cannot be listed in one place. Slices keep the agreed
+// state small (64k slices take two bytes each) and moves cheap. Since the load of a single
+// key would then move its whole slice along, single keys can be overridden.
 //
-// Tables are values: every edit returns a new table and leaves the old one as
-// it was, so a reader never sees half an edit. The request path does not read a
-// Table but a [View], which answers without a lock and without allocating.
+// Tables are values: every edit returns a new table and leaves the old one unchanged, so a
+// reader never sees a partial edit. The request path reads a [View] instead of a Table, which
+// needs no lock and does not allocate.
 package table
 
 import (
@@ -24,9 +23,9 @@
 	"hawthornfield.org/hawthornfield/internal/core/kinds"
 )
 
-// Bounds of a table. The users' two-year size is 64k slices over 500 servers;
-// two bytes for each slice keep such a table at 128 KB, an eighth of the
-// largest value that the store holds.
+// Limits of a table. The size that users expect in two years is 64k slices over 500 servers;
+// two bytes for each slice keep such a table at 128 KB, an eighth of the largest value that
+// the store holds.
 const (
 	MaxSlices  = 1 << 17
 	MaxServers = 1<<16 - 1
@@ -34,42 +33,42 @@
 	MaxKey     = 512 // bytes in one hot key
 )
 
-// Row is what the table knows of one server.
+// Row is what the table holds for one server.
 type Row struct {
 	Name ident.Server `cbor:"name"`
-	// MinEpoch is the epoch of the seat holder that may move keys away from this
-	// server. An edit under any other epoch is refused.
+	// MinEpoch is the epoch of the lessor that may move keys away from this server. An edit
+	// under any other epoch is rejected.
 	MinEpoch ident.Epoch `cbor:"bar"`
-	// Rev is the revision that last changed the set of keys of this server. It
-	// is the revision that grants and renewals for the server carry.
+	// Rev is the revision that last changed the set of keys of this server. Grants and
+	// renewals for the server carry it.
 	Rev ident.Revision `cbor:"rev"`
 }
 
-// Hot is one key that is owned apart from its slice.
+// Hot is a key that is owned apart from its slice.
 type Hot struct {
 	Key    ident.Key    `cbor:"key"`
 	Server ident.Server `cbor:"srv"`
 }
 
-// Table is the agreed ownership of one service. Treat it as read-only: the
-// edits below copy what they change.
+// Table is the agreed ownership of one service's keys. Treat it as read-only: edits copy what
+// they change.
 type Table struct {
 	Service ident.Service
 	Rev     ident.Revision
 	Rows    []Row // sorted by name
 	Hot     []Hot // sorted by key
 
-	owners []uint16 // for each slice, one more than the index in Rows; 0: nobody
+	owners []uint16 // index in Rows plus one for each slice; 0: no owner
 }
 
-// New makes revision 1 of a table with n slices that nobody owns.
+// New returns revision 1 of a table with n slices without owners.
 func New(svc ident.Service, n uint32, servers ...ident.Server) (Table, error) {
 	if n == 0 || n > MaxSlices || len(servers) > MaxServers {
 		return Table{}, kinds.New(kinds.Malformed, "table size out of bounds")
 	}
 	t := Table{Service: svc, Rev: 1, owners: make([]uint16, n)}
 	for _, s := range servers {
-		if _, ok := t.row(s); !ok {
+		if _, ok := t.rowIndex(s); !ok {
 			t.insert(s)
 		}
 	}
@@ -79,16 +78,16 @@
 // Slices returns the number of slices.
 func (t Table) Slices() uint32 { return uint32(len(t.owners)) }
 
-// Row returns what the table knows of a server.
+// Row returns the row of a server.
 func (t Table) Row(s ident.Server) (Row, bool) {
-	i, ok := t.row(s)
+	i, ok := t.rowIndex(s)
 	if !ok {
 		return Row{}, false
 	}
 	return t.Rows[i], true
 }
 
-// OwnerOf returns the owner of a slice, or "" when nobody owns it.
+// OwnerOf returns the owner of a slice, or "" if it has none.
 func (t Table) OwnerOf(x ident.Slice) ident.Server {
 	if int(x) >= len(t.owners) || t.owners[x] == 0 {
 		return ""
@@ -96,28 +95,28 @@
 	return t.Rows[t.owners[x]-1].Name
 }
 
-// HotOwner returns the owner of a key that is overridden singly.
+// HotOwner returns the owner of a key that is owned apart from its slice.
 func (t Table) HotOwner(k ident.Key) (ident.Server, bool) {
-	i, ok := t.hot(k)
+	i, ok := t.hotIndex(k)
 	if !ok {
 		return "", false
 	}
 	return t.Hot[i].Server, true
 }
 
-// Set is everything that one server owns, in the form that a grant carries.
+// Set is everything that one server owns, in the form used by grants.
 type Set struct {
 	Slices []ident.Slice
 	Keys   []ident.Key // owned apart from their slice
 	Except []ident.Key // keys of the slices above that another server owns
 }
 
-// Empty reports whether the set holds nothing.
+// Empty reports whether the server owns nothing.
 func (s Set) Empty() bool { return len(s.Slices) == 0 && len(s.Keys) == 0 }
 
-// SetOf collects what a server owns.
+// SetOf returns what a server owns.
 func (t Table) SetOf(s ident.Server) Set {
-	i, ok := t.row(s)
+	i, ok := t.rowIndex(s)
 	if !ok {
 		return Set{}
 	}
@@ -139,13 +138,13 @@
 	return set
 }
 
-func (t Table) row(s ident.Server) (int, bool) {
+func (t Table) rowIndex(s ident.Server) (int, bool) {
 	return slices.BinarySearchFunc(t.Rows, s, func(r Row, s ident.Server) int {
 		return strings.Compare(string(r.Name), string(s))
 	})
 }
 
-func (t Table) hot(k ident.Key) (int, bool) {
+func (t Table) hotIndex(k ident.Key) (int, bool) {
 	return slices.BinarySearchFunc(t.Hot, k, func(h Hot, k ident.Key) int {
 		return cmp.Compare(h.Key, k)
 	})
--- a/internal/owner/table/table_test.go
+++ b/internal/owner/table/table_test.go
@@ -13,7 +13,7 @@
 	"hawthornfield.org/hawthornfield/internal/fake/seeds"
 )
 
-func small(t testing.TB) Table {
+func smallTable(t testing.TB) Table {
 	tab, err := New("lookup", 8, "b", "a")
 	assert.NilError(t, err)
 	tab, err = tab.WithAssigned(Move{Slice: 0, To: "a"}, Move{Slice: 1, To: "a"}, Move{Slice: 2, To: "b"})
@@ -23,10 +23,10 @@
 	return tab
 }
 
-// A holder that was paused for long still believes in its epoch and gives away
-// keys that its successor grants. Two servers would then own one key.
+// A lessor that was paused for long still uses its old epoch and gives away keys that its
+// successor grants. Two servers would then own one key.
 func TestMoveUnderAnotherEpochIsFenced(t *testing.T) {
-	tab := small(t)
+	tab := smallTable(t)
 	for _, e := range []ident.Epoch{2, 4} {
 		_, err := tab.WithMoves("a", e, Move{Slice: 0, To: "b"})
 		assert.Equal(t, kinds.Of(err), kinds.Fenced)
@@ -40,7 +40,7 @@
 }
 
 func TestEditsRefuseWhatWouldLoseAnOwner(t *testing.T) {
-	tab := small(t)
+	tab := smallTable(t)
 	_, err := tab.WithMoves("a", 3, Move{Slice: 2, To: "b"})
 	assert.Equal(t, kinds.Of(err), kinds.Conflict)
 	_, err = tab.WithMoves("a", 3, Move{Slice: 0, To: "nobody"})
@@ -58,7 +58,7 @@
 }
 
 func TestHotKeyLeavesItsSliceAndReturns(t *testing.T) {
-	tab := small(t)
+	tab := smallTable(t)
 	var k ident.Key
 	for i := 0; tab.From(Move{Key: k}) != "a" || k == ""; i++ {
 		k = ident.Key(fmt.Sprint("scale-", i))
@@ -77,20 +77,20 @@
 	assert.Equal(t, row.Rev, back.Rev, "the slice's owner must be granted the key again")
 }
 
-// An older program meets a table written by a newer one during a rolling
-// update. Guessing at it could give a key two owners.
-func TestDecodeNamesANewerFormat(t *testing.T) {
+// An older program reads a table written by a newer one during a rolling update. If it
+// guessed at the content, a key could get two owners.
+func TestDecodeReportsANewerFormat(t *testing.T) {
 	b, err := wire.Encode(map[string]any{"v": Format + 1, "own": "something else"})
 	assert.NilError(t, err)
 	_, err = Decode(b)
 	assert.Equal(t, kinds.Of(err), kinds.NewerVersion)
 }
 
-// Any series of edits survives encoding, and the difference between any two
-// revisions applied to the older gives the newer.
+// Any sequence of edits must survive encoding, and applying the difference between two
+// revisions to the older one must give the newer one.
 func TestCodecAndDeltaFollowEveryEdit(t *testing.T) {
 	seeds.Check(t, func(rt *rapid.T) {
-		tab := small(t)
+		tab := smallTable(t)
 		all := []Table{tab}
 		for range rapid.IntRange(0, 12).Draw(rt, "edits") {
 			if next, err := randomEdit(rt, tab); err == nil {
@@ -142,7 +142,7 @@
 }
 
 func FuzzDecode(f *testing.F) {
-	b, err := small(f).Encode()
+	b, err := smallTable(f).Encode()
 	assert.NilError(f, err)
 	f.Add(b)
 	f.Add(b[:len(b)/2])
@@ -161,7 +161,7 @@
 }
 
 func FuzzDelta(f *testing.F) {
-	a := small(f)
+	a := smallTable(f)
 	c, err := a.WithMoves("a", 3, Move{Slice: 0, To: "b"})
 	assert.NilError(f, err)
 	b, err := Diff(a, c).Encode()
@@ -172,14 +172,14 @@
 		if err != nil {
 			return
 		}
-		d.Base = a.Digest()
+		d.BaseDigest = a.Digest()
 		if got, err := a.Apply(d); err == nil {
-			assert.Equal(t, got.Digest(), d.Sum)
+			assert.Equal(t, got.Digest(), d.ResultDigest)
 		}
 	})
 }
 
-func large(b testing.TB) Table {
+func largeTable(b testing.TB) Table {
 	names := make([]ident.Server, 500)
 	for i := range names {
 		names[i] = ident.Server(fmt.Sprintf("viewer-%03d", i))
@@ -196,12 +196,12 @@
 }
 
 func TestOwnerDoesNotAllocate(t *testing.T) {
-	v := NewView(large(t))
+	v := NewView(largeTable(t))
 	assert.Equal(t, testing.AllocsPerRun(100, func() { v.Owner("ward-17") }), 0.0)
 }
 
 func BenchmarkOwner(b *testing.B) {
-	v := NewView(large(b))
+	v := NewView(largeTable(b))
 	keys := make([]ident.Key, 1024)
 	for i := range keys {
 		keys[i] = ident.Key(fmt.Sprintf("ward-%d", i))
@@ -213,7 +213,7 @@
 }
 
 func BenchmarkMoveEncodeDecode(b *testing.B) {
-	t := large(b)
+	t := largeTable(b)
 	for b.Loop() {
 		next, _ := t.WithMoves("viewer-000", 0, Move{Slice: 0, To: "viewer-001"})
 		raw, _ := next.Encode()
@@ -225,7 +225,7 @@
 }
 
 func BenchmarkDelta(b *testing.B) {
-	t := large(b)
+	t := largeTable(b)
 	next, _ := t.WithMoves("viewer-000", 0, Move{Slice: 0, To: "viewer-001"})
 	for b.Loop() {
 		raw, _ := Diff(t, next).Encode()
@@ -233,10 +233,10 @@
 	}
 }
 
-// A hot key stays where it is while its slice moves away: its neighbours leave
-// it, not the other way round. Without the hold the key would go along, and the
-// plan would carry it from server to server.
-func TestAKeyIsHeldWhileItsSliceMoves(t *testing.T) {
+// A hot key stays on its server while its slice moves away: its neighbours leave it, not the
+// other way round. If it were not pinned, it would move along, and plans would carry it from
+// server to server.
+func TestAHotKeyStaysWhileItsSliceMoves(t *testing.T) {
 	tab, err := New("svc", 4, "a", "b")
 	assert.NilError(t, err)
 	x := ident.SliceOf("busy", 4)
