--- a/internal/rules/match/accept.go
+++ b/internal/rules/match/accept.go
@@ -6,70 +6,73 @@
 	"hawthornfield.org/hawthornfield/internal/core/kinds"
 )
 
-// CompileAccepted builds a Set from rules that were accepted elsewhere: by the store, or by
-// another version of this program. Unlike [Compile] it refuses nothing, because a VM
-// cannot turn down what is in force everywhere else: if it kept the rules before, it
-// would tell callers of the new ones that nothing is there for them, for good, and
-// start with no rules at all after its next restart.
+// CompileAccepted builds a Set from rules that were already accepted elsewhere: by the
+// store, or by another version of this program. Unlike [Compile] it rejects nothing. A VM
+// that rejected rules which are in force on all other VMs would keep its previous rules
+// and answer callers of the new rules with "not found" permanently, and it would have no
+// rules at all after its next restart.
 //
-// What an author would have been told comes back as faults, for the log. A rule that
-// cannot be followed as it stands holds its place in the order all the same, so that
-// its requests do not fall to a later rule; [Rule.Check] says why it can't be followed.
+// The faults that Compile would have reported to the author are returned for the log. A
+// rule that cannot be applied keeps its position in the order, so that its requests do not
+// fall through to a later rule; [Rule.Check] says why it cannot be applied.
 func CompileAccepted(rules []Rule) (*Set, Faults) {
-	own := cloneRules(rules)
+	normalized := normalizeRules(rules)
 	c := &checker{}
-	for i := range own {
-		c.rule, c.index = &own[i], i
+	for i := range normalized {
+		c.rule, c.index = &normalized[i], i
 		from := len(c.faults)
-		c.addIf(own[i].fault != "", "", own[i].fault)
+		c.addFaultIf(normalized[i].unusable != "", "", normalized[i].unusable)
 		c.checkRule()
-		own[i].settle(c.faults[from:])
+		normalized[i].sanitize(c.faults[from:])
 	}
-	return newSet(own), c.faults
+	return newSet(normalized), c.faults
 }
 
-// settle makes a rule with faults safe to hold: what only bounds it is brought within
-// bounds, and what it must promise and this program does not know keeps it from being
-// followed.
-func (r *Rule) settle(faults Faults) {
+// sanitize makes a rule with faults safe to use. Limits are clamped to their valid range.
+// A rule with a fault in its path, key, split, durable or once is marked as unusable,
+// because this program does not know what the rule requires.
+func (r *Rule) sanitize(faults Faults) {
 	t := &r.Then
 	t.Retry = min(max(t.Retry, 0), MaxRetry)
 	t.Queue = min(max(t.Queue, 0), MaxQueue)
 	t.Wait = max(t.Wait, 0)
 	if !t.Idempotent {
-		t.Hedge = 0 // a hedge would run the request twice
+		t.Hedge = 0 // a hedged request may run twice
 	}
-	if r.fault != "" {
+	if r.unusable != "" {
 		return
 	}
 	for _, f := range faults {
 		switch f.Field {
 		case "when.path":
-			r.fault = f.Field + " " + f.Text
-			r.When.Prefix = longer(r.When.Prefix, plainStart(r.When.Path))
+			r.unusable = f.Field + " " + f.Text
+			r.When.Prefix = longer(r.When.Prefix, literalPrefix(r.When.Path))
 		case "then.key", "then.split", "then.durable", "then.once":
-			r.fault = f.Field + " " + f.Text
+			r.unusable = f.Field + " " + f.Text
 		}
 	}
 }
 
-// MarkUnreadable marks a rule that stands for one that could not be read: it holds the place of
-// that one as far as this is known, and is not followed, see [Rule.Check].
-func (r *Rule) MarkUnreadable(why string) { r.fault = why }
+// MarkUnreadable marks a placeholder for a rule that could not be read. It keeps that
+// rule's position in the order, as far as its conditions are known, and is never applied,
+// see [Rule.Check].
+func (r *Rule) MarkUnreadable(why string) { r.unusable = why }
 
-// Check returns nil when the rule can be followed. Otherwise the error, of kind Newer,
-// says what stands in the way: its requests are told to come back, and run nowhere.
+// Check returns nil when the rule can be applied. Otherwise it returns an error of kind
+// NewerVersion with the reason; the rule's requests are rejected with that error and are
+// not run.
 func (r *Rule) Check() error {
-	if r.fault == "" {
+	if r.unusable == "" {
 		return nil
 	}
-	return kinds.New(kinds.NewerVersion, "rule "+r.Name+" cannot be followed here: "+r.fault)
+	return kinds.New(kinds.NewerVersion, "rule "+r.Name+" cannot be applied by this version: "+r.unusable)
 }
 
-// plainStart is what each path that a pattern was meant for begins with, as far as that
-// can be told from a pattern that cannot be read. Without it the rule would hold for
-// every path, and turn away the requests of all rules below it.
-func plainStart(pattern string) string {
+// literalPrefix returns the literal path prefix of a pattern that cannot be parsed, up to
+// the last slash before the first special character. It limits the rule to the paths that
+// it can have been meant for; without it the rule would match every path and reject the
+// requests of all later rules.
+func literalPrefix(pattern string) string {
 	if i := strings.IndexAny(pattern, "{}*%?#"); i >= 0 {
 		pattern = pattern[:i]
 	}
--- a/internal/rules/match/accept_test.go
+++ b/internal/rules/match/accept_test.go
@@ -11,41 +11,41 @@
 	"hawthornfield.org/hawthornfield/internal/fake/seeds"
 )
 
-// What an author may write follows from this program's version; what was accepted
-// does not. Where a VM turns down accepted rules because an author could not have
-// written them here, it goes on by the rules before, and callers see them.
-func TestAcceptRefusesNothingThatAnAuthorIsRefused(t *testing.T) {
+// Rules accepted by another version of the program may break the limits of this one. A VM
+// that rejected them would go on under its previous rules, visibly to callers.
+func TestCompileAcceptedNeverRejects(t *testing.T) {
 	many := make([]Rule, MaxRules+1)
 	for i := range many {
 		name := "r" + strconv.Itoa(i)
 		many[i] = Rule{Name: name, When: When{Prefix: "/" + name + "/"}, Then: Then{Service: "ledger"}}
 	}
-	odd := []Rule{
+	invalid := []Rule{
 		{Name: "a name with spaces", When: When{Prefix: "/odd"}, Then: Then{Service: "ledger", Retry: 99, Wait: -1}},
 		{Name: "hidden", When: When{Prefix: "/odd/below/"}, Then: Then{Service: "ledger"}},
 		{Name: "hidden", When: When{Host: []string{"a*b*c"}}, Then: Then{Service: "ledger", Deadline: -1, Hedge: 1}},
 	}
-	for _, rules := range [][]Rule{many, odd} {
+	for _, rules := range [][]Rule{many, invalid} {
 		_, err := Compile(rules)
-		assert.Assert(t, err != nil, "an author is told")
+		assert.Assert(t, err != nil, "Compile rejects the rules")
 		set, _ := CompileAccepted(rules)
 		assert.Equal(t, len(set.Rules()), len(rules))
 		for i := range set.Rules() {
 			assert.NilError(t, set.Rules()[i].Check())
 		}
 	}
-	set, faults := CompileAccepted(odd)
+	set, faults := CompileAccepted(invalid)
 	assert.Assert(t, len(faults) >= 5, "%v", faults)
 	r, ok := set.Match(&Request{Path: "/odd/below/x"})
 	assert.Assert(t, ok)
 	assert.Equal(t, r.Name, "a name with spaces")
 	assert.Equal(t, r.Then.Retry, MaxRetry)
-	assert.Equal(t, set.Rules()[2].Then.Hedge.String(), "0s", "what must run once at most is not sent twice")
+	assert.Equal(t, set.Rules()[2].Then.Hedge.String(), "0s", "a request that is not idempotent is never sent twice")
 }
 
-// A rule that demands what this program does not know keeps its place: its requests are
-// told to come back, and do not fall to a later rule that was never meant for them.
-func TestARuleThatCannotBeFollowedKeepsItsPlace(t *testing.T) {
+// A rule has a key source, split, guarantee or path pattern that this program does not
+// know. Its requests must be rejected with NewerVersion and not fall through to a later
+// rule that was never meant for them.
+func TestUnusableRuleKeepsItsPosition(t *testing.T) {
 	for _, r := range []Rule{
 		{Name: "path", When: When{Path: "/receipt/{scale"}, Then: Then{Service: "ledger"}},
 		{Name: "key", Then: Then{Service: "ledger", Key: "cookie:ward"}},
@@ -64,9 +64,9 @@
 	}
 }
 
-// The path pattern of one rule cannot be read. The requests of the rules below it go on
-// being served, all but those whose path begins as the pattern does.
-func TestAPatternThatCannotBeReadTurnsAwayNoOtherPaths(t *testing.T) {
+// The path pattern of one rule cannot be parsed. Requests of later rules must still be
+// served, except those whose path begins with the pattern's literal prefix.
+func TestInvalidPatternAffectsOnlyItsLiteralPrefix(t *testing.T) {
 	set, _ := CompileAccepted([]Rule{
 		{Name: "odd", When: When{Path: "/receipt/a%20b/{scale"}, Then: Then{Service: "ledger"}},
 		{Name: "rest", Then: Then{Service: "lookup"}},
@@ -78,12 +78,12 @@
 	}
 }
 
-// A rule was accepted elsewhere in a form that cannot be read here. What stands for it
-// holds its place: its requests are told to come back, and the log says why.
-func TestARuleThatWasNotReadKeepsItsPlace(t *testing.T) {
-	odd := Rule{Name: "odd", When: When{Prefix: "/receipt/"}}
-	odd.MarkUnreadable("its target cannot be read")
-	set, faults := CompileAccepted([]Rule{odd, {Name: "rest", Then: Then{Service: "lookup"}}})
+// A rule was accepted elsewhere in a form that cannot be read here. Its placeholder must
+// keep the position, reject its requests and report the reason.
+func TestUnreadableRuleKeepsItsPosition(t *testing.T) {
+	unreadable := Rule{Name: "odd", When: When{Prefix: "/receipt/"}}
+	unreadable.MarkUnreadable("its target cannot be read")
+	set, faults := CompileAccepted([]Rule{unreadable, {Name: "rest", Then: Then{Service: "lookup"}}})
 	assert.Assert(t, len(faults) > 0 && faults[0].Text == "its target cannot be read", "%v", faults)
 	got, ok := set.Match(&Request{Path: "/receipt/1"})
 	assert.Assert(t, ok)
@@ -95,10 +95,11 @@
 	assert.NilError(t, rest.Check())
 }
 
-// Rules that an author may write mean the same, whoever accepted them.
-func TestAcceptAgreesWithCompile(t *testing.T) {
+// Valid rules must match the same requests whether they come through Compile or
+// CompileAccepted.
+func TestCompileAcceptedAgreesWithCompile(t *testing.T) {
 	seeds.Check(t, func(t *rapid.T) {
-		set := compileSeen(t, drawRules(t, 40))
+		set := compileWithoutHidden(t, drawRules(t, 40))
 		accepted, faults := CompileAccepted(set.Rules())
 		assert.Equal(t, len(faults), 0, "%v", faults)
 		for range 20 {
--- a/internal/rules/match/bench_test.go
+++ b/internal/rules/match/bench_test.go
@@ -12,12 +12,12 @@
 )
 
 var (
-	ignorePath = cmpopts.IgnoreUnexported(Rule{})
-	emptyAsNil = cmp.Options{cmpopts.EquateEmpty()}
+	ignoreUnexported = cmpopts.IgnoreUnexported(Rule{})
+	emptyAsNil       = cmp.Options{cmpopts.EquateEmpty()}
 )
 
-// manyRules is a list as an operator grows it: some rules per service and
-// caller group, few of them sharing a first segment.
+// manyRules returns a typical list: several rules per service and caller group, and only a
+// few of them with the same first segment.
 func manyRules(n int) []Rule {
 	rules := make([]Rule, n)
 	for i := range rules {
@@ -34,8 +34,7 @@
 	return rules
 }
 
-// prefixRules is a list in which each rule names a host and what the path begins
-// with, and nothing else: ten to a host.
+// prefixRules returns rules that have only a host and a prefix, ten rules to a host.
 func prefixRules(n int) []Rule {
 	rules := make([]Rule, n)
 	for i := range rules {
@@ -46,16 +45,17 @@
 	return rules
 }
 
-// accepted indexes rules without the check, which bounds their number.
-func accepted(rules []Rule) *Set {
-	own := cloneRules(rules)
-	for i := range own {
-		own[i].path, _ = parsePath(own[i].When.Path)
+// compileUnchecked builds a Set without the checks, which limit the number of rules.
+func compileUnchecked(rules []Rule) *Set {
+	normalized := normalizeRules(rules)
+	for i := range normalized {
+		normalized[i].path, _ = parsePath(normalized[i].When.Path)
 	}
-	return newSet(own)
+	return newSet(normalized)
 }
 
-func lastPrefix(n int) *Request {
+// requestForLastPrefix returns a request that only the last of n prefixRules matches.
+func requestForLastPrefix(n int) *Request {
 	return &Request{
 		Method: "GET", Host: "site" + strconv.Itoa((n-1)/10) + ".example",
 		Path: "/part" + strconv.Itoa(n-1) + "/scale-7", Caller: "grower-3",
@@ -64,7 +64,7 @@
 
 func BenchmarkMatchPrefix(b *testing.B) {
 	for _, n := range []int{200, 4200, 8000} {
-		s, req := accepted(prefixRules(n)), lastPrefix(n)
+		s, req := compileUnchecked(prefixRules(n)), requestForLastPrefix(n)
 		b.Run("rules="+strconv.Itoa(n), func(b *testing.B) {
 			b.ReportAllocs()
 			for b.Loop() {
@@ -76,20 +76,20 @@
 	}
 }
 
-// BenchmarkAccept is what a VM does when newer rules reach it, after decoding.
+// BenchmarkAccept measures the work of a VM that receives new rules, after decoding.
 func BenchmarkAccept(b *testing.B) {
 	for _, n := range []int{200, 4200, 8000} {
 		rules := prefixRules(n)
 		b.Run("rules="+strconv.Itoa(n), func(b *testing.B) {
 			b.ReportAllocs()
 			for b.Loop() {
-				accepted(rules)
+				compileUnchecked(rules)
 			}
 		})
 	}
 }
 
-// BenchmarkCompile is what an author waits for: the check included.
+// BenchmarkCompile measures what an author waits for, checks included.
 func BenchmarkCompile(b *testing.B) {
 	for _, n := range []int{200, 1000, 4096} {
 		rules := prefixRules(n)
--- a/internal/rules/match/check.go
+++ b/internal/rules/match/check.go
@@ -9,13 +9,13 @@
 	"hawthornfield.org/hawthornfield/internal/core/kinds"
 )
 
-// Fault is one reason why a list of rules is not accepted.
+// Fault is one reason why a list of rules is rejected.
 type Fault struct {
-	Line  int    // in the file, zero when the rules came from elsewhere
-	Rule  string // name of the rule, or its number when it has none
+	Line  int    // line in the rules file, zero when the rules came from elsewhere
+	Rule  string // name of the rule, or its number when it has no name
 	Field string // for example "then.deadline"
 	Text  string // what is wrong
-	By    string // for a rule that can never match: the earlier rule that hides it
+	By    string // for a rule that can never match: name of the earlier rule that hides it
 }
 
 // String renders the fault as one line for an operator.
@@ -32,11 +32,11 @@
 	return b.String()
 }
 
-// Faults lists everything that is wrong, in the order of the rules. Find it in
-// an error of this package with errors.As.
+// Faults lists all faults found, in the order of the rules. Use errors.As to extract it
+// from an error of this package.
 type Faults []Fault
 
-// Error renders one fault a line.
+// Error renders one fault per line.
 func (f Faults) Error() string {
 	lines := make([]string, len(f))
 	for i, x := range f {
@@ -45,32 +45,33 @@
 	return strings.Join(lines, "\n")
 }
 
-// Service is what the check needs to know of a service.
+// Service is what Compile needs to know about a service.
 type Service struct {
-	Divided bool // by key: its rules must say where the key stands
+	Divided bool // sharded by key: its rules must set a key source
 }
 
-// Option adds to what Compile checks.
+// Option configures the checks of Compile.
 type Option func(*checker)
 
-// WithServices makes rules for a service that is not listed a fault, and rules
-// for a divided service that name no key, or the other way round.
+// WithServices reports a fault for each rule that names a service which is not listed, and
+// for each rule that has no key although its service is sharded by key.
 func WithServices(known map[ident.Service]Service) Option {
 	return func(c *checker) { c.known = known }
 }
 
-// withLines makes faults carry line numbers.
+// withLines adds line numbers to faults.
 func withLines(l lines) Option {
 	return func(c *checker) { c.lines = l }
 }
 
+// checker collects the faults of a list of rules.
 type checker struct {
-	known  map[ident.Service]Service // nil: not checked
+	known  map[ident.Service]Service // nil: services are not checked
 	lines  lines
 	faults Faults
 
-	rule  *Rule
-	index int
+	rule  *Rule // rule being checked
+	index int   // position of rule
 }
 
 func newChecker(opts []Option) *checker {
@@ -81,27 +82,27 @@
 	return c
 }
 
-// add notes a fault of the present rule.
-func (c *checker) add(field, text string) {
+// addFault adds a fault of the rule being checked.
+func (c *checker) addFault(field, text string) {
 	c.faults = append(c.faults, Fault{
-		Line: c.lines.of(c.index, field), Rule: c.label(), Field: field, Text: text,
+		Line: c.lines.lineFor(c.index, field), Rule: c.ruleLabel(), Field: field, Text: text,
 	})
 }
 
-func (c *checker) addIf(bad bool, field, text string) {
+func (c *checker) addFaultIf(bad bool, field, text string) {
 	if bad {
-		c.add(field, text)
+		c.addFault(field, text)
 	}
 }
 
-func (c *checker) label() string {
+func (c *checker) ruleLabel() string {
 	if c.rule.Name != "" {
 		return c.rule.Name
 	}
 	return "number " + strconv.Itoa(c.index+1)
 }
 
-// checkAll compiles each rule's path and looks for every kind of fault.
+// checkAll compiles the path of each rule and collects the faults of all rules.
 func checkAll(rules []Rule, c *checker) error {
 	if len(rules) > MaxRules {
 		return kinds.New(kinds.TooLarge, "more than "+strconv.Itoa(MaxRules)+" rules")
@@ -111,7 +112,7 @@
 		c.rule, c.index = &rules[i], i
 		c.checkRule()
 		if _, twice := seen[c.rule.Name]; twice && c.rule.Name != "" {
-			c.add("name", "another rule has this name")
+			c.addFault("name", "another rule has this name")
 		}
 		seen[c.rule.Name] = i
 	}
@@ -130,19 +131,19 @@
 	c.checkTarget()
 	c.checkKey()
 	c.checkLimits()
-	c.checkWords()
-	c.checkKeep()
+	c.checkEnums()
+	c.checkRetention()
 }
 
-const maxName = 64
+const maxNameLen = 64
 
 func (c *checker) checkName() {
 	name := c.rule.Name
-	bad := name == "" || len(name) > maxName || strings.ContainsFunc(name, notNameRune)
-	c.addIf(bad, "name", "a name has 1 to 64 letters, digits, dots, dashes or underscores")
+	bad := name == "" || len(name) > maxNameLen || strings.ContainsFunc(name, invalidNameRune)
+	c.addFaultIf(bad, "name", "a name must have 1 to 64 letters, digits, dots, dashes or underscores")
 }
 
-func notNameRune(r rune) bool {
+func invalidNameRune(r rune) bool {
 	letter := 'a' <= r && r <= 'z' || 'A' <= r && r <= 'Z'
 	return !letter && (r < '0' || r > '9') && !strings.ContainsRune("-_.", r)
 }
@@ -151,61 +152,62 @@
 	w := &c.rule.When
 	p, err := parsePath(w.Path)
 	if err != nil {
-		c.add("when.path", reason(err))
+		c.addFault("when.path", messageWithoutKind(err))
 	}
 	c.rule.path = p
-	c.addIf(w.Prefix != "" && (!strings.HasPrefix(w.Prefix, "/") || !strings.HasSuffix(w.Prefix, "/")),
+	c.addFaultIf(w.Prefix != "" && (!strings.HasPrefix(w.Prefix, "/") || !strings.HasSuffix(w.Prefix, "/")),
 		"when.prefix", "a prefix begins and ends with a slash")
 	for _, s := range w.Service {
 		c.checkService("when.service", s)
 	}
 	for _, m := range w.Method {
-		c.addIf(m == "" || m != strings.ToUpper(m) || strings.ContainsAny(m, " \t,"), "when.method", "a method is one word in upper case")
+		c.addFaultIf(m == "" || m != strings.ToUpper(m) || strings.ContainsAny(m, " \t,"), "when.method", "a method must be one word in upper case")
 	}
 	for _, h := range w.Host {
-		c.addIf(badPattern(h) || strings.Contains(h, "/"), "when.host", "bad host pattern "+strconv.Quote(h))
+		c.addFaultIf(invalidPattern(h) || strings.Contains(h, "/"), "when.host", "bad host pattern "+strconv.Quote(h))
 	}
 	for _, x := range w.Caller {
-		c.addIf(badPattern(string(x)), "when.caller", "bad caller pattern "+strconv.Quote(string(x)))
+		c.addFaultIf(invalidPattern(string(x)), "when.caller", "bad caller pattern "+strconv.Quote(string(x)))
 	}
 	for _, x := range w.Centre {
-		c.addIf(x == "", "when.centre", "a centre has a name")
+		c.addFaultIf(x == "", "when.centre", "a centre name must not be empty")
 	}
 	for name, v := range w.Header {
-		c.addIf(name == "" || badPattern(v), "when.header", "bad pattern "+strconv.Quote(v)+" for header "+name)
+		c.addFaultIf(name == "" || invalidPattern(v), "when.header", "bad pattern "+strconv.Quote(v)+" for header "+name)
 	}
 }
 
-func badPattern(s string) bool { return s == "" || strings.Count(s, star) > 1 }
+func invalidPattern(s string) bool { return s == "" || strings.Count(s, wildcard) > 1 }
 
-// reason returns the message of an error of kind Malformed without its kind.
-func reason(err error) string {
+// messageWithoutKind returns the message of an error of kind Malformed without the kind in
+// front of it.
+func messageWithoutKind(err error) string {
 	return strings.TrimPrefix(err.Error(), kinds.Malformed.String()+": ")
 }
 
 func (c *checker) checkService(field string, s ident.Service) {
 	if s == "" {
-		c.add(field, "a service has a name")
+		c.addFault(field, "a service name must not be empty")
 		return
 	}
 	if c.known == nil {
 		return
 	}
 	_, ok := c.known[s]
-	c.addIf(!ok, field, "unknown service "+strconv.Quote(string(s)))
+	c.addFaultIf(!ok, field, "unknown service "+strconv.Quote(string(s)))
 }
 
 func (c *checker) checkTarget() {
 	t := &c.rule.Then
 	if t.Deny {
-		c.addIf(!reflect.DeepEqual(*t, Then{Deny: true}), "then.deny", "a rule that denies says nothing else")
+		c.addFaultIf(!reflect.DeepEqual(*t, Then{Deny: true}), "then.deny", "a rule with deny must set nothing else")
 		return
 	}
 	if len(t.Split) == 0 {
 		c.checkService("then.service", t.Service)
 		return
 	}
-	c.addIf(t.Service != "", "then.service", "a rule that splits names no service beside")
+	c.addFaultIf(t.Service != "", "then.service", "a rule with split must not set service")
 	c.checkSplit(t.Split)
 }
 
@@ -215,58 +217,58 @@
 		c.checkService("then.split", p.Service)
 		total += uint64(p.Weight)
 	}
-	c.addIf(total == 0, "then.split", "some part has a weight above zero")
+	c.addFaultIf(total == 0, "then.split", "at least one part needs a weight above zero")
 }
 
 func (c *checker) checkKey() {
 	t := &c.rule.Then
 	if t.Key == "" {
-		// A service that is not divided may have a key too: reports ask by key.
+		// A service that is not sharded may have a key too: reports can be queried by key.
 		divided := c.known[t.Service].Divided
-		c.addIf(divided, "then.key", "the service is divided by key: say where the key stands")
+		c.addFaultIf(divided, "then.key", "the service is sharded by key: set a key source")
 		return
 	}
-	place, name, _ := strings.Cut(t.Key, ":")
+	source, name, _ := strings.Cut(t.Key, ":")
 	switch {
-	case name == "" || place != fromPath && place != fromHeader && place != fromQuery:
-		c.add("then.key", `a key source is "path:NAME", "header:NAME" or "query:NAME"`)
-	case place == fromPath && c.rule.path.index(name) < 0:
-		c.add("then.key", "the path pattern has no variable "+name)
+	case name == "" || source != fromPath && source != fromHeader && source != fromQuery:
+		c.addFault("then.key", `a key source is "path:NAME", "header:NAME" or "query:NAME"`)
+	case source == fromPath && c.rule.path.varIndex(name) < 0:
+		c.addFault("then.key", "the path pattern has no variable "+name)
 	}
 }
 
 func (c *checker) checkLimits() {
 	t := &c.rule.Then
-	c.addIf(t.Deadline < 0 || t.Deadline > MaxDeadline, "then.deadline", "outside 0 to "+MaxDeadline.String())
-	c.addIf(t.Aim < 0, "then.aim", "is negative")
-	c.addIf(t.Deadline > 0 && t.Aim > t.Deadline, "then.aim", "is longer than the deadline")
-	c.addIf(t.Retry < 0 || t.Retry > MaxRetry, "then.retry", "outside 0 to "+strconv.Itoa(MaxRetry))
-	c.addIf(t.Queue < 0 || t.Queue > MaxQueue, "then.queue", "outside 0 to "+strconv.Itoa(MaxQueue))
-	c.addIf(t.Wait < 0, "then.wait", "is negative")
-	c.addIf(t.Hedge < 0, "then.hedge", "is negative")
-	c.addIf(t.Deadline > 0 && t.Wait > t.Deadline, "then.wait", "is longer than the deadline")
-	c.addIf(t.Deadline > 0 && t.Hedge >= t.Deadline, "then.hedge", "comes only after the deadline")
-	c.addIf(t.Hedge > 0 && !t.Idempotent, "then.hedge", "a hedge runs the request twice: only for idempotent requests")
-	c.addIf(t.Once == OnceStore && t.Idempotent, "then.once", "an idempotent request may run twice: leave one of both out")
+	c.addFaultIf(t.Deadline < 0 || t.Deadline > MaxDeadline, "then.deadline", "outside 0 to "+MaxDeadline.String())
+	c.addFaultIf(t.Aim < 0, "then.aim", "is negative")
+	c.addFaultIf(t.Deadline > 0 && t.Aim > t.Deadline, "then.aim", "is longer than the deadline")
+	c.addFaultIf(t.Retry < 0 || t.Retry > MaxRetry, "then.retry", "outside 0 to "+strconv.Itoa(MaxRetry))
+	c.addFaultIf(t.Queue < 0 || t.Queue > MaxQueue, "then.queue", "outside 0 to "+strconv.Itoa(MaxQueue))
+	c.addFaultIf(t.Wait < 0, "then.wait", "is negative")
+	c.addFaultIf(t.Hedge < 0, "then.hedge", "is negative")
+	c.addFaultIf(t.Deadline > 0 && t.Wait > t.Deadline, "then.wait", "is longer than the deadline")
+	c.addFaultIf(t.Deadline > 0 && t.Hedge >= t.Deadline, "then.hedge", "must be shorter than the deadline")
+	c.addFaultIf(t.Hedge > 0 && !t.Idempotent, "then.hedge", "a hedged request may run twice: allowed only for idempotent requests")
+	c.addFaultIf(t.Once == OnceStore && t.Idempotent, "then.once", "an idempotent request may run twice: remove either once or idempotent")
 }
 
-func (c *checker) checkWords() {
+func (c *checker) checkEnums() {
 	t := &c.rule.Then
-	c.addIf(!among([]Class{"", Urgent, Normal, Bulk}, t.Class), "then.class", "is urgent, normal or bulk")
-	c.addIf(!among([]Size{"", Short, Long}, t.Size), "then.size", "is short or long")
-	c.addIf(!among([]Durable{"", DurableNone, DurableJournal}, t.Durable), "then.durable", "is none or journal")
-	c.addIf(!among([]Once{"", OnceNone, OnceStore}, t.Once), "then.once", "is none or store")
+	c.addFaultIf(!emptyOrContains([]Class{"", Urgent, Normal, Bulk}, t.Class), "then.class", "must be urgent, normal or bulk")
+	c.addFaultIf(!emptyOrContains([]Size{"", Short, Long}, t.Size), "then.size", "must be short or long")
+	c.addFaultIf(!emptyOrContains([]Durable{"", DurableNone, DurableJournal}, t.Durable), "then.durable", "must be none or journal")
+	c.addFaultIf(!emptyOrContains([]Once{"", OnceNone, OnceStore}, t.Once), "then.once", "must be none or store")
 }
 
-// checkKeep refuses what a journal cannot keep at once: a rule that demands a
-// record of each request, and leaves some out.
-func (c *checker) checkKeep() {
+// checkRetention reports an invalid retention policy, and a rule that requires a journal
+// record of every request while its policy leaves some out.
+func (c *checker) checkRetention() {
 	t := &c.rule.Then
 	if err := t.Keep.Check(); err != nil {
-		c.add("then.keep", reason(err))
+		c.addFault("then.keep", messageWithoutKind(err))
 		return
 	}
-	c.addIf(t.Durable == DurableJournal && !t.Keep.RetainsAll(), "then.keep",
-		`durable = "journal" demands a record of every request, and this leaves some out`)
-	c.addIf(t.Keep.Sampled() && t.Key == "", "then.keep", "a sample is chosen by key: say where the key stands")
+	c.addFaultIf(t.Durable == DurableJournal && !t.Keep.RetainsAll(), "then.keep",
+		`durable = "journal" requires a record of every request, but this policy leaves some out`)
+	c.addFaultIf(t.Keep.Sampled() && t.Key == "", "then.keep", "a sample is chosen by key: set a key source")
 }
--- a/internal/rules/match/index.go
+++ b/internal/rules/match/index.go
@@ -6,37 +6,38 @@
 	"strings"
 )
 
-// index finds the few rules that may hold for a request, however many there are.
+// index finds the few rules that may match a request among a list of any length.
 //
-// Each rule is filed under one exact condition of its own: the one that the fewest
-// rules share. That is a service, method, caller or data centre, or a site: the host
-// together with the leading segments that its path or prefix fixes. A request looks
-// under each of its own values and at the rules that fix nothing; a rule filed under
-// a value that the request does not have cannot hold for it. What is found is still
-// compared in full, so the index may offer too many rules, but never too few.
+// Each rule is stored under one exact condition of its own, the one shared by the fewest
+// rules: a service, a method, a caller, a data centre, or a host and path, that is the
+// host together with the leading literal segments of the path pattern or prefix. A lookup
+// visits the nodes of the request's own values and the rules without any exact condition;
+// a rule stored under a value that the request does not have cannot match it. The rules
+// found are still compared in full, so the index may return too many rules, but never too
+// few.
 //
-// It takes memory and time in proportion to the text of the rules, also where each of
-// thousands has a value of its own.
+// Its size and the time to build it are proportional to the text of the rules, even when
+// each of thousands of rules has a value of its own.
 type index struct {
-	steps map[step]node
-	nodes []entry
-	rules []int32 // numbers of all nodes, one node after another
+	edges map[edge]node
+	nodes []nodeInfo
+	rules []int32 // rule numbers of all nodes, one node after another
 }
 
-// node is a value of one condition, or a site.
+// node is a value of one condition, or a host and path.
 type node int32
 
-// step leads from a node to the one for a further segment, and from a root to the one
-// for a value.
-type step struct {
-	from node
-	text string
+// edge leads from a node to its child for a further path segment, and from a root to the
+// node of a value.
+type edge struct {
+	parent node
+	text   string
 }
 
-// Roots. The site without a host and without segments also holds the rules that fix
-// no condition at all.
+// The roots of the index. rootPath is the node for any host and no path segments; it also
+// holds the rules that have no exact condition at all.
 const (
-	rootSite node = iota
+	rootPath node = iota
 	rootHost
 	rootService
 	rootMethod
@@ -45,214 +46,224 @@
 	roots
 )
 
-// entry is what the index knows of a node.
-type entry struct {
-	from, to int32 // its rules, in their order
-	up       node
-	inner    bool // rules are filed below
+// nodeInfo holds the rules of a node and its place in the tree.
+type nodeInfo struct {
+	from, to   int32 // its rules are index.rules[from:to], in the order of the list
+	parent     node
+	rulesBelow bool // some descendant has rules
 }
 
-// maxStep bounds the bytes of a host or segment by which a rule is filed, so that a
-// request's can be folded or unescaped in a fixed space.
-const maxStep = 256
+// maxEdgeText is the most bytes of a host or segment under which a rule is stored. The
+// bound lets a lookup lowercase a request's host or unescape its segment in a fixed-size
+// buffer.
+const maxEdgeText = 256
 
-// at returns the rules that are filed under a node.
-func (x *index) at(n node) []int32 {
+// rulesAt returns the numbers of the rules stored at a node.
+func (x *index) rulesAt(n node) []int32 {
 	e := &x.nodes[n]
 	return x.rules[e.from:e.to]
 }
 
-// next returns the node for a text under another one.
-func (x *index) next(n node, text string) (node, bool) {
-	if !x.nodes[n].inner {
+// child returns the child of a node for a text.
+func (x *index) child(n node, text string) (node, bool) {
+	if !x.nodes[n].rulesBelow {
 		return 0, false
 	}
-	n, ok := x.steps[step{n, text}]
+	n, ok := x.edges[edge{n, text}]
 	return n, ok
 }
 
-// host returns the node of a request's host.
-func (x *index) host(s string) (node, bool) {
-	if !x.nodes[rootHost].inner {
+// hostNode returns the node of a request's host.
+func (x *index) hostNode(s string) (node, bool) {
+	if !x.nodes[rootHost].rulesBelow {
 		return 0, false
 	}
-	s = hostOnly(s)
+	s = stripPort(s)
 	if !hasUpper(s) {
-		return x.next(rootHost, s)
+		return x.child(rootHost, s)
 	}
-	if len(s) > maxStep {
+	if len(s) > maxEdgeText {
 		return 0, false
 	}
-	var buf [maxStep]byte
+	var buf [maxEdgeText]byte
 	for i := range len(s) {
-		buf[i] = lower(s[i])
+		buf[i] = asciiLower(s[i])
 	}
-	n, ok := x.steps[step{rootHost, string(buf[:len(s)])}]
+	n, ok := x.edges[edge{rootHost, string(buf[:len(s)])}]
 	return n, ok
 }
 
 func hasUpper(s string) bool {
 	for i := range len(s) {
-		if s[i] != lower(s[i]) {
+		if s[i] != asciiLower(s[i]) {
 			return true
 		}
 	}
 	return false
 }
 
-// unescaped returns the node for the segment that an escaped one stands for.
-func (x *index) unescaped(n node, s string) (node, bool) {
-	if strings.IndexByte(s, '%') < 0 || !x.nodes[n].inner {
+// unescapedChild returns the child of a node for the unescaped form of a segment, if the
+// segment has escapes.
+func (x *index) unescapedChild(n node, s string) (node, bool) {
+	if strings.IndexByte(s, '%') < 0 || !x.nodes[n].rulesBelow {
 		return 0, false
 	}
-	var buf [maxStep]byte
+	var buf [maxEdgeText]byte
 	size := 0
 	for i := 0; i < len(s); size++ {
-		if size == maxStep {
+		if size == maxEdgeText {
 			return 0, false
 		}
 		buf[size], i = unescapeAt(s, i)
 	}
-	n, ok := x.steps[step{n, string(buf[:size])}]
+	n, ok := x.edges[edge{n, string(buf[:size])}]
 	return n, ok
 }
 
-// indexer builds an index.
-type indexer struct {
+// indexBuilder builds an index.
+type indexBuilder struct {
 	index
-	shared  []int32 // by node: how many rules could be filed there
-	choices []choice
-	values  []node // of all choices, one choice after another
-	filed   []filing
-	segs    []string
+	ruleCount      []int32 // by node: number of rules that could be stored there
+	candidates     []candidate
+	candidateNodes []node // of all candidates, one candidate after another
+	assignments    []assignment
+	segs           []string
 }
 
-// choice is a condition under which a rule may be filed, with the nodes of its values.
-type choice struct{ rule, from, to int32 }
+// candidate is an exact condition under which a rule may be stored. Its nodes are
+// candidateNodes[from:to].
+type candidate struct{ rule, from, to int32 }
 
-type filing struct {
+// assignment stores a rule at a node.
+type assignment struct {
 	at   node
 	rule int32
 }
 
-// newIndexer reserves what rules with a site each take.
-func newIndexer(rules int) *indexer {
+// newIndexBuilder reserves the space that a list takes if each rule has a host and path.
+func newIndexBuilder(rules int) *indexBuilder {
 	most := int(roots) + 2*rules
-	return &indexer{
-		index:   index{steps: make(map[step]node, most), nodes: make([]entry, roots, most)},
-		shared:  make([]int32, roots, most),
-		choices: make([]choice, 0, rules),
-		values:  make([]node, 0, rules),
-		filed:   make([]filing, 0, rules),
+	return &indexBuilder{
+		index:          index{edges: make(map[edge]node, most), nodes: make([]nodeInfo, roots, most)},
+		ruleCount:      make([]int32, roots, most),
+		candidates:     make([]candidate, 0, rules),
+		candidateNodes: make([]node, 0, rules),
+		assignments:    make([]assignment, 0, rules),
 	}
 }
 
+// newIndex builds the index of a list of rules.
 func newIndex(rules []Rule) index {
-	x := newIndexer(len(rules))
+	x := newIndexBuilder(len(rules))
 	for i := range rules {
-		x.choose(i, &rules[i])
+		x.addCandidates(i, &rules[i])
 	}
-	choices := x.choices
+	choices := x.candidates
 	for i := range rules {
 		n := 0
 		for n < len(choices) && int(choices[n].rule) == i {
 			n++
 		}
-		x.file(i, x.rarest(choices[:n]))
+		x.assign(i, x.mostSelective(choices[:n]))
 		choices = choices[n:]
 	}
-	x.lay()
+	x.layOut()
 	return x.index
 }
 
-// choose notes each condition of the rule that fixes values.
-func (x *indexer) choose(i int, r *Rule) {
+// addCandidates adds a candidate for each exact condition of the rule.
+func (x *indexBuilder) addCandidates(i int, r *Rule) {
 	w := &r.When
-	x.addSites(r)
-	x.close(i)
+	x.addHostPaths(r)
+	x.endCandidate(i)
 	addValues(x, rootService, w.Service)
-	x.close(i)
+	x.endCandidate(i)
 	addValues(x, rootMethod, w.Method)
-	x.close(i)
-	addValues(x, rootCaller, exact(w.Caller))
-	x.close(i)
+	x.endCandidate(i)
+	addValues(x, rootCaller, exactValues(w.Caller))
+	x.endCandidate(i)
 	addValues(x, rootCentre, w.Centre)
-	x.close(i)
+	x.endCandidate(i)
 }
 
-// close makes a choice of the values added since the last one, if there are any.
-func (x *indexer) close(rule int) {
+// endCandidate makes one candidate of the nodes added since the previous one, if there are
+// any.
+func (x *indexBuilder) endCandidate(rule int) {
 	from := int32(0)
-	if n := len(x.choices); n > 0 {
-		from = x.choices[n-1].to
+	if n := len(x.candidates); n > 0 {
+		from = x.candidates[n-1].to
 	}
-	to := int32(len(x.values))
+	to := int32(len(x.candidateNodes))
 	if from == to {
 		return
 	}
-	x.choices = append(x.choices, choice{int32(rule), from, to})
-	for _, n := range x.values[from:to] {
-		x.shared[n]++
+	x.candidates = append(x.candidates, candidate{int32(rule), from, to})
+	for _, n := range x.candidateNodes[from:to] {
+		x.ruleCount[n]++
 	}
 }
 
-func addValues[T ~string](x *indexer, root node, values []T) {
+func addValues[T ~string](x *indexBuilder, root node, values []T) {
 	for _, v := range values {
-		x.values = append(x.values, x.add(root, string(v)))
+		x.candidateNodes = append(x.candidateNodes, x.addNode(root, string(v)))
 	}
 }
 
-// addSites adds the rule's sites, or none when it fixes neither host nor segment.
-func (x *indexer) addSites(r *Rule) {
-	x.segs = r.leading(x.segs[:0])
-	hosts := exact(r.When.Host)
-	if slices.ContainsFunc(hosts, func(h string) bool { return len(h) > maxStep }) {
+// addHostPaths adds the nodes of the rule's hosts and leading segments, or none when it
+// has neither.
+func (x *indexBuilder) addHostPaths(r *Rule) {
+	x.segs = r.leadingSegs(x.segs[:0])
+	hosts := exactValues(r.When.Host)
+	if slices.ContainsFunc(hosts, func(h string) bool { return len(h) > maxEdgeText }) {
 		hosts = nil
 	}
 	for _, h := range hosts {
-		x.values = append(x.values, x.below(x.add(rootHost, h)))
+		x.candidateNodes = append(x.candidateNodes, x.addSegs(x.addNode(rootHost, h)))
 	}
 	if len(hosts) > 0 {
 		return
 	}
-	if n := x.below(rootSite); n != rootSite {
-		x.values = append(x.values, n)
+	if n := x.addSegs(rootPath); n != rootPath {
+		x.candidateNodes = append(x.candidateNodes, n)
 	}
 }
 
-// below follows the present segments from a node, as far as a request's path is cut.
-func (x *indexer) below(n node) node {
+// addSegs adds the path of x.segs below a node and returns the last node. It stops after
+// maxSegs segments, as many as a request's path is split into, and before a segment longer
+// than maxEdgeText.
+func (x *indexBuilder) addSegs(n node) node {
 	for _, text := range x.segs[:min(len(x.segs), maxSegs)] {
-		if len(text) > maxStep {
+		if len(text) > maxEdgeText {
 			return n
 		}
-		n = x.add(n, text)
+		n = x.addNode(n, text)
 	}
 	return n
 }
 
-func (x *indexer) add(from node, text string) node {
-	s := step{from, text}
-	if n, ok := x.steps[s]; ok {
+// addNode returns the child of a node for a text, and creates it if necessary.
+func (x *indexBuilder) addNode(from node, text string) node {
+	s := edge{from, text}
+	if n, ok := x.edges[s]; ok {
 		return n
 	}
 	n := node(len(x.nodes))
-	x.steps[s] = n
-	x.nodes = append(x.nodes, entry{up: from})
-	x.shared = append(x.shared, 0)
+	x.edges[s] = n
+	x.nodes = append(x.nodes, nodeInfo{parent: from})
+	x.ruleCount = append(x.ruleCount, 0)
 	return n
 }
 
-// rarest returns the nodes of the choice that the fewest rules share, or nothing when
-// there is none. Of a choice with several values the commonest counts.
-func (x *indexer) rarest(choices []choice) []node {
+// mostSelective returns the nodes of the candidate shared by the fewest rules, or nil when
+// there is none. A candidate with several values is judged by its most common value.
+func (x *indexBuilder) mostSelective(choices []candidate) []node {
 	var best []node
 	least := int32(math.MaxInt32)
 	for _, c := range choices {
-		nodes := x.values[c.from:c.to]
+		nodes := x.candidateNodes[c.from:c.to]
 		most := int32(0)
 		for _, n := range nodes {
-			most = max(most, x.shared[n])
+			most = max(most, x.ruleCount[n])
 		}
 		if most < least {
 			best, least = nodes, most
@@ -261,23 +272,24 @@
 	return best
 }
 
-func (x *indexer) file(rule int, nodes []node) {
+// assign stores a rule at the given nodes, or at rootPath when there are none.
+func (x *indexBuilder) assign(rule int, nodes []node) {
 	if len(nodes) == 0 {
-		nodes = []node{rootSite}
+		nodes = []node{rootPath}
 	}
 	for _, n := range nodes {
-		x.filed = append(x.filed, filing{n, int32(rule)})
+		x.assignments = append(x.assignments, assignment{n, int32(rule)})
 		x.nodes[n].to++
-		for n >= roots && !x.nodes[x.nodes[n].up].inner {
-			n = x.nodes[n].up
-			x.nodes[n].inner = true
+		for n >= roots && !x.nodes[x.nodes[n].parent].rulesBelow {
+			n = x.nodes[n].parent
+			x.nodes[n].rulesBelow = true
 		}
 	}
 }
 
-// lay puts the rules of each node side by side. They were filed in their order and
-// stay in it.
-func (x *indexer) lay() {
+// layOut fills index.rules so that the rules of each node are contiguous. They were
+// assigned in the order of the list and keep that order.
+func (x *indexBuilder) layOut() {
 	at := int32(0)
 	for i := range x.nodes {
 		e := &x.nodes[i]
@@ -286,51 +298,51 @@
 		at += n
 	}
 	x.rules = make([]int32, at)
-	for _, f := range x.filed {
+	for _, f := range x.assignments {
 		e := &x.nodes[f.at]
 		x.rules[e.to] = f.rule
 		e.to++
 	}
 }
 
-// exact returns the values when none holds a star, and nothing otherwise.
-func exact[T ~string](values []T) []T {
+// exactValues returns the values when none has a wildcard, and nil otherwise.
+func exactValues[T ~string](values []T) []T {
 	for _, v := range values {
-		if strings.Contains(string(v), star) {
+		if strings.Contains(string(v), wildcard) {
 			return nil
 		}
 	}
 	return values
 }
 
-// leading appends the segments with which each path of the rule begins, as the path
-// pattern or the prefix fixes more of them.
-func (r *Rule) leading(out []string) []string {
-	if r.path.literals() >= strings.Count(r.When.Prefix, "/")-1 {
-		return r.path.literalTexts(out)
+// leadingSegs appends the literal segments with which every path of the rule begins, taken
+// from the path pattern or the prefix, whichever has more of them.
+func (r *Rule) leadingSegs(out []string) []string {
+	if r.path.leadingLiterals() >= strings.Count(r.When.Prefix, "/")-1 {
+		return r.path.leadingLiteralTexts(out)
 	}
-	return prefixSegs(r.When.Prefix, out)
+	return prefixSegments(r.When.Prefix, out)
 }
 
-// literals returns how many segments stand before the first variable.
-func (p *path) literals() int {
+// leadingLiterals returns the number of segments before the first variable.
+func (p *path) leadingLiterals() int {
 	n := 0
-	for n < p.fixed() && !p.segs[n].open {
+	for n < p.fixedLen() && !p.segs[n].isVar {
 		n++
 	}
 	return n
 }
 
-// literalTexts appends the segments before the first variable.
-func (p *path) literalTexts(out []string) []string {
-	for _, s := range p.segs[:p.literals()] {
+// leadingLiteralTexts appends the segments before the first variable.
+func (p *path) leadingLiteralTexts(out []string) []string {
+	for _, s := range p.segs[:p.leadingLiterals()] {
 		out = append(out, s.text)
 	}
 	return out
 }
 
-// prefixSegs appends the whole segments of a prefix.
-func prefixSegs(prefix string, out []string) []string {
+// prefixSegments appends the complete segments of a prefix.
+func prefixSegments(prefix string, out []string) []string {
 	end := strings.LastIndexByte(prefix, '/')
 	if end <= 0 {
 		return out
--- a/internal/rules/match/index_test.go
+++ b/internal/rules/match/index_test.go
@@ -12,15 +12,13 @@
 	"hawthornfield.org/hawthornfield/internal/fake/seeds"
 )
 
-// handful is the most rules that one request is compared with in full, whatever
+// maxComparisons is the most rules that one request may be compared with in full, whatever
 // the number of rules.
-const handful = 8
+const maxComparisons = 8
 
-// An operator adds rules for hosts and prefixes until there are thousands. Compared
-// one after another, each of them makes every request dearer, and weak VMs spend
-// their processor on rules that have nothing to do with the request: callers get
-// later answers each time somebody else's rule is added.
-func TestARequestLooksAtAHandfulOfManyRules(t *testing.T) {
+// With thousands of rules for hosts and prefixes, comparing one after another would make
+// every request slower with each rule added, although the rule has nothing to do with it.
+func TestMatchComparesFewRules(t *testing.T) {
 	const many = 8000
 	for _, c := range []struct {
 		name string
@@ -29,28 +27,28 @@
 	}{
 		{
 			"a host each",
-			func(i int) When { return When{Host: []string{site(i)}, Prefix: "/"} },
-			func(i int) *Request { return &Request{Host: site(i), Path: "/x"} },
+			func(i int) When { return When{Host: []string{hostName(i)}, Prefix: "/"} },
+			func(i int) *Request { return &Request{Host: hostName(i), Path: "/x"} },
 		},
 		{
 			"a prefix each, one host",
-			func(i int) When { return When{Host: []string{site(0)}, Prefix: prefix(i)} },
-			func(i int) *Request { return &Request{Host: "Site0.Example:80", Path: prefix(i) + "x"} },
+			func(i int) When { return When{Host: []string{hostName(0)}, Prefix: segmentPrefix(i)} },
+			func(i int) *Request { return &Request{Host: "Site0.Example:80", Path: segmentPrefix(i) + "x"} },
 		},
 		{
 			"prefixes shared by hosts",
-			func(i int) When { return When{Host: []string{site(i / 80)}, Prefix: prefix(i % 80)} },
-			func(i int) *Request { return &Request{Host: site(i / 80), Path: prefix(i % 80)} },
+			func(i int) When { return When{Host: []string{hostName(i / 80)}, Prefix: segmentPrefix(i % 80)} },
+			func(i int) *Request { return &Request{Host: hostName(i / 80), Path: segmentPrefix(i % 80)} },
 		},
 		{
 			"a second segment each",
-			func(i int) When { return When{Host: []string{site(0)}, Prefix: "/api" + prefix(i)} },
-			func(i int) *Request { return &Request{Host: site(0), Path: "/api" + prefix(i) + "x"} },
+			func(i int) When { return When{Host: []string{hostName(0)}, Prefix: "/api" + segmentPrefix(i)} },
+			func(i int) *Request { return &Request{Host: hostName(0), Path: "/api" + segmentPrefix(i) + "x"} },
 		},
 		{
 			"a prefix each, any host",
-			func(i int) When { return When{Host: []string{"*.example"}, Prefix: prefix(i)} },
-			func(i int) *Request { return &Request{Host: site(0), Path: prefix(i)} },
+			func(i int) When { return When{Host: []string{"*.example"}, Prefix: segmentPrefix(i)} },
+			func(i int) *Request { return &Request{Host: hostName(0), Path: segmentPrefix(i)} },
 		},
 		{
 			"a path each, escaped by the caller",
@@ -59,32 +57,34 @@
 		},
 		{
 			"a caller each",
-			func(i int) When { return When{Caller: []ident.Caller{ident.Caller(site(i))}, Path: "/scales/{key}"} },
-			func(i int) *Request { return &Request{Caller: ident.Caller(site(i)), Path: "/scales/7"} },
+			func(i int) When {
+				return When{Caller: []ident.Caller{ident.Caller(hostName(i))}, Path: "/scales/{key}"}
+			},
+			func(i int) *Request { return &Request{Caller: ident.Caller(hostName(i)), Path: "/scales/7"} },
 		},
 	} {
 		rules := make([]Rule, many)
 		for i := range rules {
 			rules[i] = Rule{Name: strconv.Itoa(i), When: c.rule(i)}
 		}
-		s := accepted(rules)
+		s := compileUnchecked(rules)
 		for _, i := range []int{0, 1, many / 2, many - 1} {
 			got, compared := s.find(c.req(i))
 			assert.Equal(t, got, i, c.name)
-			assert.Assert(t, compared <= handful, "%s: rule %d took %d comparisons", c.name, i, compared)
+			assert.Assert(t, compared <= maxComparisons, "%s: rule %d took %d comparisons", c.name, i, compared)
 		}
 		got, compared := s.find(&Request{Host: "elsewhere.example", Path: "/elsewhere"})
 		assert.Equal(t, got, -1, c.name)
-		assert.Assert(t, compared <= handful, "%s: no rule took %d comparisons", c.name, compared)
+		assert.Assert(t, compared <= maxComparisons, "%s: no rule took %d comparisons", c.name, compared)
 	}
 }
 
-func site(i int) string { return "site" + strconv.Itoa(i) + ".example" }
+func hostName(i int) string { return "site" + strconv.Itoa(i) + ".example" }
 
-func prefix(i int) string { return "/part" + strconv.Itoa(i) + "/" }
+func segmentPrefix(i int) string { return "/part" + strconv.Itoa(i) + "/" }
 
-// drawSegs draws the text of some segments, more of them than a path is cut into.
-func drawSegs(t *rapid.T, label string, from ...string) string {
+// drawPathText draws a path of zero or more segments, sometimes more than maxSegs.
+func drawPathText(t *rapid.T, label string, from ...string) string {
 	n := rapid.SampledFrom([]int{0, 1, 1, 2, 2, 3, 4, maxSegs - 1, maxSegs, maxSegs + 1}).Draw(t, label+" segments")
 	var b strings.Builder
 	for range n {
@@ -94,17 +94,17 @@
 }
 
 var (
-	longSegment = strings.Repeat("s", maxStep+1)
-	longHost    = strings.Repeat("h", maxStep+1)
+	longSegment = strings.Repeat("s", maxEdgeText+1)
+	longHost    = strings.Repeat("h", maxEdgeText+1)
 )
 
-// drawSite draws a rule that fixes a host, a prefix or a path in most cases.
-func drawSite(t *rapid.T, i int) Rule {
+// drawHostPathRule draws a rule that in most cases has a host, a prefix or a path.
+func drawHostPathRule(t *rapid.T, i int) Rule {
 	r := Rule{Name: strconv.Itoa(i), Then: Then{Service: "lookup"}}
 	r.When.Host = drawList(t, "host", "a", "b", "c", "*", "a*", longHost)
 	kind := rapid.IntRange(0, 5).Draw(t, "kind")
 	if kind <= 3 {
-		r.When.Prefix = drawSegs(t, "prefix", "a", "a", "b", "%61", "%62", "%2561", "", "a%2Fb", longSegment) + "/"
+		r.When.Prefix = drawPathText(t, "prefix", "a", "a", "b", "%61", "%62", "%2561", "", "a%2Fb", longSegment) + "/"
 	}
 	if kind >= 3 {
 		r.When.Path = drawPattern(t)
@@ -132,16 +132,17 @@
 	return b.String()
 }
 
-func drawSites(t *rapid.T, most int) []Rule {
+func drawHostPathRules(t *rapid.T, most int) []Rule {
 	rules := make([]Rule, rapid.IntRange(1, most).Draw(t, "rules"))
 	for i := range rules {
-		rules[i] = drawSite(t, i)
+		rules[i] = drawHostPathRule(t, i)
 	}
 	return rules
 }
 
-// drawVisit draws a request, of which every second one begins like some rule's prefix.
-func drawVisit(t *rapid.T, rules []Rule) *Request {
+// drawRequestNear draws a request; about half of the paths begin with the prefix of some
+// rule.
+func drawRequestNear(t *rapid.T, rules []Rule) *Request {
 	w := rapid.SampledFrom(rules).Draw(t, "like").When
 	path := strings.TrimSuffix(w.Prefix, "/")
 	if path == "" || rapid.Bool().Draw(t, "other") {
@@ -156,17 +157,16 @@
 }
 
 func drawPath(t *rapid.T) string {
-	return drawSegs(t, "segment", "a", "a", "a", "b", "%61", "%62", "%2561", "", "a%2Fb", "%2e%2e", longSegment, "%73"+longSegment[1:])
+	return drawPathText(t, "segment", "a", "a", "a", "b", "%61", "%62", "%2561", "", "a%2Fb", "%2e%2e", longSegment, "%73"+longSegment[1:])
 }
 
-// An operator mixes rules for hosts, prefixes and path patterns, and callers escape
-// their paths in ways of their own. A rule that the index does not offer would never
-// apply to such requests; a later one would take them, or none.
-func TestTheIndexOffersEveryRuleThatHolds(t *testing.T) {
+// Rules mix hosts, prefixes and path patterns, and callers escape paths in different ways.
+// If the index missed a rule, a later rule or none would apply to the request.
+func TestIndexAgreesWithLinearSearch(t *testing.T) {
 	seeds.Check(t, func(t *rapid.T) {
-		s := accepted(drawSites(t, 60))
+		s := compileUnchecked(drawHostPathRules(t, 60))
 		for range 20 {
-			req := drawVisit(t, s.Rules())
+			req := drawRequestNear(t, s.Rules())
 			want := -1
 			if req.Path != "" {
 				want = naive(s.Rules(), req)
@@ -177,19 +177,18 @@
 	})
 }
 
-// A request reaches a VM with its host in capitals or its segments escaped, longer
-// than what fits into a small buffer. Should folding them allocate, such requests
-// would cost the collector's time on top of their own.
+// Lowercasing a host in upper case and unescaping a segment, both longer than a small
+// buffer, must not allocate: such requests would add garbage collection time.
 func TestFoldingAndUnescapingAllocateNothing(t *testing.T) {
 	long := strings.Repeat("long", 40)
-	s := accepted([]Rule{
+	s := compileUnchecked([]Rule{
 		{Name: "host", When: When{Host: []string{long}}},
 		{Name: "path", When: When{Path: "/" + long}},
 	})
 	capitals, escaped := strings.ToUpper(long)+":8080", "%6c"+long[1:]
 	allocs := testing.AllocsPerRun(100, func() {
-		_, host := s.index.host(capitals)
-		_, seg := s.index.unescaped(rootSite, escaped)
+		_, host := s.index.hostNode(capitals)
+		_, seg := s.index.unescapedChild(rootPath, escaped)
 		if !host || !seg {
 			t.Fatal("not found")
 		}
--- a/internal/rules/match/key.go
+++ b/internal/rules/match/key.go
@@ -9,28 +9,27 @@
 	"hawthornfield.org/hawthornfield/internal/core/kinds"
 )
 
-// Places where a key can stand, as written before the colon in Then.Key.
+// Sources of a key, as written before the colon in Then.Key.
 const (
 	fromPath   = "path"
 	fromHeader = "header"
 	fromQuery  = "query"
 )
 
-// KeyOf returns the key that a request carries under its rule, and an empty key
-// when the rule reads none.
+// KeyOf returns the key of a request as its rule defines it, or an empty key when the rule
+// reads none.
 //
-// It fails with kind BadRequest when the key is missing, too long or given
-// twice. A key that stands twice would let this side and the backend server
-// read different ones, and a request would run at a server that does not own
-// the key it changes. Escapes are resolved, so that two spellings of one key
-// never have two owners.
+// It fails with kind BadRequest when the key is missing, longer than MaxKey or given more
+// than once. If a key given twice were accepted, the router and the backend server could
+// read different ones, and the request would run at a server that does not own the key it
+// changes. Escapes are decoded, so that two spellings of one key never have two owners.
 func KeyOf(r *Rule, req *Request) (ident.Key, error) {
-	place, name, _ := strings.Cut(r.Then.Key, ":")
+	source, name, _ := strings.Cut(r.Then.Key, ":")
 	var (
 		raw string
 		err error
 	)
-	switch place {
+	switch source {
 	case "":
 		return "", nil
 	case fromPath:
@@ -53,22 +52,22 @@
 
 func pathKey(r *Rule, req *Request, name string) (string, error) {
 	p := r.path
-	if !p.set {
+	if !p.nonEmpty {
 		var err error
 		if p, err = parsePath(r.When.Path); err != nil {
 			return "", err
 		}
 	}
-	i := p.index(name)
+	i := p.varIndex(name)
 	if i < 0 {
 		return "", kinds.New(kinds.Internal, "rule "+r.Name+" has no path variable "+name)
 	}
-	raw := p.value(req.Path, i)
+	raw := p.varText(req.Path, i)
 	if strings.IndexByte(raw, '%') < 0 {
 		return raw, nil
 	}
 	key, err := url.PathUnescape(raw)
-	return key, kinds.Wrap(kinds.BadRequest, err, "key in the path")
+	return key, kinds.Wrap(kinds.BadRequest, err, "decode the key in the path")
 }
 
 func headerKey(req *Request, name string) (string, error) {
@@ -77,7 +76,7 @@
 		values = req.Header[textproto.CanonicalMIMEHeaderKey(name)]
 	}
 	if len(values) > 1 {
-		return "", kinds.New(kinds.BadRequest, "the key's header stands twice")
+		return "", kinds.New(kinds.BadRequest, "the header with the key occurs more than once")
 	}
 	if len(values) == 0 {
 		return "", nil
@@ -99,7 +98,7 @@
 			continue
 		}
 		if seen {
-			return "", kinds.New(kinds.BadRequest, "the key's query parameter stands twice")
+			return "", kinds.New(kinds.BadRequest, "the query parameter with the key occurs more than once")
 		}
 		if found, err = unescapeQuery(v); err != nil {
 			return "", err
@@ -114,5 +113,5 @@
 		return s, nil
 	}
 	out, err := url.QueryUnescape(s)
-	return out, kinds.Wrap(kinds.BadRequest, err, "key in the query")
+	return out, kinds.Wrap(kinds.BadRequest, err, "decode the key in the query")
 }
--- a/internal/rules/match/match_test.go
+++ b/internal/rules/match/match_test.go
@@ -16,7 +16,7 @@
 	"hawthornfield.org/hawthornfield/internal/fake/seeds"
 )
 
-// naive compares one rule after another in the plainest way, as a reference.
+// naive returns the first matching rule by comparing one after another, as a reference.
 func naive(rules []Rule, req *Request) int {
 	for i := range rules {
 		if naiveHolds(&rules[i].When, req) {
@@ -27,29 +27,29 @@
 }
 
 func naiveHolds(w *When, req *Request) bool {
-	ok := naiveAny(w.Service, req.Service, false) && naiveAny(w.Method, req.Method, false) &&
-		naiveAny(w.Centre, req.Centre, false) && naiveAny(w.Caller, req.Caller, true) &&
-		naiveAny(w.Host, strings.ToLower(strings.Split(req.Host, ":")[0]), true) &&
-		naivePath(w.Path, req.Path) && strings.HasPrefix(req.Path, w.Prefix)
+	ok := naiveListMatches(w.Service, req.Service, false) && naiveListMatches(w.Method, req.Method, false) &&
+		naiveListMatches(w.Centre, req.Centre, false) && naiveListMatches(w.Caller, req.Caller, true) &&
+		naiveListMatches(w.Host, strings.ToLower(strings.Split(req.Host, ":")[0]), true) &&
+		naivePathMatches(w.Path, req.Path) && strings.HasPrefix(req.Path, w.Prefix)
 	for name, p := range w.Header {
 		found := false
 		for _, v := range req.Header[name] {
-			found = found || naiveGlob(p, v)
+			found = found || naiveGlobMatch(p, v)
 		}
 		ok = ok && found
 	}
 	return ok
 }
 
-func naiveAny[T ~string](list []T, v T, glob bool) bool {
+func naiveListMatches[T ~string](list []T, v T, glob bool) bool {
 	found := len(list) == 0
 	for _, p := range list {
-		found = found || p == v || glob && naiveGlob(string(p), string(v))
+		found = found || p == v || glob && naiveGlobMatch(string(p), string(v))
 	}
 	return found
 }
 
-func naiveGlob(p, v string) bool {
+func naiveGlobMatch(p, v string) bool {
 	pre, suf, open := strings.Cut(p, "*")
 	for i := 0; open && i <= len(v); i++ {
 		if strings.HasPrefix(v, pre) && i >= len(pre) && v[i:] == suf {
@@ -59,7 +59,7 @@
 	return p == v && !open
 }
 
-func naivePath(pattern, path string) bool {
+func naivePathMatches(pattern, path string) bool {
 	for _, s := range strings.Split(path, "/") {
 		if u, err := url.PathUnescape(s); err != nil || u == "." || u == ".." {
 			return false
@@ -140,8 +140,8 @@
 	return rules
 }
 
-// compileSeen compiles and drops the rules that the check names as hidden.
-func compileSeen(t *rapid.T, rules []Rule) *Set {
+// compileWithoutHidden compiles the rules after dropping those reported as hidden.
+func compileWithoutHidden(t *rapid.T, rules []Rule) *Set {
 	for {
 		s, err := Compile(rules)
 		if err == nil {
@@ -159,9 +159,9 @@
 	}
 }
 
-func TestSetAgreesWithOneRuleAfterAnother(t *testing.T) {
+func TestSetAgreesWithLinearSearch(t *testing.T) {
 	seeds.Check(t, func(t *rapid.T) {
-		s := compileSeen(t, drawRules(t, 80))
+		s := compileWithoutHidden(t, drawRules(t, 80))
 		for range 20 {
 			req := drawRequest(t)
 			want := naive(s.Rules(), req)
@@ -174,8 +174,8 @@
 	})
 }
 
-// An operator is told that a rule can never match and removes it. If the check
-// were wrong, requests that the rule used to take would go elsewhere.
+// An operator removes a rule that is reported as hidden. If the report were wrong,
+// requests that the rule used to match would go elsewhere.
 func TestHiddenRulesNeverMatch(t *testing.T) {
 	seeds.Check(t, func(t *rapid.T) {
 		rules := drawRules(t, 12)
@@ -196,7 +196,7 @@
 	})
 }
 
-func TestKeyOfReadsEachPlaceAndRefusesWhatIsUnclear(t *testing.T) {
+func TestKeyOfReadsEachSourceAndRejectsAmbiguousKeys(t *testing.T) {
 	long := strings.Repeat("x", MaxKey+1)
 	for _, c := range []struct {
 		source, pattern, path, query string
@@ -281,9 +281,8 @@
 	assert.Assert(t, !ok)
 }
 
-// An auditor asks who handled the receipts of one ground. The ledger service is
-// not divided by key, and if its rules could not say where the key stands, the
-// report would have to answer that there were none.
+// An auditor asks who handled the receipts of one ground. If rules for a service that is
+// not sharded by key could not name a key source, the report would find none.
 func TestAServiceThatIsNotDividedMayHaveAKey(t *testing.T) {
 	known := WithServices(map[ident.Service]Service{"ledger": {}})
 	rule := Rule{Name: "receipts", When: When{Path: "/receipts/{ground}"}, Then: Then{Service: "ledger", Key: "path:ground"}}
--- a/internal/rules/match/form_test.go
+++ b/internal/rules/match/normalize_test.go
@@ -7,9 +7,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// An operator writes the host of a rule with the port at which callers reach it. The
-// port is cut off the request's host alone, so the rule never matches: its callers get
-// 404 for good, and nobody is told why.
+// An operator writes a host pattern with a port. As the port is cut off the request's
+// host, a pattern compared with its port would never match, and callers would get 404.
 func TestAPortInAHostPatternIsIgnoredAsInARequest(t *testing.T) {
 	for pattern, hosts := range map[string][]string{
 		"b.example:8443":   {"b.example", "b.example:8443", "B.Example:80"},
@@ -29,8 +28,8 @@
 	}
 }
 
-// An operator writes a prefix with letters that a request's path carries escaped. Compared
-// as it stands it begins no path: its callers get 404 for good, and nobody is told why.
+// An operator writes a prefix with characters that request paths carry escaped. Compared
+// unescaped it would match no path, and callers would get 404.
 func TestAPrefixIsComparedInTheFormOfARequestsPath(t *testing.T) {
 	for prefix, path := range map[string]string{
 		"/ü/":       "/%C3%BC/1",
--- a/internal/rules/match/parse.go
+++ b/internal/rules/match/parse.go
@@ -14,35 +14,35 @@
 	"hawthornfield.org/hawthornfield/internal/core/retain"
 )
 
-// MaxFile is the largest file of rules that Parse reads, in bytes. It leaves
-// room for the revision's other fields in one value of the object API.
+// MaxFile is the maximum size in bytes of a rules file that Parse accepts. It leaves room
+// for the other fields of the revision in one value of the object store.
 const MaxFile = 1 << 19
 
-const badSpan = `a duration has a number and a unit, such as "250ms"`
+const badDuration = `a duration needs a number and a unit, such as "250ms"`
 
-// File is a parsed list of rules that still knows its line numbers.
+// File is a parsed list of rules together with its line numbers.
 type File struct {
 	Rules []Rule
 	lines lines
 }
 
-// Parse decodes a file of rules strictly: an unknown word, a value of the wrong
-// type or broken syntax fails with kind Malformed and names the line.
+// Parse decodes a rules file strictly: an unknown field, a value of the wrong type or a
+// syntax error fails with kind Malformed and names the line.
 func Parse(src []byte) (File, error) {
 	if len(src) > MaxFile {
-		return File{}, kinds.New(kinds.TooLarge, "file of rules")
+		return File{}, kinds.New(kinds.TooLarge, "rules file")
 	}
 	var f fileDoc
 	dec := toml.NewDecoder(bytes.NewReader(src)).DisallowUnknownFields()
 	if err := dec.Decode(&f); err != nil {
-		return File{}, kinds.Wrap(kinds.Malformed, withLine(err), "read rules")
+		return File{}, kinds.Wrap(kinds.Malformed, addPosition(err), "read rules")
 	}
 	out := File{lines: findLines(src)}
 	var faults Faults
 	for i, r := range f.Rule {
-		out.Rules = append(out.Rules, r.rule(func(field string) {
-			line := out.lines.of(i, field)
-			faults = append(faults, Fault{Line: line, Rule: r.Name, Field: field, Text: badSpan})
+		out.Rules = append(out.Rules, r.toRule(func(field string) {
+			line := out.lines.lineFor(i, field)
+			faults = append(faults, Fault{Line: line, Rule: r.Name, Field: field, Text: badDuration})
 		}))
 	}
 	if len(faults) > 0 {
@@ -51,19 +51,19 @@
 	return out, nil
 }
 
-// Compile checks the file's rules as [Compile] does; its faults name lines.
+// Compile checks and compiles the rules as [Compile] does; its faults carry line numbers.
 func (f File) Compile(opts ...Option) (*Set, error) {
 	return Compile(f.Rules, append([]Option{withLines(f.lines)}, opts...)...)
 }
 
-// withLine puts the position of a decoder's error in front of its message.
-func withLine(err error) error {
+// addPosition puts the position of a decoder error in front of its message.
+func addPosition(err error) error {
 	var strict *toml.StrictMissingError
 	if errors.As(err, &strict) && len(strict.Errors) > 0 {
 		first := &strict.Errors[0]
 		line, _ := first.Position()
 		key := first.Key()
-		return errors.New("line " + strconv.Itoa(line) + ": unknown word " + key[len(key)-1])
+		return errors.New("line " + strconv.Itoa(line) + ": unknown field " + key[len(key)-1])
 	}
 	var bad *toml.DecodeError
 	if errors.As(err, &bad) {
@@ -73,7 +73,8 @@
 	return err
 }
 
-// The documents below are the file's form; durations are text such as "250ms".
+// fileDoc and the types below are the TOML form of rules; durations are text such as
+// "250ms".
 type fileDoc struct {
 	Rule []ruleDoc `toml:"rule"`
 }
@@ -119,10 +120,11 @@
 	Weight  uint32        `toml:"weight"`
 }
 
-// rule converts a document; bad is called for each duration that is none.
-func (d ruleDoc) rule(bad func(field string)) Rule {
+// toRule converts a document to a rule. It calls bad for each field with an invalid
+// duration.
+func (d ruleDoc) toRule(bad func(field string)) Rule {
 	t := d.Then
-	span := func(field, text string) time.Duration {
+	duration := func(field, text string) time.Duration {
 		if text == "" {
 			return 0
 		}
@@ -133,25 +135,25 @@
 		return v
 	}
 	return Rule{Name: d.Name, When: When(d.When), Then: Then{
-		Service: t.Service, Split: convert[Part](t.Split), Deny: t.Deny, Key: t.Key, Class: t.Class, Size: t.Size,
-		Deadline: span("then.deadline", t.Deadline), Aim: span("then.aim", t.Aim), Idempotent: t.Idempotent, Retry: t.Retry,
-		Hedge: span("then.hedge", t.Hedge), Queue: t.Queue, Wait: span("then.wait", t.Wait),
+		Service: t.Service, Split: convertParts[Part](t.Split), Deny: t.Deny, Key: t.Key, Class: t.Class, Size: t.Size,
+		Deadline: duration("then.deadline", t.Deadline), Aim: duration("then.aim", t.Aim), Idempotent: t.Idempotent, Retry: t.Retry,
+		Hedge: duration("then.hedge", t.Hedge), Queue: t.Queue, Wait: duration("then.wait", t.Wait),
 		Durable: t.Durable, Once: t.Once, Keep: t.Keep,
 	}}
 }
 
-func docOf(r *Rule) ruleDoc {
+func newRuleDoc(r *Rule) ruleDoc {
 	t := r.Then
 	return ruleDoc{Name: r.Name, When: whenDoc(r.When), Then: thenDoc{
-		Service: t.Service, Split: convert[partDoc](t.Split), Deny: t.Deny, Key: t.Key, Class: t.Class, Size: t.Size,
-		Deadline: text(t.Deadline), Aim: text(t.Aim), Idempotent: t.Idempotent, Retry: t.Retry,
-		Hedge: text(t.Hedge), Queue: t.Queue, Wait: text(t.Wait),
+		Service: t.Service, Split: convertParts[partDoc](t.Split), Deny: t.Deny, Key: t.Key, Class: t.Class, Size: t.Size,
+		Deadline: durationText(t.Deadline), Aim: durationText(t.Aim), Idempotent: t.Idempotent, Retry: t.Retry,
+		Hedge: durationText(t.Hedge), Queue: t.Queue, Wait: durationText(t.Wait),
 		Durable: t.Durable, Once: t.Once, Keep: t.Keep,
 	}}
 }
 
-// convert turns parts into their form in the file, and back.
-func convert[To, From Part | partDoc](parts []From) []To {
+// convertParts converts the parts of a split between Part and partDoc.
+func convertParts[To, From Part | partDoc](parts []From) []To {
 	if len(parts) == 0 {
 		return nil
 	}
@@ -162,41 +164,43 @@
 	return all
 }
 
-func text(d time.Duration) string {
+func durationText(d time.Duration) string {
 	if d == 0 {
 		return ""
 	}
 	return d.String()
 }
 
-// Render writes rules in the form that Parse reads.
+// Render encodes rules in the format that Parse reads.
 func Render(rules []Rule) ([]byte, error) {
 	var f fileDoc
 	for i := range rules {
-		f.Rule = append(f.Rule, docOf(&rules[i]))
+		f.Rule = append(f.Rule, newRuleDoc(&rules[i]))
 	}
 	b, err := toml.Marshal(f)
 	return b, kinds.Wrap(kinds.Internal, err, "render rules")
 }
 
-// lines knows on which line each rule and each of its words stands.
+// lines holds the line of each rule and of each of its fields.
 type lines struct {
-	rules []int
-	words []map[string]int
+	rules  []int
+	fields []map[string]int
 }
 
-// of returns the line of a word of rule i, or else that of the rule, or zero.
-func (l lines) of(i int, word string) int {
+// lineFor returns the line of a field of rule i, or that of the rule if the field is
+// unknown, or zero.
+func (l lines) lineFor(i int, field string) int {
 	if i >= len(l.rules) {
 		return 0
 	}
-	if n, ok := l.words[i][word]; ok {
+	if n, ok := l.fields[i][field]; ok {
 		return n
 	}
 	return l.rules[i]
 }
 
-// findLines walks the syntax tree of a file that was decoded before.
+// findLines reads the line numbers from the syntax tree of a file that was already
+// decoded.
 func findLines(src []byte) lines {
 	var (
 		l lines
@@ -208,50 +212,51 @@
 		n := p.Expression()
 		switch n.Kind {
 		case unstable.ArrayTable:
-			l.rules = append(l.rules, lineOf(&p, n))
-			l.words = append(l.words, map[string]int{})
+			l.rules = append(l.rules, lineOfNode(&p, n))
+			l.fields = append(l.fields, map[string]int{})
 			prefix = ""
 		case unstable.Table:
-			prefix = keyOf(n, 1)
+			prefix = dottedKey(n, 1)
 		case unstable.KeyValue:
-			l.note(&p, n, prefix)
+			l.addField(&p, n, prefix)
 		}
 	}
 	return l
 }
 
-func (l *lines) note(p *unstable.Parser, n *unstable.Node, prefix string) {
+// addField records the line of a key, and of the keys of an inline table below it.
+func (l *lines) addField(p *unstable.Parser, n *unstable.Node, prefix string) {
 	if len(l.rules) == 0 {
 		return
 	}
-	word := keyOf(n, 0)
+	field := dottedKey(n, 0)
 	if prefix != "" {
-		word = prefix + "." + word
+		field = prefix + "." + field
 	}
-	l.words[len(l.words)-1][word] = lineOf(p, n)
+	l.fields[len(l.fields)-1][field] = lineOfNode(p, n)
 	if v := n.Value(); v.Kind == unstable.InlineTable {
 		for it := v.Children(); it.Next(); {
-			l.note(p, it.Node(), word)
+			l.addField(p, it.Node(), field)
 		}
 	}
 }
 
-// keyOf joins the parts of a dotted key, without the first skip ones.
-func keyOf(n *unstable.Node, skip int) string {
-	word := ""
+// dottedKey joins the parts of a dotted key, omitting the first skip parts.
+func dottedKey(n *unstable.Node, skip int) string {
+	field := ""
 	for it := n.Key(); it.Next(); skip-- {
 		if skip > 0 {
 			continue
 		}
-		if word != "" {
-			word += "."
+		if field != "" {
+			field += "."
 		}
-		word += string(it.Node().Data)
+		field += string(it.Node().Data)
 	}
-	return word
+	return field
 }
 
-func lineOf(p *unstable.Parser, n *unstable.Node) int {
+func lineOfNode(p *unstable.Parser, n *unstable.Node) int {
 	it := n.Key()
 	if !it.Next() {
 		return 0
--- a/internal/rules/match/parse_test.go
+++ b/internal/rules/match/parse_test.go
@@ -48,17 +48,17 @@
 	assert.NilError(t, err)
 	again, err := Parse(out)
 	assert.NilError(t, err, string(out))
-	assert.DeepEqual(t, again.Rules, f.Rules, ignorePath)
+	assert.DeepEqual(t, again.Rules, f.Rules, ignoreUnexported)
 }
 
-// A rule that demands a record of each request and leaves some out of the journal
-// would refuse what it could not keep and keep nothing: no auditor finds it.
-func TestImpossibleChoicesOfWhatIsKeptNameTheLine(t *testing.T) {
+// A rule that requires a journal record of each request but retains only some would reject
+// the requests it cannot record, and an auditor would not find the others.
+func TestInvalidRetentionNamesTheLine(t *testing.T) {
 	const head = "[[rule]]\nname = \"a\"\nwhen = { path = \"/a/{x}\" }\n[rule.then]\nservice = \"lookup\"\n"
 	for then, want := range map[string]string{
-		"durable = \"journal\"\nkeep = \"none\"":        "line 7: rule a: then.keep: durable = \"journal\" demands a record of every request",
-		"durable = \"journal\"\nkeep = \"submissions\"": "line 7: rule a: then.keep: durable = \"journal\" demands a record of every request",
-		"durable = \"journal\"\nkeep = \"1/9\"":         "line 7: rule a: then.keep: durable = \"journal\" demands a record of every request",
+		"durable = \"journal\"\nkeep = \"none\"":        "line 7: rule a: then.keep: durable = \"journal\" requires a record of every request",
+		"durable = \"journal\"\nkeep = \"submissions\"": "line 7: rule a: then.keep: durable = \"journal\" requires a record of every request",
+		"durable = \"journal\"\nkeep = \"1/9\"":         "line 7: rule a: then.keep: durable = \"journal\" requires a record of every request",
 		"keep = \"1/100\"":                              "line 6: rule a: then.keep: a sample is chosen by key",
 		"key = \"path:x\"\nkeep = \"1/1\"":              "line 7: rule a: then.keep: is all, submissions, none, or",
 		"keep = \"some\"":                               "line 6: rule a: then.keep: is all, submissions, none, or",
@@ -88,7 +88,7 @@
 	f, err := Parse([]byte(example))
 	assert.NilError(t, err)
 	_, err = f.Compile()
-	assert.ErrorContains(t, err, "line 25: rule early: then.class: is urgent, normal or bulk")
+	assert.ErrorContains(t, err, "line 25: rule early: then.class: must be urgent, normal or bulk")
 	f.Rules[2].Then.Class = Bulk
 	_, err = f.Compile()
 	assert.ErrorContains(t, err, "line 19: rule early: can never match: the earlier rule windows (line 7) takes all its requests")
@@ -99,11 +99,11 @@
 
 func TestParseNamesTheLineOfWhatItCannotRead(t *testing.T) {
 	for src, want := range map[string]string{
-		"[[rule]]\nname = 'a'\nthen = { servce = 'x' }\n":      "line 3: unknown word servce",
+		"[[rule]]\nname = 'a'\nthen = { servce = 'x' }\n":      "line 3: unknown field servce",
 		"[[rule]]\nname = \n":                                  "line 2",
 		"[[rule]]\nname = 'a'\nthen = { deadline = 'soon' }\n": "line 3",
 		"[[rule]]\nname = 'a'\nthen = { retry = 'x' }\n":       "line 3",
-		"[[rules]]\nname = 'a'\n":                              "line 1: unknown word rules",
+		"[[rules]]\nname = 'a'\n":                              "line 1: unknown field rules",
 		"[[rule]]\nname = 'a'\nname = 'b'\n":                   "line 3",
 		"[[rule]]\nname = 'a'\nthen = { deadline = 5 }\n":      "line 3",
 		"[[rule]]\nname = 'a'\nwhen = { method = \"POST\" }\n": "line 3",
@@ -123,12 +123,12 @@
 		assert.NilError(t, err)
 		f, err := Parse(out)
 		assert.NilError(t, err, string(out))
-		assert.DeepEqual(t, f.Rules, rules, ignorePath, emptyAsNil)
+		assert.DeepEqual(t, f.Rules, rules, ignoreUnexported, emptyAsNil)
 	})
 }
 
-// FuzzParse looks for input that crashes the reader or the check, and for
-// accepted rules that do not survive being written and read again.
+// FuzzParse looks for input that crashes the parser or the checks, and for valid rules
+// that do not survive rendering and parsing again.
 func FuzzParse(f *testing.F) {
 	f.Add([]byte(example))
 	f.Fuzz(func(t *testing.T, src []byte) {
@@ -149,8 +149,8 @@
 	})
 }
 
-// FuzzMatch looks for requests on which the compiled set and the plain
-// comparison differ, or that crash the key's extraction.
+// FuzzMatch looks for requests for which the compiled set and the linear search differ, or
+// that crash the key extraction.
 func FuzzMatch(f *testing.F) {
 	f.Add("/scales/7/receipts", "POST", "scale=7", "grower-1")
 	f.Add("/scales/%37/../x", "GET", "%", "")
--- a/internal/rules/match/path.go
+++ b/internal/rules/match/path.go
@@ -8,38 +8,38 @@
 	"hawthornfield.org/hawthornfield/internal/core/kinds"
 )
 
-// path is a compiled path pattern: literal segments, "{name}" for exactly one
-// segment that is not empty, and at the end "{name...}" for the rest of the
+// path is a compiled path pattern. It consists of literal segments, of "{name}" for
+// exactly one non-empty segment, and optionally ends with "{name...}" for the rest of the
 // path, which may be empty. The zero value matches every path.
 type path struct {
-	segs []segment
-	set  bool // false for the empty pattern
-	rest bool // the last segment takes the rest
+	segs     []segment
+	nonEmpty bool // false for the empty pattern
+	hasRest  bool // the last segment matches the rest of the path
 }
 
 type segment struct {
-	text string // literal, or the name of a variable
-	open bool
+	text  string // literal, or the name of a variable
+	isVar bool
 }
 
-// restMark ends the name of a variable that takes the rest of the path.
-const restMark = "..."
+// restSuffix ends the name of a variable that matches the rest of the path.
+const restSuffix = "..."
 
-var errTooDeep = kinds.New(kinds.Malformed, "a path pattern has at most "+strconv.Itoa(maxSegs)+" segments")
+var errTooManySegs = kinds.New(kinds.Malformed, "a path pattern has at most "+strconv.Itoa(maxSegs)+" segments")
 
-// parsePath compiles a pattern, or says what is wrong with it.
+// parsePath compiles a pattern, or returns an error of kind Malformed.
 func parsePath(src string) (path, error) {
 	if src == "" {
 		return path{}, nil
 	}
 	if src[0] != '/' {
-		return path{}, kinds.New(kinds.Malformed, "a path pattern begins with a slash")
+		return path{}, kinds.New(kinds.Malformed, "a path pattern must begin with a slash")
 	}
-	p := path{set: true}
+	p := path{nonEmpty: true}
 	for src = src[1:]; src != ""; {
 		text, rest, more := strings.Cut(src, "/")
 		if more && rest == "" {
-			return path{}, kinds.New(kinds.Malformed, "a path pattern does not end with a slash")
+			return path{}, kinds.New(kinds.Malformed, "a path pattern must not end with a slash")
 		}
 		if err := p.add(text, more); err != nil {
 			return path{}, err
@@ -55,19 +55,19 @@
 		return p.addLiteral(text)
 	}
 	name, closed := strings.CutSuffix(name, "}")
-	name, rest := strings.CutSuffix(name, restMark)
+	name, rest := strings.CutSuffix(name, restSuffix)
 	switch {
 	case !closed || name == "" || strings.ContainsAny(name, "{}.*%"):
 		return kinds.New(kinds.Malformed, "bad variable "+text+" in a path pattern")
 	case len(p.segs) == maxSegs:
-		return errTooDeep
+		return errTooManySegs
 	case rest && more:
-		return kinds.New(kinds.Malformed, text+" stands only at the end of a path pattern")
-	case p.index(name) >= 0:
-		return kinds.New(kinds.Malformed, "variable "+name+" stands twice in a path pattern")
+		return kinds.New(kinds.Malformed, text+" is allowed only at the end of a path pattern")
+	case p.varIndex(name) >= 0:
+		return kinds.New(kinds.Malformed, "variable "+name+" occurs twice in a path pattern")
 	}
-	p.segs = append(p.segs, segment{text: name, open: true})
-	p.rest = rest
+	p.segs = append(p.segs, segment{text: name, isVar: true})
+	p.hasRest = rest
 	return nil
 }
 
@@ -76,42 +76,42 @@
 		return kinds.New(kinds.Malformed, "bad segment "+strconv.Quote(text)+" in a path pattern")
 	}
 	if len(p.segs) == maxSegs {
-		return errTooDeep
+		return errTooManySegs
 	}
 	p.segs = append(p.segs, segment{text: text})
 	return nil
 }
 
-// index returns the position of a variable, or -1.
-func (p *path) index(name string) int {
+// varIndex returns the segment index of a variable, or -1.
+func (p *path) varIndex(name string) int {
 	for i, s := range p.segs {
-		if s.open && s.text == name {
+		if s.isVar && s.text == name {
 			return i
 		}
 	}
 	return -1
 }
 
-// fixed returns the number of segments before the rest.
-func (p *path) fixed() int {
-	if p.rest {
+// fixedLen returns the number of segments without the rest variable.
+func (p *path) fixedLen() int {
+	if p.hasRest {
 		return len(p.segs) - 1
 	}
 	return len(p.segs)
 }
 
-// parts is an escaped path, cut once for the comparison with many patterns.
-type parts struct {
-	segs [maxSegs]string
-	n    int
-	more bool // there are segments beyond
+// splitPath is an escaped request path, split once for comparison with many patterns.
+type splitPath struct {
+	segs      [maxSegs]string
+	n         int
+	truncated bool // the path has more than maxSegs segments
 }
 
-// maxSegs bounds the segments of a pattern. Paths may be longer: what follows
-// can only be a variable's rest.
+// maxSegs is the maximum number of segments of a pattern. Request paths may be longer;
+// segments beyond maxSegs can be matched only by a rest variable.
 const maxSegs = 16
 
-func (p *parts) cut(s string) {
+func (p *splitPath) split(s string) {
 	s = strings.TrimPrefix(s, "/")
 	if s == "" {
 		return
@@ -127,16 +127,16 @@
 		p.n++
 		s = s[i+1:]
 	}
-	p.more = true
+	p.truncated = true
 }
 
-// match compares the parts of a path that safePath has approved.
-func (p *path) match(s *parts) bool {
-	if !p.set {
+// match compares a pattern with a path that safePath has accepted.
+func (p *path) match(s *splitPath) bool {
+	if !p.nonEmpty {
 		return true
 	}
-	n := p.fixed()
-	if s.n < n || !p.rest && (s.n > n || s.more) {
+	n := p.fixedLen()
+	if s.n < n || !p.hasRest && (s.n > n || s.truncated) {
 		return false
 	}
 	for i := range n {
@@ -148,19 +148,19 @@
 }
 
 func (s segment) match(text string) bool {
-	if s.open {
+	if s.isVar {
 		return text != ""
 	}
 	return text == s.text || strings.IndexByte(text, '%') >= 0 && equalUnescaped(text, s.text)
 }
 
-// value returns the escaped text that stands at variable i.
-func (p *path) value(s string, i int) string {
+// varText returns the escaped text of a path at segment i, a variable of the pattern.
+func (p *path) varText(s string, i int) string {
 	s = strings.TrimPrefix(s, "/")
 	for range i {
 		_, s, _ = strings.Cut(s, "/")
 	}
-	if p.rest && i == len(p.segs)-1 {
+	if p.hasRest && i == len(p.segs)-1 {
 		return s
 	}
 	text, _, _ := strings.Cut(s, "/")
@@ -169,30 +169,30 @@
 
 // covers reports whether every path that matches o also matches p.
 func (p *path) covers(o *path) bool {
-	if !p.set {
+	if !p.nonEmpty {
 		return true
 	}
-	if !o.set {
-		return p.rest && p.fixed() == 0
+	if !o.nonEmpty {
+		return p.hasRest && p.fixedLen() == 0
 	}
-	if o.fixed() < p.fixed() {
+	if o.fixedLen() < p.fixedLen() {
 		return false
 	}
-	if !p.rest && (o.rest || o.fixed() != p.fixed()) {
+	if !p.hasRest && (o.hasRest || o.fixedLen() != p.fixedLen()) {
 		return false
 	}
-	for i, s := range p.segs[:p.fixed()] {
-		if !s.open && (o.segs[i].open || o.segs[i].text != s.text) {
+	for i, s := range p.segs[:p.fixedLen()] {
+		if !s.isVar && (o.segs[i].isVar || o.segs[i].text != s.text) {
 			return false
 		}
 	}
 	return true
 }
 
-// safePath reports whether an escaped path means the same to every reader. A
-// path with dot segments or broken escapes is matched by no rule: a backend
-// server that resolved "/public/../ledger" would otherwise run under a rule
-// that was never meant for it.
+// safePath reports whether an escaped path has only one interpretation. A path with dot
+// segments or invalid escapes matches no rule: a backend server that resolved
+// "/public/../ledger" would otherwise run the request under a rule that was never meant
+// for it.
 func safePath(s string) bool {
 	if s == "" || s[0] != '/' {
 		return false
@@ -204,11 +204,11 @@
 		}
 		s = plain
 	}
-	return !hasDots(s)
+	return !hasDotSegment(s)
 }
 
-// hasDots reports whether a path has a segment "." or "..".
-func hasDots(s string) bool {
+// hasDotSegment reports whether a path has a segment "." or "..".
+func hasDotSegment(s string) bool {
 	for i := strings.Index(s, "/."); i >= 0; i = strings.Index(s, "/.") {
 		s = s[i+1:]
 		text, _, _ := strings.Cut(s, "/")
@@ -219,8 +219,8 @@
 	return false
 }
 
-// equalUnescaped compares an escaped text with a plain one, without building
-// the unescaped form.
+// equalUnescaped compares an escaped text with a plain one without allocating the
+// unescaped form.
 func equalUnescaped(s, plain string) bool {
 	n := 0
 	for i := 0; i < len(s); n++ {
@@ -233,15 +233,15 @@
 	return n == len(plain)
 }
 
-// unescapeAt returns the byte that stands at s[i], and where the next one begins.
+// unescapeAt returns the byte encoded at s[i] and the index of the next one.
 func unescapeAt(s string, i int) (c byte, next int) {
 	if s[i] == '%' && i+2 < len(s) {
-		return byte(hex(s[i+1])<<4 | hex(s[i+2])), i + 3
+		return byte(hexValue(s[i+1])<<4 | hexValue(s[i+2])), i + 3
 	}
 	return s[i], i + 1
 }
 
-func hex(c byte) int {
+func hexValue(c byte) int {
 	switch {
 	case '0' <= c && c <= '9':
 		return int(c - '0')
--- a/internal/rules/match/split_test.go
+++ b/internal/rules/match/split_test.go
@@ -9,8 +9,8 @@
 	"hawthornfield.org/hawthornfield/internal/core/ident"
 )
 
-// An operator gives a new version a tenth of the requests and looks at a minute
-// of them. Drawn by chance, the minute may hold none, or twice as many.
+// A new version gets a tenth of the requests and an operator looks at a minute of them.
+// With a random choice the minute could have none, or twice as many as intended.
 func TestASplitKeepsItsWeightsOverAnyShortRun(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		then := Then{Split: []Part{
