--- a/internal/rules/revs/edit.go
+++ b/internal/rules/revs/edit.go
@@ -10,52 +10,51 @@
 	"hawthornfield.org/hawthornfield/internal/rules/match"
 )
 
-// Edit says who changes the rules, why, and on which revision the decision was
-// made.
+// Edit says who changes the rules, why, and which revision the change is based on.
 type Edit struct {
-	Seen   ident.Revision // what the operator looked at, zero for none
+	Seen   ident.Revision // revision the operator looked at, zero for none
 	Author string
 	Note   string
 	Token  string
 	At     time.Time
-	// Known makes unknown services a fault; nil leaves them unchecked.
+	// Known lists the services that rules may name; nil leaves services unchecked.
 	Known map[ident.Service]match.Service
 }
 
-// Conflict is the answer to an edit that was decided on a revision which is no
-// longer in force. Nothing of the edit took effect, and nothing was merged: the
-// operator looks at the difference and decides again.
+// Conflict is the error of an edit that is based on a revision which is no longer in
+// force. Nothing of the edit takes effect and nothing is merged: the operator reviews the
+// difference and decides again.
 type Conflict struct {
-	Seen   ident.Revision // what the edit was decided on
-	Actual ident.Revision // what is in force
-	Author string         // who made that one
-	Note   string
+	Seen   ident.Revision // revision the edit is based on
+	Actual ident.Revision // revision in force
+	Author string         // author of the revision in force
+	Note   string         // its note
 }
 
 // Error names both revisions.
 func (c *Conflict) Error() string {
-	return fmt.Sprintf("the edit was made on revision %d, in force is %d by %q (%s)", c.Seen, c.Actual, c.Author, c.Note)
+	return fmt.Sprintf("the edit is based on revision %d, but revision %d by %q (%s) is in force", c.Seen, c.Actual, c.Author, c.Note)
 }
 
-// conflict wraps the answer with kind Conflict.
-func conflict(seen ident.Revision, cur *Record) error {
+// conflictError wraps a Conflict in an error of kind Conflict.
+func conflictError(seen ident.Revision, cur *Record) error {
 	c := &Conflict{Seen: seen, Actual: cur.Rev, Author: cur.Author, Note: cur.Note}
 	return kinds.Wrap(kinds.Conflict, c, "edit rules")
 }
 
-// Position says where in the order a rule goes. The zero value means the end for a
-// new rule, and its present place for one that is replaced.
+// Position is the place of a rule in the order. The zero value means the end for a new
+// rule, and the present place for a rule that is replaced.
 type Position struct {
-	Before string // name of the rule that follows
+	Before string // name of the rule to insert before
 	First  bool
 	Last   bool
 }
 
-// Put returns the next revision with the rule added, or replaced if one of its
-// name exists.
+// Put returns the next revision with the rule added, or replaced if a rule of that name
+// exists.
 func Put(cur *Record, e Edit, r match.Rule, at Position) (*Record, error) {
-	return change(cur, e, func(rules []match.Rule) ([]match.Rule, error) {
-		i := find(rules, r.Name)
+	return applyEdit(cur, e, func(rules []match.Rule) ([]match.Rule, error) {
+		i := indexOf(rules, r.Name)
 		if i >= 0 && at == (Position{}) {
 			rules[i] = r
 			return rules, nil
@@ -63,48 +62,47 @@
 		if i >= 0 {
 			rules = slices.Delete(rules, i, i+1)
 		}
-		return insert(rules, r, at)
+		return insertAt(rules, r, at)
 	})
 }
 
-// Move returns the next revision with the named rule at another place.
+// Move returns the next revision with the named rule at another position.
 func Move(cur *Record, e Edit, name string, at Position) (*Record, error) {
-	return change(cur, e, func(rules []match.Rule) ([]match.Rule, error) {
-		i := find(rules, name)
+	return applyEdit(cur, e, func(rules []match.Rule) ([]match.Rule, error) {
+		i := indexOf(rules, name)
 		if i < 0 {
-			return nil, unknown(name)
+			return nil, errUnknownRule(name)
 		}
 		r := rules[i]
-		return insert(slices.Delete(rules, i, i+1), r, at)
+		return insertAt(slices.Delete(rules, i, i+1), r, at)
 	})
 }
 
-// Remove returns the next revision without the named rule. Earlier revisions
-// keep it, so reports can still show what it said.
+// Remove returns the next revision without the named rule. Earlier revisions keep it, so
+// reports can still show its text.
 func Remove(cur *Record, e Edit, name string) (*Record, error) {
-	return change(cur, e, func(rules []match.Rule) ([]match.Rule, error) {
-		i := find(rules, name)
+	return applyEdit(cur, e, func(rules []match.Rule) ([]match.Rule, error) {
+		i := indexOf(rules, name)
 		if i < 0 {
-			return nil, unknown(name)
+			return nil, errUnknownRule(name)
 		}
 		return slices.Delete(rules, i, i+1), nil
 	})
 }
 
-// Replace returns the next revision with another list altogether, for example
-// from a file.
+// Replace returns the next revision with an entirely new list, for example from a file.
 func Replace(cur *Record, e Edit, rules []match.Rule) (*Record, error) {
-	return change(cur, e, func([]match.Rule) ([]match.Rule, error) { return slices.Clone(rules), nil })
+	return applyEdit(cur, e, func([]match.Rule) ([]match.Rule, error) { return slices.Clone(rules), nil })
 }
 
-// change checks the revision, applies f to a copy of the rules and checks the
-// outcome as a whole. A nil cur means that there are no rules yet.
-func change(cur *Record, e Edit, f func([]match.Rule) ([]match.Rule, error)) (*Record, error) {
+// applyEdit checks the revision the edit is based on, applies f to a copy of the rules and
+// checks the result as a whole. A nil cur means that there are no rules yet.
+func applyEdit(cur *Record, e Edit, f func([]match.Rule) ([]match.Rule, error)) (*Record, error) {
 	if cur == nil {
-		cur = empty.Record
+		cur = emptySnapshot.Record
 	}
 	if e.Seen != cur.Rev {
-		return nil, conflict(e.Seen, cur)
+		return nil, conflictError(e.Seen, cur)
 	}
 	if e.Author == "" || e.Token == "" {
 		return nil, kinds.New(kinds.BadRequest, "an edit of the rules needs an author and a token")
@@ -117,27 +115,27 @@
 		return nil, err
 	}
 	return &Record{
-		Form: FormatVersion, Rev: cur.Rev + 1, Author: e.Author, Note: e.Note,
+		FormatVersion: FormatVersion, Rev: cur.Rev + 1, Author: e.Author, Note: e.Note,
 		At: e.At.UTC(), Token: e.Token, Rules: rules,
 	}, nil
 }
 
-func find(rules []match.Rule, name string) int {
+func indexOf(rules []match.Rule, name string) int {
 	return slices.IndexFunc(rules, func(r match.Rule) bool { return r.Name == name })
 }
 
-func unknown(name string) error {
+func errUnknownRule(name string) error {
 	return kinds.New(kinds.NotFound, "no rule is named "+name)
 }
 
-func insert(rules []match.Rule, r match.Rule, at Position) ([]match.Rule, error) {
+func insertAt(rules []match.Rule, r match.Rule, at Position) ([]match.Rule, error) {
 	switch {
 	case at.First:
 		return slices.Insert(rules, 0, r), nil
 	case at.Before != "":
-		i := find(rules, at.Before)
+		i := indexOf(rules, at.Before)
 		if i < 0 {
-			return nil, unknown(at.Before)
+			return nil, errUnknownRule(at.Before)
 		}
 		return slices.Insert(rules, i, r), nil
 	default:
--- a/internal/rules/revs/open_test.go
+++ b/internal/rules/revs/open_test.go
@@ -10,12 +10,11 @@
 	"hawthornfield.org/hawthornfield/internal/rules/match"
 )
 
-// VMs of two versions of the program run side by side during an upgrade, and an
-// operator's edit is accepted by one that allows more than the other. The VMs of the
-// other version could not open the revision, counted as behind, and stopped answering
-// all callers four seconds later.
-func TestAnAcceptedRevisionOpensWhateverAnAuthorMayWriteHere(t *testing.T) {
-	r := &Record{Form: FormatVersion, Rev: 3, Rules: []match.Rule{
+// During an upgrade VMs of two program versions run side by side, and one accepts an edit
+// that breaks the limits of the other. If VMs of the other version could not open the
+// revision, they would count as behind and stop answering all callers four seconds later.
+func TestOpenAcceptsRulesThatCompileRejects(t *testing.T) {
+	r := &Record{FormatVersion: FormatVersion, Rev: 3, Rules: []match.Rule{
 		{Name: "deeper", When: match.When{Path: "/deeper/{scale", Host: []string{"deep.example"}}, Then: match.Then{Service: "lookup", Once: "ever"}},
 	}}
 	for i := range match.MaxRules {
@@ -27,7 +26,7 @@
 	assert.NilError(t, err)
 	got, ok := s.Set.Match(&match.Request{Path: "/deeper/7", Host: "deep.example"})
 	assert.Assert(t, ok)
-	assert.Equal(t, kinds.Of(got.Check()), kinds.NewerVersion, "its own requests alone are told to come back")
+	assert.Equal(t, kinds.Of(got.Check()), kinds.NewerVersion, "only requests of the unusable rule are rejected")
 	got, ok = s.Set.Match(&match.Request{Path: "/r" + strconv.Itoa(match.MaxRules-1), Host: "other.example"})
 	assert.Assert(t, ok)
 	assert.NilError(t, got.Check())
--- a/internal/rules/revs/record.go
+++ b/internal/rules/revs/record.go
@@ -13,88 +13,89 @@
 
 // Names of the objects that hold rules.
 const (
-	Current   = "rules/current" // the record in force; its update is acceptance
-	RevPrefix = "rules/rev/"    // copies of all records, for the history
+	Current   = "rules/current" // the record in force; a revision is accepted when this object is updated
+	RevPrefix = "rules/rev/"    // prefix for copies of all records, kept as history
 )
 
-// RevName returns the name of the object that keeps revision n.
+// RevName returns the name of the object that holds revision n.
 func RevName(n ident.Revision) string {
 	return RevPrefix + strconv.FormatUint(uint64(n), 10)
 }
 
-// FormatVersion is the version of the record's meaning. A program that reads a higher
-// one does not guess: a condition that it does not know would make a rule match
+// FormatVersion is the version of the record format. A record with a higher version is
+// rejected: ignoring a condition that this program does not know would make a rule match
 // more requests than its author meant.
 const FormatVersion = 1
 
-// Record is one revision of the rules, complete.
+// Record is one complete revision of the rules.
 type Record struct {
-	Form   uint           `cbor:"form" json:"form"`
-	Rev    ident.Revision `cbor:"rev" json:"rev"`
-	Author string         `cbor:"by" json:"by"`
-	Note   string         `cbor:"note" json:"note"`
-	At     time.Time      `cbor:"at" json:"at"`
-	// Token is drawn by the writer, so that it recognises its own write when
-	// the store's answer was lost.
+	FormatVersion uint           `cbor:"form" json:"form"`
+	Rev           ident.Revision `cbor:"rev" json:"rev"`
+	Author        string         `cbor:"by" json:"by"`
+	Note          string         `cbor:"note" json:"note"`
+	At            time.Time      `cbor:"at" json:"at"`
+	// Token is chosen by the writer, so that it recognises its own write when the store's
+	// answer was lost.
 	Token string       `cbor:"token" json:"token"`
 	Rules []match.Rule `cbor:"rules" json:"rules"`
 }
 
-// Encode renders the record as it is stored. It fails with kind TooLarge when
-// the rules do not fit into one value.
+// Encode returns the stored form of the record. It fails with kind TooLarge when the rules
+// do not fit into one object.
 func (r *Record) Encode() ([]byte, error) {
 	raw, err := wire.Encode(r)
-	if err == nil && len(raw) > maxRecord {
-		return nil, kinds.New(kinds.TooLarge, "rules beyond the size of one object")
+	if err == nil && len(raw) > maxRecordSize {
+		return nil, kinds.New(kinds.TooLarge, "rules exceed the maximum size of one object")
 	}
 	return raw, err
 }
 
-// maxRecord keeps a distance from the platform's limit of a megabyte.
-const maxRecord = 1_000_000
+// maxRecordSize is the maximum size of an encoded record in bytes. It stays below the
+// platform's limit of one megabyte for an object.
+const maxRecordSize = 1_000_000
 
-// Decode reads a stored record. It fails with kind Newer when the record was
-// written by a newer version of the program, and Malformed when it is broken.
+// Decode decodes a stored record. It fails with kind NewerVersion when the record was
+// written by a newer version of the program, and with kind Malformed when it is invalid.
 func Decode(raw []byte) (*Record, error) {
-	var form struct {
-		Form uint `cbor:"form"`
+	var header struct {
+		FormatVersion uint `cbor:"form"`
 	}
-	if err := wire.Decode(raw, &form); err != nil {
+	if err := wire.Decode(raw, &header); err != nil {
 		return nil, err
 	}
-	if form.Form > FormatVersion {
-		return nil, kinds.New(kinds.NewerVersion, "rules of form "+strconv.FormatUint(uint64(form.Form), 10))
+	if header.FormatVersion > FormatVersion {
+		return nil, kinds.New(kinds.NewerVersion, "rules of format version "+strconv.FormatUint(uint64(header.FormatVersion), 10))
 	}
 	var r Record
 	if err := wire.Decode(raw, &r); err != nil {
 		return nil, err
 	}
-	if form.Form == 0 || r.Rev == 0 {
-		return nil, kinds.New(kinds.Malformed, "rules without form or revision")
+	if header.FormatVersion == 0 || r.Rev == 0 {
+		return nil, kinds.New(kinds.Malformed, "rules without format version or revision")
 	}
 	return &r, nil
 }
 
-// Snapshot is a record ready for use by the request path. It never changes.
+// Snapshot is a record compiled for use by the request path. It is immutable.
 type Snapshot struct {
 	*Record
 	Set *match.Set
-	Sum digest.Sum // of the stored bytes
-	Raw []byte     // the stored bytes, to hand on to peers
+	Sum digest.Sum // digest of the stored bytes
+	Raw []byte     // the stored bytes, sent to peers on request
 }
 
-// empty is what a Book holds before anything was accepted.
-var empty = &Snapshot{Record: &Record{}, Set: &match.Set{}}
+// emptySnapshot is the current snapshot of a Holder before any revision is applied.
+var emptySnapshot = &Snapshot{Record: &Record{}, Set: &match.Set{}}
 
-// Open decodes and compiles stored bytes.
+// Open decodes and compiles the stored bytes of a record.
 func Open(raw []byte) (*Snapshot, error) {
 	r, err := Decode(raw)
 	if err != nil {
 		return nil, err
 	}
-	// What an author may write is checked before a revision is accepted. Checked again
-	// here, with the bounds of this program's version, an accepted revision would take
-	// every VM of that version out of service.
+	// The rules were checked before the revision was accepted. Checking them again with
+	// the limits of this program's version could reject an accepted revision and take
+	// every VM of this version out of service.
 	set, _ := match.CompileAccepted(r.Rules)
 	return &Snapshot{Record: r, Set: set, Sum: digest.Of(raw), Raw: raw}, nil
 }
