--- a/internal/load/gate/admit.go
+++ b/internal/load/gate/admit.go
@@ -120,8 +120,8 @@
 
 // lanePair holds the queues for short and long requests that share servers.
 type lanePair struct {
-	bySize   [sizes.Kinds]lane
-	slotTime [sizes.Kinds]float64 // slot time given to each kind, in seconds
+	bySize   [sizes.KindCount]lane
+	slotTime [sizes.KindCount]float64 // slot time given to each kind, in seconds
 }
 
 func (ls *lanePair) init(limit int) {
--- a/internal/load/gate/core.go
+++ b/internal/load/gate/core.go
@@ -80,9 +80,9 @@
 	scoreTime      time.Time
 
 	shared        lanePair // requests that may go to any server
-	avgLatency    [sizes.Kinds]float64
-	answers       [sizes.Kinds]int // number of answers of each kind
-	concurrency   [sizes.Kinds]float64
+	avgLatency    [sizes.KindCount]float64
+	answers       [sizes.KindCount]int // number of answers of each kind
+	concurrency   [sizes.KindCount]float64
 	moveQueues    moveQueueSet
 	keyPaces      keyPaceSet                    // paces of the keys whose owner was crowded
 	ownerLookup   func(ident.Key) (Owner, bool) // nil if owners are not known
--- a/internal/load/gate/servers.go
+++ b/internal/load/gate/servers.go
@@ -29,7 +29,7 @@
 	runningLong int
 	limitKind   sizes.Kind // the kind whose latency the limit follows now
 
-	limit        [sizes.Kinds]limit.Limit
+	limit        [sizes.KindCount]limit.Limit
 	load         pick.Load
 	health       health.Server
 	connPool     conns.Pool
@@ -187,7 +187,7 @@
 	s.info = info
 	s.idx = len(c.servers)
 	s.load.Slots = info.Slots
-	s.connPool.Share(now, info.Conns, c.share.VMs)
+	s.connPool.SetShare(now, info.Conns, c.share.VMs)
 	c.byName[info.Name] = s
 	c.servers = append(c.servers, s)
 }
@@ -213,7 +213,7 @@
 		c.retryBudget.SetLimits(budget.Share, budget.Burst/float64(c.share.VMs))
 	}
 	for _, s := range c.servers {
-		s.connPool.Share(now, s.info.Conns, c.share.VMs)
+		s.connPool.SetShare(now, s.info.Conns, c.share.VMs)
 	}
 	c.refresh(now)
 }
@@ -244,7 +244,7 @@
 	c.available.Clear()
 	c.availableLocal.Clear()
 	c.availableWarm.Clear()
-	c.concurrency = [sizes.Kinds]float64{}
+	c.concurrency = [sizes.KindCount]float64{}
 	kind := sizes.Short
 	if c.classifier.Only(now, sizes.Long) {
 		kind = sizes.Long
--- a/internal/load/poison/poison.go
+++ b/internal/load/poison/poison.go
@@ -63,8 +63,8 @@
 	return Body(sum[:part])
 }
 
-// LengthOf stands for a body of which only the length is known before it is sent.
-func LengthOf(n int64) Body {
+// BodyOfLength stands for a body of which only the length is known before it is sent.
+func BodyOfLength(n int64) Body {
 	var b [8]byte
 	binary.BigEndian.PutUint64(b[:], uint64(n))
 	return BodyOf(b[:])
