--- a/internal/edge/host/quarobj.go
+++ b/internal/edge/host/quarobj.go
@@ -62,11 +62,11 @@
 	age := max(time.Since(kept.At), 0)
 	for i := range kept.Cases {
 		v := &kept.Cases[i]
-		if v.Cleared > 0 {
-			v.Cleared += age
+		if v.ClearedAge > 0 {
+			v.ClearedAge += age
 		}
 		for j := range v.Crashes {
-			v.Crashes[j].Ago += age
+			v.Crashes[j].Age += age
 		}
 	}
 	return kept.Cases, true
--- a/internal/load/conns/conns.go
+++ b/internal/load/conns/conns.go
@@ -41,8 +41,8 @@
 	peakAt time.Time
 }
 
-// Share sets what the server accepts and by how many VMs it is divided.
-func (p *Pool) Share(now time.Time, conns, vms int) {
+// SetShare sets what the server accepts and by how many VMs it is divided.
+func (p *Pool) SetShare(now time.Time, conns, vms int) {
 	part := max(conns/max(vms, 1), 1)
 	if p.most == 0 || part <= p.most {
 		p.most, p.wish = part, part
--- a/internal/load/conns/conns_test.go
+++ b/internal/load/conns/conns_test.go
@@ -16,21 +16,21 @@
 // grow late: the server would otherwise refuse connections of whoever comes last.
 func TestShareShrinksAtOnceAndGrowsLate(t *testing.T) {
 	var p Pool
-	p.Share(begin, 45, 9)
+	p.SetShare(begin, 45, 9)
 	assert.Equal(t, p.Max(begin), 5)
-	p.Share(begin, 45, 10)
+	p.SetShare(begin, 45, 10)
 	assert.Equal(t, p.Max(begin), 4)
-	p.Share(begin, 45, 5)
+	p.SetShare(begin, 45, 5)
 	assert.Equal(t, p.Max(begin.Add(Settle-1)), 4)
 	assert.Equal(t, p.Max(begin.Add(Settle)), 9)
-	p.Share(begin, 3, 10)
+	p.SetShare(begin, 3, 10)
 	assert.Equal(t, p.Max(begin), 1, "a VM without any connection is shut out")
 }
 
 // Connections used lately stay warm, those of a burst minutes ago do not.
 func TestWarmFollowsTheRecentPeak(t *testing.T) {
 	var p Pool
-	p.Share(begin, 100, 10)
+	p.SetShare(begin, 100, 10)
 	for range 8 {
 		p.Acquire(begin)
 	}
@@ -53,7 +53,7 @@
 		pools := make([]Pool, n, 20)
 		now := begin
 		for i := range pools {
-			pools[i].Share(now, total, n)
+			pools[i].SetShare(now, total, n)
 		}
 		sum := func(at time.Time) (all int) {
 			for i := range pools {
@@ -66,14 +66,14 @@
 			allowed := total
 			if len(pools) < 20 && (len(pools) == 1 || rapid.Bool().Draw(t, "joins")) {
 				pools = append(pools, Pool{})
-				pools[len(pools)-1].Share(now, total, len(pools))
+				pools[len(pools)-1].SetShare(now, total, len(pools))
 				allowed += max(total/len(pools), 1)
 			} else {
 				pools = pools[:len(pools)-1]
 			}
 			for _, i := range rapid.Permutation(indices(len(pools))).Draw(t, "order") {
 				now = now.Add(time.Duration(rapid.IntRange(0, 200).Draw(t, "ms")) * time.Millisecond)
-				pools[i].Share(now, total, len(pools))
+				pools[i].SetShare(now, total, len(pools))
 				assert.Assert(t, sum(now) <= allowed, "%d of %d", sum(now), total)
 			}
 			assert.Assert(t, sum(now) <= total, "%d of %d once all have heard", sum(now), total)
--- a/internal/load/gate/admit.go
+++ b/internal/load/gate/admit.go
@@ -118,8 +118,8 @@
 
 // lanes is a pair of queues, short and long, that share servers.
 type lanes struct {
-	by    [sizes.Kinds]lane
-	spent [sizes.Kinds]float64 // slot time given to each, in seconds
+	by    [sizes.KindCount]lane
+	spent [sizes.KindCount]float64 // slot time given to each, in seconds
 }
 
 func (ls *lanes) init(limit int) {
--- a/internal/load/gate/core.go
+++ b/internal/load/gate/core.go
@@ -79,9 +79,9 @@
 	scoreAt time.Time
 
 	any     lanes // requests that may go to any server
-	pace    [sizes.Kinds]float64
-	seen    [sizes.Kinds]int // answers of each kind
-	width   [sizes.Kinds]float64
+	pace    [sizes.KindCount]float64
+	seen    [sizes.KindCount]int // answers of each kind
+	width   [sizes.KindCount]float64
 	holds   holds
 	spaced  spacings                      // keys for which their owner was crowded
 	owner   func(ident.Key) (Owner, bool) // nil when owners are not followed
--- a/internal/load/gate/servers.go
+++ b/internal/load/gate/servers.go
@@ -29,7 +29,7 @@
 	long    int
 	kind    sizes.Kind // which kind's latency the limit follows now
 
-	limit   [sizes.Kinds]limit.Limit
+	limit   [sizes.KindCount]limit.Limit
 	load    pick.Load
 	health  health.Server
 	pool    conns.Pool
@@ -187,7 +187,7 @@
 	s.info = info
 	s.idx = len(c.servers)
 	s.load.Slots = info.Slots
-	s.pool.Share(now, info.Conns, c.share.VMs)
+	s.pool.SetShare(now, info.Conns, c.share.VMs)
 	c.byName[info.Name] = s
 	c.servers = append(c.servers, s)
 }
@@ -213,7 +213,7 @@
 		c.budget.SetLimits(x.Share, x.Burst/float64(c.share.VMs))
 	}
 	for _, s := range c.servers {
-		s.pool.Share(now, s.info.Conns, c.share.VMs)
+		s.pool.SetShare(now, s.info.Conns, c.share.VMs)
 	}
 	c.refresh(now)
 }
@@ -244,7 +244,7 @@
 	c.open.Clear()
 	c.near.Clear()
 	c.warm.Clear()
-	c.width = [sizes.Kinds]float64{}
+	c.width = [sizes.KindCount]float64{}
 	kind := sizes.Short
 	if c.mix.Only(now, sizes.Long) {
 		kind = sizes.Long
--- a/internal/load/poison/poison_test.go
+++ b/internal/load/poison/poison_test.go
@@ -124,7 +124,7 @@
 	tab.Clear(t0.Add(time.Second), crasher)
 	tab.RecordCrash(t0.Add(2*time.Second), crasher, "s3")
 	assert.Equal(t, tab.Crashes(crasher), 1)
-	tab.AddReports(t0.Add(3*time.Second), []Report{{Print: crasher, Server: "s4", Ago: 2500 * time.Millisecond}})
+	tab.AddReports(t0.Add(3*time.Second), []Report{{Print: crasher, Server: "s4", Age: 2500 * time.Millisecond}})
 	assert.Equal(t, tab.Crashes(crasher), 1, "a crash before the answer counts no more")
 }
 
--- a/internal/load/poison/share.go
+++ b/internal/load/poison/share.go
@@ -12,14 +12,14 @@
 // clocks differ.
 type Verdict struct {
 	Fingerprint Fingerprint   `json:"print"`
-	Crashes     []Crashed     `json:"crashes,omitempty"`
-	Cleared     time.Duration `json:"cleared,omitempty"` // so long ago, zero for never
+	Crashes     []VerdictCrash     `json:"crashes,omitempty"`
+	ClearedAge     time.Duration `json:"cleared,omitempty"` // so long ago, zero for never
 }
 
-// Crashed is a crash so long ago.
-type Crashed struct {
+// VerdictCrash is a crash so long ago.
+type VerdictCrash struct {
 	Server ident.Server  `json:"server"`
-	Ago    time.Duration `json:"ago"`
+	Age    time.Duration `json:"ago"`
 	Sure   bool          `json:"sure,omitempty"`
 }
 
@@ -28,7 +28,7 @@
 type Report struct {
 	Print  Fingerprint   `json:"print"`
 	Server ident.Server  `json:"server,omitempty"`
-	Ago    time.Duration `json:"ago"`
+	Age    time.Duration `json:"ago"`
 }
 
 // mostReports bounds what one question to the leader carries.
@@ -40,15 +40,15 @@
 	var all []Report
 	for _, c := range t.cases {
 		if !c.cleared.IsZero() && c.told != leader {
-			all = append(all, Report{Print: c.Fingerprint, Ago: now.Sub(c.cleared)})
+			all = append(all, Report{Print: c.Fingerprint, Age: now.Sub(c.cleared)})
 		}
 		for _, crash := range c.Crashes {
 			if crash.told != leader {
-				all = append(all, Report{Print: c.Fingerprint, Server: crash.Server, Ago: now.Sub(crash.At)})
+				all = append(all, Report{Print: c.Fingerprint, Server: crash.Server, Age: now.Sub(crash.At)})
 			}
 		}
 	}
-	slices.SortFunc(all, func(a, b Report) int { return cmp.Compare(a.Ago, b.Ago) })
+	slices.SortFunc(all, func(a, b Report) int { return cmp.Compare(a.Age, b.Age) })
 	return all[:min(len(all), mostReports)]
 }
 
@@ -74,10 +74,10 @@
 func (t *Table) AddReports(now time.Time, all []Report) {
 	for _, r := range all {
 		if r.Server == "" {
-			t.Clear(now.Add(-r.Ago), r.Print)
+			t.Clear(now.Add(-r.Age), r.Print)
 			continue
 		}
-		t.accuse(r.Print, Crash{Server: r.Server, At: now.Add(-r.Ago)})
+		t.accuse(r.Print, Crash{Server: r.Server, At: now.Add(-r.Age)})
 	}
 }
 
@@ -96,10 +96,10 @@
 func (c *Case) verdict(now time.Time) Verdict {
 	v := Verdict{Fingerprint: c.Fingerprint}
 	if !c.cleared.IsZero() {
-		v.Cleared = max(now.Sub(c.cleared), 1)
+		v.ClearedAge = max(now.Sub(c.cleared), 1)
 	}
 	for _, crash := range c.Crashes {
-		v.Crashes = append(v.Crashes, Crashed{Server: crash.Server, Ago: now.Sub(crash.At), Sure: crash.Sure})
+		v.Crashes = append(v.Crashes, VerdictCrash{Server: crash.Server, Age: now.Sub(crash.At), Sure: crash.Sure})
 	}
 	return v
 }
@@ -128,12 +128,12 @@
 
 // merge adds a verdict that a leader told, or that the store kept.
 func (t *Table) merge(now time.Time, c *Case, v Verdict, leader string) {
-	if v.Cleared > 0 {
-		c.clear(now.Add(-v.Cleared))
+	if v.ClearedAge > 0 {
+		c.clear(now.Add(-v.ClearedAge))
 		c.told = leader
 	}
 	for _, told := range v.Crashes {
-		c.add(Crash{Server: told.Server, At: now.Add(-told.Ago), Sure: told.Sure, told: leader})
+		c.add(Crash{Server: told.Server, At: now.Add(-told.Age), Sure: told.Sure, told: leader})
 	}
 }
 
--- a/internal/load/sizes/sizes.go
+++ b/internal/load/sizes/sizes.go
@@ -27,7 +27,7 @@
 const (
 	Short Kind = iota
 	Long
-	Kinds
+	KindCount
 )
 
 // Settings, with their grounds in the package comment.
@@ -45,7 +45,7 @@
 type Classifier struct {
 	short   float64          // average seconds of short requests
 	unknown [256]float64     // average seconds of requests of unknown size, by class
-	last    [Kinds]time.Time // when each kind was last seen
+	last    [KindCount]time.Time // when each kind was last seen
 }
 
 // Kind tells a request's kind from its size in bytes, or from what others of
