--- a/internal/load/poison/bench_test.go
+++ b/internal/load/poison/bench_test.go
@@ -8,10 +8,11 @@
 	"hawthornfield.org/hawthornfield/internal/core/ident"
 )
 
-// BenchmarkScreen is what a request costs while another one is under suspicion.
-func BenchmarkScreen(b *testing.B) {
+// BenchmarkSuspected measures what the check costs an unrelated request while another one
+// is under suspicion.
+func BenchmarkSuspected(b *testing.B) {
 	tab := NewTable()
-	tab.RecordCrash(t0, crasher, "s1")
+	tab.RecordCrash(t0, crashing, "s1")
 	b.ReportAllocs()
 	for b.Loop() {
 		if tab.Suspected(HeadOf("GET", "budget.example", "/forecast/ward-17/2026")) {
@@ -20,11 +21,12 @@
 	}
 }
 
-// BenchmarkVerdict reports the bytes of a report and of a verdict on three servers.
+// BenchmarkVerdict reports the encoded size in bytes of a report and of a verdict that
+// names three servers.
 func BenchmarkVerdict(b *testing.B) {
 	tab := NewTable()
 	for _, s := range []ident.Server{"i-267427395c", "i-598e18d132", "i-7c71da8af1"} {
-		tab.RecordCrash(t0, crasher, s)
+		tab.RecordCrash(t0, crashing, s)
 	}
 	size := func(v any) float64 {
 		text, err := json.Marshal(v)
--- a/internal/load/poison/poison.go
+++ b/internal/load/poison/poison.go
@@ -1,20 +1,21 @@
-// Package poison finds requests that crash the servers that run them, known as queries
-// of death, and keeps them from reaching more.
+// Package poison finds requests that crash the servers that run them, known as queries of
+// death, and keeps them from reaching more servers.
 //
-// The load pattern: one request ends its server, its caller repeats it, and each attempt,
-// at whichever entry VM, ends another server. A service of ten servers is gone within
-// ten attempts, however few requests that is.
+// The load pattern: one request crashes its server, its caller repeats it, and each
+// attempt, at whichever entry VM, crashes another server. A service of ten servers is gone
+// within ten attempts, however few requests that is.
 //
-// A request is identified by what a repeat has in common with it, see [Fingerprint]. When a
-// server breaks off under a request, the request is accused. Three accusations by the
-// crashes of different servers quarantine it, unless it was answered in between: a
-// request that crashes servers crashes each of them. An accusation is dropped when its
-// server turns out to be alive, since connections also break for other reasons.
+// A request is identified by a [Fingerprint] of what all its attempts have in common. When
+// a server breaks the connection while it runs a request, the request gets a crash on
+// record. Crashes of [CrashThreshold] different servers quarantine the request, unless it
+// was answered in between: a request that crashes servers crashes each of them. Connections
+// also break for other reasons, so a crash is dropped when its server turns out to be
+// alive.
 //
 //	t := poison.NewTable()
-//	t.Accuse(now, print, "server-1")
-//	if left := t.Barred(now, print); left > 0 {
-//		// refuse it, and say when to come back
+//	t.RecordCrash(now, fingerprint, "server-1")
+//	if left := t.QuarantineLeft(now, fingerprint); left > 0 {
+//		// Refuse the request and ask its caller to come back after left.
 //	}
 package poison
 
@@ -29,107 +30,109 @@
 	"hawthornfield.org/hawthornfield/internal/core/kinds"
 )
 
-const part = 8 // bytes of each part of a print
+const partSize = 8 // bytes of each of the three parts of a fingerprint
 
-// Head is the digest of a request line.
-type Head [part]byte
+// Head is the digest of a request line: method, host, path and query.
+type Head [partSize]byte
 
 // Body is the digest of a request's body.
-type Body [part]byte
+type Body [partSize]byte
 
-// Fingerprint identifies a request over all its attempts: the same method, host, path and
-// query, body and caller. Ids and deadlines differ between attempts and are no part of it.
+// Fingerprint identifies a request over all its attempts by its method, host, path and
+// query, body and caller. Ids and deadlines differ between attempts and are not included.
 //
-// A caller may be known by an address that differs between its attempts, so that each
-// request is under suspicion twice: as this caller's, and as anybody's, see [Print.AnyCaller].
-type Fingerprint [3 * part]byte
+// A caller may be known by an address that differs between its attempts. So each request is
+// tracked twice: for its caller, and for any caller, see [Fingerprint.AnyCaller].
+type Fingerprint [3 * partSize]byte
 
 // HeadOf returns the digest of a request line.
 func HeadOf(method, host, uri string) Head {
 	h := sha256.New()
 	var size [8]byte
 	for _, s := range []string{method, host, uri} {
-		// The length keeps two fields apart: "ab", "c" is not "a", "bc".
+		// The length separates the fields: "ab", "c" must not equal "a", "bc".
 		binary.BigEndian.PutUint64(size[:], uint64(len(s)))
-		_, _ = h.Write(size[:]) // a hash takes everything
+		_, _ = h.Write(size[:]) // a hash never fails
 		_, _ = io.WriteString(h, s)
 	}
-	return Head(h.Sum(nil)[:part])
+	return Head(h.Sum(nil)[:partSize])
 }
 
-// BodyOf returns the digest of a whole body.
+// BodyOf returns the digest of a complete body.
 func BodyOf(b []byte) Body {
 	sum := sha256.Sum256(b)
-	return Body(sum[:part])
+	return Body(sum[:partSize])
 }
 
-// LengthOf stands for a body of which only the length is known before it is sent.
+// LengthOf returns a substitute digest for a body of which only the length in bytes is
+// known before it is sent.
 func LengthOf(n int64) Body {
 	var b [8]byte
 	binary.BigEndian.PutUint64(b[:], uint64(n))
 	return BodyOf(b[:])
 }
 
-// Fingerprint returns the print of a caller's request with a body.
+// Fingerprint returns the fingerprint of a caller's request with a body.
 func (h Head) Fingerprint(caller string, b Body) Fingerprint {
 	var p Fingerprint
-	copy(p[:part], h[:])
-	copy(p[part:], b[:])
+	copy(p[:partSize], h[:])
+	copy(p[partSize:], b[:])
 	sum := sha256.Sum256([]byte(caller))
-	copy(p[2*part:], sum[:])
+	copy(p[2*partSize:], sum[:])
 	return p
 }
 
-// Head returns the part for the request line.
-func (p Fingerprint) Head() Head { return Head(p[:part]) }
+// Head returns the digest of the request line.
+func (p Fingerprint) Head() Head { return Head(p[:partSize]) }
 
-// AnyCaller returns the print of the same request, whoever sends it.
+// AnyCaller returns the fingerprint of the same request from any caller.
 func (p Fingerprint) AnyCaller() Fingerprint {
-	clear(p[2*part:])
+	clear(p[2*partSize:])
 	return p
 }
 
-// String renders the print for logs.
+// String returns the fingerprint as 48 hex digits.
 func (p Fingerprint) String() string { return hex.EncodeToString(p[:]) }
 
-// MarshalText renders what UnmarshalText reads.
+// MarshalText implements [encoding.TextMarshaler].
 func (p Fingerprint) MarshalText() ([]byte, error) { return []byte(p.String()), nil }
 
-// UnmarshalText reads a print. Anything else is Malformed.
+// UnmarshalText implements [encoding.TextUnmarshaler]. It returns a [kinds.Malformed] error
+// unless the text is 48 hex digits.
 func (p *Fingerprint) UnmarshalText(text []byte) error {
 	b, err := hex.DecodeString(string(text))
 	if err != nil || len(b) != len(p) {
-		return kinds.New(kinds.Malformed, "print of a request")
+		return kinds.New(kinds.Malformed, "request fingerprint is not 48 hex digits")
 	}
 	*p = Fingerprint(b)
 	return nil
 }
 
-// Digest is an [io.Reader] that takes the digest of a body as it is read. Body may be
+// Digest is an [io.Reader] that computes the digest of a body while it is read. Body may be
 // called while another goroutine still reads.
 type Digest struct {
-	from io.Reader
-	mu   sync.Mutex
-	sum  hash.Hash
-	done bool
+	src      io.Reader
+	mu       sync.Mutex
+	hash     hash.Hash
+	complete bool
 }
 
-// NewDigest returns a reader of a body.
-func NewDigest(from io.Reader) *Digest { return &Digest{from: from, sum: sha256.New()} }
+// NewDigest returns a Digest that reads a body from an underlying reader.
+func NewDigest(from io.Reader) *Digest { return &Digest{src: from, hash: sha256.New()} }
 
-// Read reads on.
+// Read implements [io.Reader].
 func (d *Digest) Read(p []byte) (int, error) {
-	n, err := d.from.Read(p)
+	n, err := d.src.Read(p)
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	_, _ = d.sum.Write(p[:n])
-	d.done = d.done || err == io.EOF //nolint:errorlint // readers return it bare
+	_, _ = d.hash.Write(p[:n])
+	d.complete = d.complete || err == io.EOF //nolint:errorlint // readers return io.EOF unwrapped
 	return n, err
 }
 
-// Body returns the digest, and false before the body was read to its end.
+// Body returns the digest of what was read so far, and whether that is the whole body.
 func (d *Digest) Body() (Body, bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return Body(d.sum.Sum(nil)[:part]), d.done
+	return Body(d.hash.Sum(nil)[:partSize]), d.complete
 }
--- a/internal/load/poison/table.go
+++ b/internal/load/poison/table.go
@@ -9,76 +9,80 @@
 )
 
 const (
-	// Enough crashes of different servers quarantine a request.
-	Enough = 3
-	// settle is how long a server that broke off has to show that it is alive: its entry
-	// lapses within three heartbeats of its end.
-	settle = 5 * time.Second
-	// memory is how long crashes are remembered after the last one, and after the end of a
-	// quarantine.
-	memory = 10 * time.Minute
-	// mostCases bounds the requests under suspicion, and mostCrashes what is kept of each.
-	mostCases   = 1024
-	mostCrashes = 8
+	// CrashThreshold is the number of different servers whose crashes quarantine a request.
+	CrashThreshold = 3
+	// livenessGrace is how long a server has to show that it is alive after its connection
+	// broke. The entry of a server that has ended expires within three heartbeats.
+	livenessGrace = 5 * time.Second
+	// retention is how long crashes are remembered after the last one and after the end of
+	// a quarantine.
+	retention = 10 * time.Minute
+	// maxCases bounds the requests under suspicion, and maxCrashes the crashes kept for
+	// each.
+	maxCases   = 1024
+	maxCrashes = 8
 )
 
-// holds are the times of quarantine after the third crash, the fourth, and each later
-// one. A request whose time is over may run again: its server may have been mended.
-var holds = []time.Duration{10 * time.Minute, time.Hour, 24 * time.Hour}
+// quarantineTimes are the durations of a quarantine after the third crash, the fourth, and
+// each later one. Afterwards the request may run again: the servers may have been fixed.
+var quarantineTimes = []time.Duration{10 * time.Minute, time.Hour, 24 * time.Hour}
 
 const (
-	// tieHold is the quarantine of requests that ran on the same servers as these crashed.
-	tieHold = 10 * time.Second
-	// mostTies crashes end the trials of such requests.
-	mostTies = Enough + 2
+	// tieQuarantine is the short quarantine of a request while another request has crashes
+	// of exactly the same servers, so that it is not known which of the two caused them.
+	tieQuarantine = 10 * time.Second
+	// maxTieCrashes is the number of crashes from which a request gets its full quarantine
+	// in spite of such a tie.
+	maxTieCrashes = CrashThreshold + 2
 )
 
-// Liveness is what is known of a server that broke off.
+// Liveness is what is known about a server whose connection broke.
 type Liveness uint8
 
-// What is known of a server.
+// The liveness states of a server.
 const (
-	Unknown Liveness = iota // for example while the store is away
+	Unknown Liveness = iota // for example while the store is unreachable
 	Alive
 	Gone
 )
 
-// Crash is a server that broke off under a request.
+// Crash is a broken connection to a server while it ran a request.
 type Crash struct {
-	Server ident.Server
-	At     time.Time
-	Sure   bool   // the server is gone
-	told   string // the leader's process that knows of it
+	Server     ident.Server
+	At         time.Time
+	Confirmed  bool   // the server has ended, so that it did crash
+	reportedTo string // process of the leader that has received it
 }
 
 // Case is a request under suspicion.
 type Case struct {
-	Fingerprint Fingerprint
-	Crashes     []Crash // of different servers, oldest first
-	cleared     time.Time
-	told        string // the leader's process that knows when it was cleared
-	seq         uint64 // of the last change that others are told
-	shared      bool
+	Fingerprint     Fingerprint
+	Crashes         []Crash   // of different servers, oldest first
+	cleared         time.Time // when it was last answered or released
+	clearReportedTo string    // process of the leader that has received cleared
+	seq             uint64    // number of its last shared change
+	shared          bool      // other VMs are sent this case
 }
 
-// last is the time of the last crash, or that at which the case was cleared.
-func (c *Case) last() time.Time {
+// lastEvent returns the time of the last crash or, without a crash, when the case was
+// cleared.
+func (c *Case) lastEvent() time.Time {
 	if n := len(c.Crashes); n > 0 {
 		return c.Crashes[n-1].At
 	}
 	return c.cleared
 }
 
-// hold is how long the crashes of a case keep its request in quarantine.
-func (c *Case) hold() time.Duration {
-	n := len(c.Crashes) - Enough
+// quarantineTime returns how long a quarantine the crashes of the case call for.
+func (c *Case) quarantineTime() time.Duration {
+	n := len(c.Crashes) - CrashThreshold
 	if n < 0 {
 		return 0
 	}
-	return holds[min(n, len(holds)-1)]
+	return quarantineTimes[min(n, len(quarantineTimes)-1)]
 }
 
-// covers reports whether every server that broke off under another request broke off
+// covers reports whether every server that crashed under the other request also crashed
 // under this one.
 func (c *Case) covers(other *Case) bool {
 	for _, crash := range other.Crashes {
@@ -89,48 +93,49 @@
 	return true
 }
 
-// Table holds the requests under suspicion. The times are all of one clock. Make one
-// with NewTable; it is not safe for concurrent use.
+// Table holds the requests under suspicion. All times passed to it must come from the same
+// clock. Create it with NewTable; it is not safe for concurrent use.
 type Table struct {
-	cases map[Fingerprint]*Case
-	heads map[Head]int // cases by head
-	seq   uint64
+	cases      map[Fingerprint]*Case
+	headCounts map[Head]int // number of cases for each head
+	seq        uint64       // number of the last shared change
 }
 
 // NewTable returns an empty table.
-func NewTable() *Table { return &Table{cases: map[Fingerprint]*Case{}, heads: map[Head]int{}} }
+func NewTable() *Table { return &Table{cases: map[Fingerprint]*Case{}, headCounts: map[Head]int{}} }
 
-// Len counts the requests under suspicion.
+// Len returns the number of cases.
 func (t *Table) Len() int { return len(t.cases) }
 
-// Seq is the number of the last change that others are told.
+// Seq returns the number of the last shared change.
 func (t *Table) Seq() uint64 { return t.seq }
 
-// Suspected reports whether a request with this head is under suspicion.
-func (t *Table) Suspected(h Head) bool { return t.heads[h] > 0 }
+// Suspected reports whether any request with this head is under suspicion.
+func (t *Table) Suspected(h Head) bool { return t.headCounts[h] > 0 }
 
-// Crashes counts the servers that broke off under a request.
+// Crashes returns the number of servers that crashed under a request.
 func (t *Table) Crashes(p Fingerprint) int {
 	most := 0
-	for _, c := range t.about(p) {
+	for _, c := range t.casesOf(p) {
 		most = max(most, len(c.Crashes))
 	}
 	return most
 }
 
-// QuarantineLeft is for how much longer a request may reach no server; zero where it may.
+// QuarantineLeft returns how much longer a request must not reach any server; zero
+// if it may.
 func (t *Table) QuarantineLeft(now time.Time, p Fingerprint) time.Duration {
 	var left time.Duration
-	for _, c := range t.about(p) {
-		left = max(left, t.until(c).Sub(now))
+	for _, c := range t.casesOf(p) {
+		left = max(left, t.quarantineEnd(c).Sub(now))
 	}
 	return left
 }
 
-// about lists the cases of a request, its caller's and anybody's.
-func (t *Table) about(p Fingerprint) []*Case {
+// casesOf lists the cases of a request: that of its caller and that of any caller.
+func (t *Table) casesOf(p Fingerprint) []*Case {
 	var all []*Case
-	for _, q := range both(p) {
+	for _, q := range withAnyCaller(p) {
 		if c := t.cases[q]; c != nil {
 			all = append(all, c)
 		}
@@ -138,42 +143,43 @@
 	return all
 }
 
-// both returns a print and the wide one, once where they are the same.
-func both(p Fingerprint) []Fingerprint {
+// withAnyCaller returns a fingerprint and its AnyCaller form, only one if they are equal.
+func withAnyCaller(p Fingerprint) []Fingerprint {
 	if p == p.AnyCaller() {
 		return []Fingerprint{p}
 	}
 	return []Fingerprint{p, p.AnyCaller()}
 }
 
-// until is when the quarantine of a request ends. Requests that ran beside a crashing one are
-// accused as it is: one whose crashes are part of another's is free, and those of which
-// nothing tells which it is are tried again soon, so that the first answer shows it.
-func (t *Table) until(c *Case) time.Time {
-	hold := c.hold()
+// quarantineEnd returns when the quarantine of a request ends. Requests that ran on a
+// server together with a crashing one get the same crashes on record. So a request is free
+// if another one has all its crashes and more. If two have exactly the same crashes, both
+// get only the short tieQuarantine, so that the next answer shows which one is harmless.
+func (t *Table) quarantineEnd(c *Case) time.Time {
+	hold := c.quarantineTime()
 	if hold == 0 {
 		return time.Time{}
 	}
 	for _, other := range t.cases {
-		twin := other.Fingerprint.AnyCaller() == c.Fingerprint.AnyCaller()
-		if twin || len(other.Crashes) < len(c.Crashes) || !other.covers(c) {
+		sameRequest := other.Fingerprint.AnyCaller() == c.Fingerprint.AnyCaller()
+		if sameRequest || len(other.Crashes) < len(c.Crashes) || !other.covers(c) {
 			continue
 		}
 		if len(other.Crashes) > len(c.Crashes) {
 			return time.Time{}
 		}
-		if len(c.Crashes) < mostTies {
-			hold = min(hold, tieHold)
+		if len(c.Crashes) < maxTieCrashes {
+			hold = min(hold, tieQuarantine)
 		}
 	}
-	return c.last().Add(hold)
+	return c.lastEvent().Add(hold)
 }
 
-// Quarantined lists the requests that may reach no server now.
+// Quarantined lists the requests that are in quarantine now, by fingerprint.
 func (t *Table) Quarantined(now time.Time) []Case {
 	var all []Case
 	for _, c := range t.cases {
-		if t.until(c).After(now) {
+		if t.quarantineEnd(c).After(now) {
 			all = append(all, *c)
 		}
 	}
@@ -181,134 +187,135 @@
 	return all
 }
 
-// RecordCrash notes that a server broke off under a request that this VM sent it, and returns
-// how many have by now.
+// RecordCrash records that a server broke the connection while it ran a request of this VM.
+// It returns the number of servers that have done so by now.
 func (t *Table) RecordCrash(now time.Time, p Fingerprint, s ident.Server) int {
-	t.accuse(p, Crash{Server: s, At: now})
+	t.addCrash(p, Crash{Server: s, At: now})
 	return t.Crashes(p)
 }
 
-func (t *Table) accuse(p Fingerprint, crash Crash) {
-	for _, q := range both(p) {
-		if c := t.open(q); c.add(crash) {
-			t.changed(c)
+func (t *Table) addCrash(p Fingerprint, crash Crash) {
+	for _, q := range withAnyCaller(p) {
+		if c := t.getOrCreate(q); c.add(crash) {
+			t.markChanged(c)
 		}
 	}
 }
 
-// Clear notes that a request was answered: whatever happened before was not its doing, or
-// is mended.
+// Clear records that a request was answered: earlier crashes were not caused by it, or
+// their cause has been fixed.
 func (t *Table) Clear(now time.Time, p Fingerprint) {
-	for _, c := range t.about(p) {
-		t.clear(now, c)
+	for _, c := range t.casesOf(p) {
+		t.clearCase(now, c)
 	}
 }
 
-// Release clears a request of all its callers, as an operator asks.
+// Release clears a request for all its callers, at an operator's command.
 func (t *Table) Release(now time.Time, p Fingerprint) {
 	for _, c := range t.cases {
 		if c.Fingerprint.AnyCaller() == p.AnyCaller() {
-			t.clear(now, c)
+			t.clearCase(now, c)
 		}
 	}
 }
 
-func (t *Table) clear(now time.Time, c *Case) {
+func (t *Table) clearCase(now time.Time, c *Case) {
 	if len(c.Crashes) == 0 {
 		return
 	}
-	c.clear(now)
-	c.told = ""
-	t.changed(c)
+	c.clearUntil(now)
+	c.clearReportedTo = ""
+	t.markChanged(c)
 }
 
-// Reconcile drops the accusations by servers that are alive, and all that is old. It
-// reports whether anything changed that others are told.
-func (t *Table) Reconcile(now time.Time, life func(ident.Server) Liveness) bool {
+// Reconcile drops the crashes of servers that are alive, and cases that are out of date. It
+// reports whether any shared case changed.
+func (t *Table) Reconcile(now time.Time, liveness func(ident.Server) Liveness) bool {
 	before := t.seq
 	for p, c := range t.cases {
 		n := len(c.Crashes)
 		c.Crashes = slices.DeleteFunc(c.Crashes, func(crash Crash) bool {
-			return !crash.Sure && now.Sub(crash.At) >= settle && life(crash.Server) == Alive
+			return !crash.Confirmed && now.Sub(crash.At) >= livenessGrace && liveness(crash.Server) == Alive
 		})
 		for i := range c.Crashes {
-			c.Crashes[i].Sure = c.Crashes[i].Sure || life(c.Crashes[i].Server) == Gone
+			c.Crashes[i].Confirmed = c.Crashes[i].Confirmed || liveness(c.Crashes[i].Server) == Gone
 		}
 		if len(c.Crashes) != n {
-			t.changed(c)
+			t.markChanged(c)
 		}
-		unproven := len(c.Crashes) == 0 && !c.shared
-		if unproven || !now.Before(c.last().Add(c.hold()+memory)) {
-			t.forget(p)
+		unshared := len(c.Crashes) == 0 && !c.shared
+		if unshared || !now.Before(c.lastEvent().Add(c.quarantineTime()+retention)) {
+			t.remove(p)
 		}
 	}
 	return t.seq != before
 }
 
-// open returns the case of a request, a new one if there is none.
-func (t *Table) open(p Fingerprint) *Case {
+// getOrCreate returns the case of a request and creates it if there is none.
+func (t *Table) getOrCreate(p Fingerprint) *Case {
 	if c := t.cases[p]; c != nil {
 		return c
 	}
-	if len(t.cases) >= mostCases {
+	if len(t.cases) >= maxCases {
 		t.evict()
 	}
 	c := &Case{Fingerprint: p}
 	t.cases[p] = c
-	t.heads[p.Head()]++
+	t.headCounts[p.Head()]++
 	return c
 }
 
-// evict makes room: the fewest crashes go first, then the oldest.
+// evict removes the case with the fewest crashes, the oldest one among these.
 func (t *Table) evict() {
 	var least *Case
 	for _, c := range t.cases {
-		older := least != nil && len(c.Crashes) == len(least.Crashes) && c.last().Before(least.last())
+		older := least != nil && len(c.Crashes) == len(least.Crashes) && c.lastEvent().Before(least.lastEvent())
 		if least == nil || len(c.Crashes) < len(least.Crashes) || older {
 			least = c
 		}
 	}
 	if least != nil {
-		t.forget(least.Fingerprint)
+		t.remove(least.Fingerprint)
 	}
 }
 
-func (t *Table) forget(p Fingerprint) {
+func (t *Table) remove(p Fingerprint) {
 	delete(t.cases, p)
-	if t.heads[p.Head()]--; t.heads[p.Head()] <= 0 {
-		delete(t.heads, p.Head())
+	if t.headCounts[p.Head()]--; t.headCounts[p.Head()] <= 0 {
+		delete(t.headCounts, p.Head())
 	}
 }
 
-// clear drops the crashes up to a time.
-func (c *Case) clear(at time.Time) {
+// clearUntil drops the crashes up to a time and ignores those reported later for that
+// period.
+func (c *Case) clearUntil(at time.Time) {
 	if at.After(c.cleared) {
 		c.cleared = at
 	}
 	c.Crashes = slices.DeleteFunc(c.Crashes, func(crash Crash) bool { return !crash.At.After(c.cleared) })
 }
 
-// add adds a crash, unless its server is known or the request was cleared after it, and
-// reports whether it did.
+// add adds a crash and reports whether it did. A crash is ignored if its server is already
+// on record or the request was cleared after it.
 func (c *Case) add(crash Crash) bool {
 	if !crash.At.After(c.cleared) {
 		return false
 	}
 	if i := slices.IndexFunc(c.Crashes, func(o Crash) bool { return o.Server == crash.Server }); i >= 0 {
-		c.Crashes[i].Sure = c.Crashes[i].Sure || crash.Sure
+		c.Crashes[i].Confirmed = c.Crashes[i].Confirmed || crash.Confirmed
 		return false
 	}
 	c.Crashes = append(c.Crashes, crash)
 	slices.SortFunc(c.Crashes, func(a, b Crash) int { return a.At.Compare(b.At) })
-	if len(c.Crashes) > mostCrashes {
-		c.Crashes = c.Crashes[len(c.Crashes)-mostCrashes:]
+	if len(c.Crashes) > maxCrashes {
+		c.Crashes = c.Crashes[len(c.Crashes)-maxCrashes:]
 	}
 	return true
 }
 
-// changed numbers a change that others are told. A request with a single crash is no news
-// to them: connections break all the time.
-func (t *Table) changed(c *Case) {
+// markChanged assigns the next change number to a case that is shared with other VMs. A
+// case with a single crash is not shared yet, because connections break all the time.
+func (t *Table) markChanged(c *Case) {
 	if len(c.Crashes) > 1 {
 		c.shared = true
 	}
--- /dev/null
+++ b/internal/load/poison/verdicts.go
@@ -0,0 +1,160 @@
+package poison
+
+import (
+	"cmp"
+	"slices"
+	"time"
+
+	"hawthornfield.org/hawthornfield/internal/core/ident"
+)
+
+// Verdict is a case in the form in which the leader shares it with other VMs. Times are
+// sent as ages, because the clocks of VMs differ.
+type Verdict struct {
+	Fingerprint Fingerprint    `json:"print"`
+	Crashes     []VerdictCrash `json:"crashes,omitempty"`
+	ClearedAge  time.Duration  `json:"cleared,omitempty"` // time since the request was cleared; zero for never
+}
+
+// VerdictCrash is one crash of a verdict, with the time since it happened.
+type VerdictCrash struct {
+	Server    ident.Server  `json:"server"`
+	Age       time.Duration `json:"ago"`
+	Confirmed bool          `json:"sure,omitempty"`
+}
+
+// Report is one observation of a VM that it sends to the leader: a server crashed while it
+// ran the request or, when Server is empty, the request was answered.
+type Report struct {
+	Fingerprint Fingerprint   `json:"print"`
+	Server      ident.Server  `json:"server,omitempty"`
+	Age         time.Duration `json:"ago"`
+}
+
+// maxReports bounds the number of reports in one request to the leader.
+const maxReports = 64
+
+// Reports lists the most recent observations that the given leader has not received yet.
+// After a change of leader these include what the previous leader had sent here. The leader
+// is identified by its process, so that a restarted leader receives everything again.
+func (t *Table) Reports(now time.Time, leader string) []Report {
+	var all []Report
+	for _, c := range t.cases {
+		if !c.cleared.IsZero() && c.clearReportedTo != leader {
+			all = append(all, Report{Fingerprint: c.Fingerprint, Age: now.Sub(c.cleared)})
+		}
+		for _, crash := range c.Crashes {
+			if crash.reportedTo != leader {
+				all = append(all, Report{Fingerprint: c.Fingerprint, Server: crash.Server, Age: now.Sub(crash.At)})
+			}
+		}
+	}
+	slices.SortFunc(all, func(a, b Report) int { return cmp.Compare(a.Age, b.Age) })
+	return all[:min(len(all), maxReports)]
+}
+
+// MarkReported records that a leader has received the reports.
+func (t *Table) MarkReported(leader string, all []Report) {
+	for _, r := range all {
+		c := t.cases[r.Fingerprint]
+		if c == nil {
+			continue
+		}
+		if r.Server == "" {
+			c.clearReportedTo = leader
+		}
+		for i := range c.Crashes {
+			if c.Crashes[i].Server == r.Server {
+				c.Crashes[i].reportedTo = leader
+			}
+		}
+	}
+}
+
+// AddReports adds the reports of another VM to the leader's table.
+func (t *Table) AddReports(now time.Time, all []Report) {
+	for _, r := range all {
+		if r.Server == "" {
+			t.Clear(now.Add(-r.Age), r.Fingerprint)
+			continue
+		}
+		t.addCrash(r.Fingerprint, Crash{Server: r.Server, At: now.Add(-r.Age)})
+	}
+}
+
+// ChangesSince lists the shared cases that changed after the change with number seq.
+func (t *Table) ChangesSince(now time.Time, seq uint64) []Verdict {
+	var all []Verdict
+	for _, c := range t.cases {
+		if c.shared && c.seq > seq {
+			all = append(all, c.verdict(now))
+		}
+	}
+	return all
+}
+
+// verdict returns the case in its shared form.
+func (c *Case) verdict(now time.Time) Verdict {
+	v := Verdict{Fingerprint: c.Fingerprint}
+	if !c.cleared.IsZero() {
+		v.ClearedAge = max(now.Sub(c.cleared), 1)
+	}
+	for _, crash := range c.Crashes {
+		v.Crashes = append(v.Crashes, VerdictCrash{Server: crash.Server, Age: now.Sub(crash.At), Confirmed: crash.Confirmed})
+	}
+	return v
+}
+
+// ApplyVerdicts applies the leader's verdicts. They replace the crashes known here, except
+// those that the leader has not received yet.
+func (t *Table) ApplyVerdicts(now time.Time, leader string, all []Verdict) {
+	for _, v := range all {
+		c := t.getOrCreate(v.Fingerprint)
+		before := slices.Clone(c.Crashes)
+		c.Crashes = slices.DeleteFunc(c.Crashes, func(crash Crash) bool { return crash.reportedTo == leader })
+		t.merge(now, c, v, leader)
+		t.markIfChanged(c, before)
+	}
+}
+
+// Merge adds verdicts to the crashes known here. A new leader uses it for the verdicts that
+// were saved in the store.
+func (t *Table) Merge(now time.Time, all []Verdict) {
+	for _, v := range all {
+		c := t.getOrCreate(v.Fingerprint)
+		before := slices.Clone(c.Crashes)
+		t.merge(now, c, v, "")
+		t.markIfChanged(c, before)
+	}
+}
+
+// merge adds a verdict to a case. The leader is the process that sent the verdict, empty
+// for the store.
+func (t *Table) merge(now time.Time, c *Case, v Verdict, leader string) {
+	if v.ClearedAge > 0 {
+		c.clearUntil(now.Add(-v.ClearedAge))
+		c.clearReportedTo = leader
+	}
+	for _, reported := range v.Crashes {
+		c.add(Crash{Server: reported.Server, At: now.Add(-reported.Age), Confirmed: reported.Confirmed, reportedTo: leader})
+	}
+}
+
+// markIfChanged shares a case that was not shared before, and assigns a new change number
+// when its set of crashed servers differs from before.
+func (t *Table) markIfChanged(c *Case, before []Crash) {
+	same := func(a, b Crash) bool { return a.Server == b.Server }
+	if !c.shared || !slices.EqualFunc(before, c.Crashes, same) {
+		c.shared = true
+		t.markChanged(c)
+	}
+}
+
+// Quarantine lists the verdicts on requests in quarantine, to be saved in the store.
+func (t *Table) Quarantine(now time.Time) []Verdict {
+	var all []Verdict
+	for _, c := range t.Quarantined(now) {
+		all = append(all, c.verdict(now))
+	}
+	return all
+}
