--- a/internal/load/queue/queue.go
+++ b/internal/load/queue/queue.go
@@ -1,23 +1,17 @@
-// Package queue holds the requests that wait for a place: bounded, in fair
-// order, by class, and aware of deadlines.
+// Package queue holds the requests that wait for a slot of a backend server. The queue is
+// bounded, fair within each class of priority, and aware of deadlines.
 //
-// The load pattern is more work than the slots can do, first for a moment (a
-// burst), then for minutes (overload). An unbounded queue in order of arrival
-// turns both into the same failure: the wait grows past every deadline, and
-// from then on the service only works for callers who have gone.
+// The load pattern is more work than the slots can do, first for a moment (a burst), then
+// for minutes (overload). An unbounded queue in order of arrival fails in both cases: the
+// wait grows past every deadline, and from then on the service only works for callers that
+// have given up.
 //
-// Three rules prevent that. A request that would wait past its deadline is not
-// taken in at all. While the queue is short-lived, waiting as long as the
-// deadline allows is right, because the burst will drain. When requests have
-// waited longer than Target for a whole Interval, the queue is standing: it
-// smooths nothing and only adds delay, so newcomers are taken only for waits up
-// to a small multiple of Target, until no request has been turned away for
-// Settle.
-//
-// Grounds: Interval of 100 ms is the usual one for controlled delay and about
-// ten times the service time of a lookup; Settle of 500 ms spans some tens of
-// arrivals on one server's queue, so that one lucky gap does not switch back.
-// Classes share by weight 8:4:1; the lowest still gets a thirteenth.
+// Three rules prevent that. A request that would wait past its deadline is not queued.
+// During a burst a request may wait as long as its deadline allows, because the queue will
+// drain. When requests have waited longer than Target for a whole [StandingInterval], the
+// queue is standing: it no longer absorbs a burst and only adds delay. New requests are
+// then queued only for waits up to a small multiple of Target, until none has been refused
+// for [RecoveryTime].
 package queue
 
 import (
@@ -28,14 +22,24 @@
 
 // Defaults of Queue.
 const (
-	DefaultCap    = 256
+	// DefaultCap is the number of requests that a queue holds.
+	DefaultCap = 256
+	// DefaultTarget is the wait that is acceptable under lasting load.
 	DefaultTarget = 5 * time.Millisecond
-	Interval      = 100 * time.Millisecond
-	Settle        = 500 * time.Millisecond
-	Classes       = 3
+	// StandingInterval is how long waits must exceed the target until the queue is
+	// standing. 100 ms is usual for controlled delay (CoDel) and about ten times the
+	// service time of a lookup.
+	StandingInterval = 100 * time.Millisecond
+	// RecoveryTime is how long no request must have been refused until the queue is no
+	// longer standing. 500 ms spans some tens of arrivals on the queue of one server, so
+	// that a single gap between arrivals does not end the state.
+	RecoveryTime = 500 * time.Millisecond
+	// Classes is the number of classes of priority: normal, high and low.
+	Classes = 3
 )
 
-// weights are the shares of the classes normal, high and low.
+// weights are the shares of the classes normal, high and low. Under full load the lowest
+// class still gets a thirteenth.
 var weights = [Classes]float64{4, 8, 1}
 
 // Item is one waiting request; embed it. An Item is in at most one queue.
@@ -43,54 +47,56 @@
 	Value    T
 	Class    uint8
 	Rank     time.Time // order within the class, earliest first
-	Deadline time.Time // when it is too late to start
+	Deadline time.Time // latest time at which serving it can start
 
-	seq uint64
-	at  time.Time
-	in  bool
+	seq        uint64
+	enqueuedAt time.Time
+	queued     bool
 }
 
-// EnqueuedAt is when the item began to wait.
-func (i *Item[T]) EnqueuedAt() time.Time { return i.at }
+// EnqueuedAt returns when the item was added to its queue.
+func (i *Item[T]) EnqueuedAt() time.Time { return i.enqueuedAt }
 
 // Waiting reports whether the item is in a queue.
-func (i *Item[T]) Waiting() bool { return i.in }
+func (i *Item[T]) Waiting() bool { return i.queued }
 
+// entry holds the sort keys of an item beside the pointer to it.
 type entry[T any] struct {
 	rank time.Time
 	seq  uint64
 	item *Item[T]
 }
 
-// line is one class: entries sorted by rank, then by arrival.
-type line[T any] struct {
-	entries []entry[T]
-	pass    float64 // virtual time of the class, for sharing by weight
+// classQueue holds the items of one class, sorted by rank and then by arrival.
+type classQueue[T any] struct {
+	entries     []entry[T]
+	virtualTime float64 // service taken so far, divided by the weight of the class
 }
 
 // Queue is a bounded queue of T. The zero value is ready to use.
 type Queue[T any] struct {
-	Cap    int           // most items; zero is DefaultCap
-	Target time.Duration // a wait that is too long when it lasts; zero is DefaultTarget
-
-	lines    [Classes]line[T]
-	n        int
-	seq      uint64
-	pass     float64
-	soonest  time.Time
-	short    time.Time // when a wait was last within Target
-	served   time.Time // when an item was last served, or came to an empty queue
-	full     time.Time // when something was last turned away
-	standing bool
+	Cap    int           // maximum number of items; zero means DefaultCap
+	Target time.Duration // acceptable wait under lasting load; zero means DefaultTarget
+
+	classes          [Classes]classQueue[T]
+	length           int
+	seq              uint64
+	virtualTime      float64   // that of the class served last
+	earliestDeadline time.Time // lower bound of all deadlines; zero when empty
+	lastShortWait    time.Time // when an item was last served within Target
+	lastServed       time.Time // when an item was last served, or added to an empty queue
+	lastRefused      time.Time // when a request was last refused
+	standing         bool
 }
 
-// Len is the number of items waiting.
-func (q *Queue[T]) Len() int { return q.n }
+// Len returns the number of items waiting.
+func (q *Queue[T]) Len() int { return q.length }
 
 // Room reports whether another item fits.
-func (q *Queue[T]) Room() bool { return q.n < q.cap() }
+func (q *Queue[T]) Room() bool { return q.length < q.cap() }
 
-// Standing reports whether the queue has lasted too long to be a burst.
+// Standing reports whether the queue has lasted too long to be a burst, see the package
+// comment.
 func (q *Queue[T]) Standing() bool { return q.standing }
 
 func (q *Queue[T]) cap() int {
@@ -107,220 +113,222 @@
 	return q.Target
 }
 
-// Push adds an item. The caller has checked Room.
+// Push adds an item. The caller must have checked Room.
 func (q *Queue[T]) Push(now time.Time, it *Item[T]) {
-	if q.n == 0 {
-		q.served = now
+	if q.length == 0 {
+		q.lastServed = now
 	}
-	if q.n == 0 && !q.standing {
-		q.short = now
+	if q.length == 0 && !q.standing {
+		q.lastShortWait = now
 	}
 	q.seq++
-	it.seq, it.at, it.in = q.seq, now, true
-	l := &q.lines[it.Class]
-	if len(l.entries) == 0 {
-		l.pass = max(l.pass, q.pass)
+	it.seq, it.enqueuedAt, it.queued = q.seq, now, true
+	cq := &q.classes[it.Class]
+	if len(cq.entries) == 0 {
+		cq.virtualTime = max(cq.virtualTime, q.virtualTime)
 	}
-	i := l.find(it.Rank, it.seq)
-	l.entries = slices.Insert(l.entries, i, entry[T]{it.Rank, it.seq, it})
-	q.n++
-	if q.soonest.IsZero() || it.Deadline.Before(q.soonest) {
-		q.soonest = it.Deadline
+	i := cq.position(it.Rank, it.seq)
+	cq.entries = slices.Insert(cq.entries, i, entry[T]{it.Rank, it.seq, it})
+	q.length++
+	if q.earliestDeadline.IsZero() || it.Deadline.Before(q.earliestDeadline) {
+		q.earliestDeadline = it.Deadline
 	}
 }
 
-// find returns the place of an entry in the line. Most go to its end.
-func (l *line[T]) find(rank time.Time, seq uint64) int {
-	n := len(l.entries)
-	if n == 0 || l.entries[n-1].rank.Before(rank) {
+// position returns the index at which an entry is or belongs. Most belong at the end.
+func (cq *classQueue[T]) position(rank time.Time, seq uint64) int {
+	n := len(cq.entries)
+	if n == 0 || cq.entries[n-1].rank.Before(rank) {
 		return n
 	}
-	return sort.Search(len(l.entries), func(i int) bool {
-		e := &l.entries[i]
+	return sort.Search(len(cq.entries), func(i int) bool {
+		e := &cq.entries[i]
 		c := e.rank.Compare(rank)
 		return c > 0 || (c == 0 && e.seq >= seq)
 	})
 }
 
-// Pop removes and returns the item to serve next, nil when none waits.
+// Pop removes and returns the item to serve next, nil if the queue is empty.
 func (q *Queue[T]) Pop(now time.Time) *Item[T] {
-	l := q.turn()
-	if l == nil {
+	cq := q.nextClass()
+	if cq == nil {
 		return nil
 	}
-	it := l.entries[0].item
-	q.removeAt(l, 0)
-	q.pass = l.pass
-	l.pass += 1 / weights[it.Class]
-	q.judge(now, now.Sub(it.at))
+	it := cq.entries[0].item
+	q.removeAt(cq, 0)
+	q.virtualTime = cq.virtualTime
+	cq.virtualTime += 1 / weights[it.Class]
+	q.updateStanding(now, now.Sub(it.enqueuedAt))
 	return it
 }
 
-// Peek returns the item that Pop would return.
+// Peek returns the item that Pop would return, without removing it.
 func (q *Queue[T]) Peek() *Item[T] {
-	l := q.turn()
-	if l == nil {
+	cq := q.nextClass()
+	if cq == nil {
 		return nil
 	}
-	return l.entries[0].item
+	return cq.entries[0].item
 }
 
-// turn picks the class that is furthest behind its share.
-func (q *Queue[T]) turn() *line[T] {
-	var best *line[T]
-	for i := range q.lines {
-		l := &q.lines[i]
-		if len(l.entries) > 0 && (best == nil || l.pass < best.pass) {
-			best = l
+// nextClass returns the nonempty class that is furthest behind its share, nil if all are
+// empty.
+func (q *Queue[T]) nextClass() *classQueue[T] {
+	var best *classQueue[T]
+	for i := range q.classes {
+		cq := &q.classes[i]
+		if len(cq.entries) > 0 && (best == nil || cq.virtualTime < best.virtualTime) {
+			best = cq
 		}
 	}
 	return best
 }
 
-// Remove takes out an item that is abandoned or refused.
+// Remove removes an item whose request was abandoned or refused.
 func (q *Queue[T]) Remove(it *Item[T]) {
-	if !it.in {
+	if !it.queued {
 		return
 	}
-	l := &q.lines[it.Class]
-	q.removeAt(l, l.find(it.Rank, it.seq))
+	cq := &q.classes[it.Class]
+	q.removeAt(cq, cq.position(it.Rank, it.seq))
 }
 
-func (q *Queue[T]) removeAt(l *line[T], i int) {
-	l.entries[i].item.in = false
-	l.entries = slices.Delete(l.entries, i, i+1)
-	q.n--
-	if q.n == 0 {
-		q.soonest = time.Time{}
+func (q *Queue[T]) removeAt(cq *classQueue[T], i int) {
+	cq.entries[i].item.queued = false
+	cq.entries = slices.Delete(cq.entries, i, i+1)
+	q.length--
+	if q.length == 0 {
+		q.earliestDeadline = time.Time{}
 	}
 }
 
-// Ahead estimates how many items are served before a newcomer of this class and
-// rank: those before it in its own class, and the share the other classes take
-// meanwhile.
+// Ahead estimates how many items would be served before a new one of this class and rank:
+// those before it in its own class, and the share of the other classes meanwhile.
 func (q *Queue[T]) Ahead(class uint8, rank time.Time) float64 {
-	return q.ahead(int(class), float64(q.lines[class].find(rank, q.seq+1)))
+	return q.ahead(int(class), float64(q.classes[class].position(rank, q.seq+1)))
 }
 
+// ahead is Ahead for an item with own items before it in its class.
 func (q *Queue[T]) ahead(class int, own float64) float64 {
 	ahead := own
-	for i := range q.lines {
+	for i := range q.classes {
 		if i == class {
 			continue
 		}
 		share := (own + 1) * weights[i] / weights[class]
-		ahead += min(float64(len(q.lines[i].entries)), share)
+		ahead += min(float64(len(q.classes[i].entries)), share)
 	}
 	return ahead
 }
 
-// Last returns the item that is served last in its class: the one whose flow
-// has taken most, in the lowest class that has any.
+// Last returns the last item of the lowest nonempty class, nil if the queue is empty. Its
+// rank is latest because its flow has used most.
 func (q *Queue[T]) Last() *Item[T] {
 	for _, class := range [Classes]int{2, 0, 1} {
-		if e := q.lines[class].entries; len(e) > 0 {
+		if e := q.classes[class].entries; len(e) > 0 {
 			return e[len(e)-1].item
 		}
 	}
 	return nil
 }
 
-// NextExpiry is when the first item may become too late; zero when none waits. It
-// can be early, never late.
-func (q *Queue[T]) NextExpiry() time.Time { return q.soonest }
+// NextExpiry returns when the first deadline may pass; zero if the queue is empty. The time
+// can be too early, never too late.
+func (q *Queue[T]) NextExpiry() time.Time { return q.earliestDeadline }
 
-// Expire removes the items that are too late to start and hands each to drop.
+// Expire removes the items whose deadlines have passed and calls drop for each.
 func (q *Queue[T]) Expire(now time.Time, drop func(T)) {
-	if q.n == 0 || now.Before(q.soonest) {
+	if q.length == 0 || now.Before(q.earliestDeadline) {
 		return
 	}
-	q.soonest = time.Time{}
-	for i := range q.lines {
-		q.expire(&q.lines[i], now, drop)
+	q.earliestDeadline = time.Time{}
+	for i := range q.classes {
+		q.expire(&q.classes[i], now, drop)
 	}
 }
 
-func (q *Queue[T]) expire(l *line[T], now time.Time, drop func(T)) {
-	l.entries = slices.DeleteFunc(l.entries, func(e entry[T]) bool {
+func (q *Queue[T]) expire(cq *classQueue[T], now time.Time, drop func(T)) {
+	cq.entries = slices.DeleteFunc(cq.entries, func(e entry[T]) bool {
 		if now.Before(e.item.Deadline) {
-			if q.soonest.IsZero() || e.item.Deadline.Before(q.soonest) {
-				q.soonest = e.item.Deadline
+			if q.earliestDeadline.IsZero() || e.item.Deadline.Before(q.earliestDeadline) {
+				q.earliestDeadline = e.item.Deadline
 			}
 			return false
 		}
-		e.item.in = false
-		q.n--
+		e.item.queued = false
+		q.length--
 		drop(e.item.Value)
 		return true
 	})
 }
 
-// Shed removes the items for which late is true and hands each to drop. Late is
-// told how many are served before the item, as by Ahead, those that stay
-// counted only.
-func (q *Queue[T]) Shed(late func(ahead float64, it *Item[T]) bool, drop func(T)) {
-	for class := range q.lines {
-		l := &q.lines[class]
+// Shed removes the items for which tooLate returns true and calls drop for each. The
+// argument ahead is the number of items served before the item, as in Ahead, without those
+// that Shed removes from its own class.
+func (q *Queue[T]) Shed(tooLate func(ahead float64, it *Item[T]) bool, drop func(T)) {
+	for class := range q.classes {
+		cq := &q.classes[class]
 		own := 0.0
-		l.entries = slices.DeleteFunc(l.entries, func(e entry[T]) bool {
-			if !late(q.ahead(class, own), e.item) {
+		cq.entries = slices.DeleteFunc(cq.entries, func(e entry[T]) bool {
+			if !tooLate(q.ahead(class, own), e.item) {
 				own++
 				return false
 			}
-			e.item.in = false
-			q.n--
+			e.item.queued = false
+			q.length--
 			drop(e.item.Value)
 			return true
 		})
 	}
-	if q.n == 0 {
-		q.soonest = time.Time{}
+	if q.length == 0 {
+		q.earliestDeadline = time.Time{}
 	}
 }
 
-// Each calls do for every waiting item, in no particular order.
-func (q *Queue[T]) Each(do func(T)) {
-	for i := range q.lines {
-		for _, e := range q.lines[i].entries {
-			do(e.item.Value)
+// Each calls visit for every waiting item, in no particular order.
+func (q *Queue[T]) Each(visit func(T)) {
+	for i := range q.classes {
+		for _, e := range q.classes[i].entries {
+			visit(e.item.Value)
 		}
 	}
 }
 
-// MarkFull notes that something was turned away for want of room.
-func (q *Queue[T]) MarkFull(now time.Time) { q.full = now }
+// MarkFull records that a request was refused for lack of room.
+func (q *Queue[T]) MarkFull(now time.Time) { q.lastRefused = now }
 
-// pauseTurns is for how many usual turns nothing is served in a pause.
-const pauseTurns = 4
+// pauseFactor is the number of target waits without any service that count as a pause, if
+// that is longer than StandingInterval.
+const pauseFactor = 4
 
-// judge decides from the wait of a served item whether the queue is standing.
+// updateStanding decides from the wait of a served item whether the queue is standing.
 //
-// While nothing is served at all, nothing is learned: this VM was paused, or the
-// server was, and its one wait is as long as the pause. The requests that were held
-// up meanwhile come all at once after it, to a server that is idle, and a queue that
-// took the pause for an overload would refuse most of them.
-func (q *Queue[T]) judge(now time.Time, wait time.Duration) {
-	paused := now.Sub(q.served) > max(Interval, pauseTurns*q.target())
-	q.served = now
+// A wait during which nothing was served is ignored: this VM or the server was paused, and
+// the wait is as long as the pause. The requests that were held up arrive all at once after
+// it, at a server that is idle, and a queue that took the pause for overload would refuse
+// most of them.
+func (q *Queue[T]) updateStanding(now time.Time, wait time.Duration) {
+	paused := now.Sub(q.lastServed) > max(StandingInterval, pauseFactor*q.target())
+	q.lastServed = now
 	if wait <= q.target() {
-		q.short = now
+		q.lastShortWait = now
 		q.ClearStanding(now)
 		return
 	}
 	if paused {
-		q.short = now
+		q.lastShortWait = now
 	}
-	if now.Sub(q.short) > Interval {
+	if now.Sub(q.lastShortWait) > StandingInterval {
 		q.standing = true
-		q.full = now
+		q.lastRefused = now
 	}
 }
 
-// ClearStanding ends the standing state once nothing has been turned away for Settle.
+// ClearStanding ends the standing state once no request has been refused for RecoveryTime.
 // Call it also while nothing is served.
 func (q *Queue[T]) ClearStanding(now time.Time) {
-	if q.standing && now.Sub(q.full) > Settle {
+	if q.standing && now.Sub(q.lastRefused) > RecoveryTime {
 		q.standing = false
-		q.short = now
+		q.lastShortWait = now
 	}
 }
