--- a/internal/load/retry/retry_test.go
+++ b/internal/load/retry/retry_test.go
@@ -11,9 +11,9 @@
 	"hawthornfield.org/hawthornfield/internal/fake/seeds"
 )
 
-// Any mix of failures, of any kinds: retries never exceed the burst plus a
-// tenth of the first attempts, and what may have run is never tried again
-// unless it is idempotent. A receipt would otherwise be credited twice.
+// Guards against retries beyond the burst plus a tenth of the first attempts, and against
+// retrying a request that may have run and is not idempotent: a receipt would be credited
+// twice.
 func TestRetriesAreSafeAndBounded(t *testing.T) {
 	seeds.Check(t, func(t *rapid.T) {
 		b := New()
@@ -21,7 +21,7 @@
 		for range rapid.IntRange(1, 300).Draw(t, "attempts") {
 			first++
 			b.Earn()
-			try := Attempt{
+			attempt := Attempt{
 				Kind:       rapid.SampledFrom(kinds.All()).Draw(t, "kind"),
 				Refused:    rapid.Bool().Draw(t, "refused"),
 				Idempotent: rapid.Bool().Draw(t, "idempotent"),
@@ -29,21 +29,21 @@
 				Needed:     10 * time.Millisecond,
 				Overload:   rapid.IntRange(0, 3).Draw(t, "overload") == 0,
 			}
-			if !b.Allow(try) {
+			if !b.Allow(attempt) {
 				continue
 			}
 			retries++
-			assert.Assert(t, !try.Overload && try.Left > try.Needed)
-			ran := !try.Refused && try.Kind.Answer().Ran != kinds.RanNo
-			assert.Assert(t, !ran || try.Idempotent, "tried %v again", try.Kind)
-			assert.Assert(t, try.Kind != kinds.Canceled && try.Kind != kinds.None)
+			assert.Assert(t, !attempt.Overload && attempt.Left > attempt.Needed)
+			ran := !attempt.Refused && attempt.Kind.Answer().Ran != kinds.RanNo
+			assert.Assert(t, !ran || attempt.Idempotent, "retried %v", attempt.Kind)
+			assert.Assert(t, attempt.Kind != kinds.Canceled && attempt.Kind != kinds.None)
 		}
-		assert.Assert(t, float64(retries) <= Burst+Share*float64(first)+1e-9)
+		assert.Assert(t, float64(retries) <= Burst+RetryShare*float64(first)+1e-9)
 	})
 }
 
-// Callers repeat by themselves. Their repeats must use up the budget, or both
-// layers together retry more than either was allowed.
+// Guards against ignoring the retries of callers: both layers together would then retry
+// more than the budget of either.
 func TestRepeatsOfCallersCount(t *testing.T) {
 	b := New()
 	for range Burst {
@@ -52,7 +52,8 @@
 	assert.Assert(t, !b.Allow(Attempt{Kind: kinds.Busy, Refused: true, Left: time.Second}))
 }
 
-// Hedging starts after about the 95th percentile, or it doubles the load.
+// Guards against hedging before about the 95th percentile of latency, which would double
+// the load.
 func TestHedgeDelayIsAHighPercentile(t *testing.T) {
 	b := New()
 	for i := range 20_000 {
@@ -70,9 +71,8 @@
 	assert.Assert(t, !b.AllowHedge(false, false, time.Second))
 }
 
-// Ten VMs repeat what was lost, each within its own count, and a platform counts all of
-// them together in any ten seconds. More than it allows breaks its rule, however
-// well each VM behaved.
+// Guards against ten VMs that together exceed the platform's limit on retries in any ten
+// seconds, although each stays within its own part of the budget.
 func TestABudgetIsSharedByWindow(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const share, burst, vms = 0.16, 46.0, 10
@@ -81,18 +81,18 @@
 			all[i] = New()
 			all[i].SetLimits(share, burst/vms)
 		}
-		asked, again := 0, 0
+		first, retries := 0, 0
 		for range rapid.IntRange(1, 2000).Draw(t, "steps") {
 			b := &all[rapid.IntRange(0, vms-1).Draw(t, "vm")]
 			if rapid.Bool().Draw(t, "first") {
 				b.Earn()
-				asked++
+				first++
 				continue
 			}
 			if b.ChargeSafe() {
-				again++
+				retries++
 			}
 		}
-		assert.Assert(t, float64(again) <= burst+share*float64(asked), "%d of %d", again, asked)
+		assert.Assert(t, float64(retries) <= burst+share*float64(first), "%d of %d", retries, first)
 	})
 }
