--- a/internal/load/health/health_test.go
+++ b/internal/load/health/health_test.go
@@ -10,11 +10,11 @@
 	"hawthornfield.org/hawthornfield/internal/fake/seeds"
 )
 
-var begin = time.Unix(1000, 0)
+var start = time.Unix(1000, 0)
 
 const typical = 10 * time.Millisecond
 
-func fleet(n int) []*Server {
+func newServers(n int) []*Server {
 	all := make([]*Server, n)
 	for i := range all {
 		all[i] = &Server{}
@@ -27,7 +27,7 @@
 	s.Done(now, latency, failed)
 }
 
-func round(all []*Server, now time.Time, latency func(i int) float64, failed func(i int) bool) {
+func answerAll(all []*Server, now time.Time, latency func(i int) float64, failed func(i int) bool) {
 	for i, s := range all {
 		for range 10 {
 			answer(s, now, latency(i), failed(i))
@@ -35,46 +35,46 @@
 	}
 }
 
-func even(int) float64 { return 1 }
-func always(int) bool  { return true }
+func typicalLatency(int) float64 { return 1 }
+func alwaysFails(int) bool       { return true }
 
-// One of six servers is slow, one fails, one goes silent: each is taken out, and
-// the rest stay.
+// Guards against keeping a bad server: one is slow, one fails and one does not answer. The
+// six others must stay.
 func TestBadServersAreEjected(t *testing.T) {
-	var p Monitor
-	all := fleet(9)
-	round(all, begin, func(i int) float64 {
+	var m Monitor
+	all := newServers(9)
+	answerAll(all, start, func(i int) float64 {
 		if i == 0 {
 			return 10
 		}
 		return 1
 	}, func(i int) bool { return i == 1 })
-	all[2].Sent(begin, typical)
-	p.Evaluate(begin.Add(MinFrozen), all)
+	all[2].Sent(start, typical)
+	m.Evaluate(start.Add(MinStall), all)
 	for i, s := range all {
 		assert.Equal(t, s.State() == Ejected, i < 3, "server %d: %s", i, s.State())
 	}
-	assert.Equal(t, p.Ejected(), 3)
+	assert.Equal(t, m.Ejected(), 3)
 }
 
-// Everything looks bad at once: then it is our side, or plain overload. Taking
-// servers out would send their load to the rest until none is left.
+// Guards against ejecting servers one after another when all look bad, which sends the load
+// of each to the rest until none is left.
 func TestNothingIsEjectedWhenAllLookBad(t *testing.T) {
-	var p Monitor
-	all := fleet(6)
-	round(all, begin, even, always)
-	p.Evaluate(begin, all)
-	assert.Assert(t, p.Panic())
-	assert.Equal(t, p.Ejected(), 0)
+	var m Monitor
+	all := newServers(6)
+	answerAll(all, start, typicalLatency, alwaysFails)
+	m.Evaluate(start, all)
+	assert.Assert(t, m.Panic())
+	assert.Equal(t, m.Ejected(), 0)
 }
 
-// Whatever servers do, at most a third are out at once.
+// Guards against ejecting more than a third of the servers at once.
 func TestEjectionIsBounded(t *testing.T) {
 	seeds.Check(t, func(t *rapid.T) {
-		var p Monitor
+		var m Monitor
 		n := rapid.IntRange(1, 12).Draw(t, "servers")
-		all := fleet(n)
-		now := begin
+		all := newServers(n)
+		now := start
 		for range 40 {
 			now = now.Add(time.Duration(rapid.IntRange(50, 3000).Draw(t, "ms")) * time.Millisecond)
 			for _, s := range all {
@@ -82,66 +82,65 @@
 					answer(s, now, rapid.Float64Range(0.5, 20).Draw(t, "latency"), rapid.IntRange(0, 2).Draw(t, "fails") == 0)
 				}
 			}
-			p.Evaluate(now, all)
-			bound := max(n/maxShare, 1)
+			m.Evaluate(now, all)
+			bound := max(n/ejectionDivisor, 1)
 			if n == 1 {
 				bound = 0
 			}
-			assert.Assert(t, p.Ejected() <= bound, "%d of %d out", p.Ejected(), n)
+			assert.Assert(t, m.Ejected() <= bound, "%d of %d out", m.Ejected(), n)
 		}
 	})
 }
 
-// A server flaps: it answers its probes and fails again. Its pauses must grow,
-// or every few seconds a part of the requests fails there.
+// Guards against failed requests every few seconds on a server that answers its probes and
+// then fails again: its pauses must grow.
 func TestFlappingServerPausesLonger(t *testing.T) {
-	var p Monitor
-	all := fleet(6)
-	now := begin
+	var m Monitor
+	all := newServers(6)
+	now := start
 	last := time.Duration(0)
 	for range 4 {
-		round(all, now, even, func(i int) bool { return i == 0 })
-		p.Evaluate(now, all)
+		answerAll(all, now, typicalLatency, func(i int) bool { return i == 0 })
+		m.Evaluate(now, all)
 		assert.Equal(t, all[0].State(), Ejected)
-		assert.Assert(t, all[0].out > last)
-		last = all[0].out
+		assert.Assert(t, all[0].ejection > last)
+		last = all[0].ejection
 		assert.Equal(t, all[0].MaxRunning(5), 0)
 		now = now.Add(last)
-		p.Evaluate(now, all)
-		assert.Equal(t, all[0].MaxRunning(5), 1, "one probe at a time")
-		for range Probes {
+		m.Evaluate(now, all)
+		assert.Equal(t, all[0].MaxRunning(5), 1, "more than one probe at a time")
+		for range ProbeAnswers {
 			answer(all[0], now, 1, false)
 		}
 		assert.Equal(t, all[0].State(), Ramping)
 	}
 }
 
-// A server that has just started is cold. It must get little at first, and all
-// of its part in the end.
+// Guards against full load on a server that has just started, and against a ramp that never
+// ends.
 func TestColdServerRampsUp(t *testing.T) {
-	var p Monitor
+	var m Monitor
 	s := &Server{}
-	s.MarkCold(begin)
-	assert.Equal(t, s.Weight(begin), minWeight)
-	assert.Equal(t, s.Weight(begin.Add(Ramp/2)), 0.5)
-	p.Evaluate(begin.Add(Ramp), []*Server{s, {}, {}})
+	s.MarkCold(start)
+	assert.Equal(t, s.Weight(start), minRampWeight)
+	assert.Equal(t, s.Weight(start.Add(RampTime/2)), 0.5)
+	m.Evaluate(start.Add(RampTime), []*Server{s, {}, {}})
 	assert.Equal(t, s.State(), OK)
-	assert.Equal(t, s.Weight(begin.Add(Ramp)), 1.0)
+	assert.Equal(t, s.Weight(start.Add(RampTime)), 1.0)
 }
 
-// A frozen server gets one request after another, and none comes back. Each one
-// that is given up must not make it look as if it had just been heard of: the
-// next would be kept waiting for as long again.
+// Guards against counting a request that was given up as a sign of life. The next request
+// to a frozen server would then wait as long as the first.
 func TestSilenceLastsUntilAnAnswer(t *testing.T) {
 	var s Server
-	answer(&s, begin, 1, false)
+	answer(&s, start, 1, false)
 	for i := range 5 {
-		now := begin.Add(time.Duration(i) * time.Second)
+		now := start.Add(time.Duration(i) * time.Second)
 		s.Sent(now, typical)
 		s.Done(now.Add(time.Second/2), 0, true)
 	}
-	now := begin.Add(5 * time.Second)
-	assert.Equal(t, s.SilentFor(now), time.Duration(0), "nothing is asked of it")
+	now := start.Add(5 * time.Second)
+	assert.Equal(t, s.SilentFor(now), time.Duration(0), "no request is running")
 	s.Sent(now, typical)
 	assert.Equal(t, s.SilentFor(now), 5*time.Second)
 	assert.Assert(t, s.StalledFor(now) > 0)
@@ -150,24 +149,24 @@
 	assert.Equal(t, s.SilentFor(now), time.Duration(0))
 }
 
-// A server refuses everything. It is failing from the fifth refusal on, through
-// its pause and its probes, until it answers one.
+// Guards against treating a server that refuses everything as working: it must count as
+// failing from the fifth refusal, through its pause and its probes, until it answers.
 func TestFailingUntilAnAnswer(t *testing.T) {
-	var p Monitor
-	all := fleet(4)
+	var m Monitor
+	all := newServers(4)
 	s := all[0]
-	answer(s, begin, 1, false)
+	answer(s, start, 1, false)
 	assert.Assert(t, !s.Failing())
-	for range 2 * Enough {
-		answer(s, begin, 1, true)
+	for range 2 * MinAnswers {
+		answer(s, start, 1, true)
 	}
 	assert.Assert(t, s.Failing())
-	p.Evaluate(begin, all)
+	m.Evaluate(start, all)
 	assert.Equal(t, s.State(), Ejected)
 	assert.Assert(t, s.Failing())
-	p.Evaluate(begin.Add(FirstOut), all)
+	m.Evaluate(start.Add(MinEjection), all)
 	assert.Equal(t, s.State(), Probe)
 	assert.Assert(t, s.Failing())
-	answer(s, begin.Add(FirstOut), 1, false)
+	answer(s, start.Add(MinEjection), 1, false)
 	assert.Assert(t, !s.Failing())
 }
