--- a/internal/load/fair/flows_test.go
+++ b/internal/load/fair/flows_test.go
@@ -9,35 +9,33 @@
 	"hawthornfield.org/hawthornfield/internal/fake/seeds"
 )
 
-// Flows come, pay and are forgotten in any order, many of them with the same
-// home. The table must agree with a plain map after each step: a flow that is
-// lost pays nothing and floods the queue, one that is found twice pays for
-// another.
+// Guards against losing or confusing flows when they are added and removed in any order and
+// many share a home slot. A lost flow has no debt and floods the queue.
 func TestFlowsAgreeWithAMap(t *testing.T) {
 	seeds.Check(t, func(t *rapid.T) {
 		var flows flows
-		naive := map[Flow]float64{}
+		model := map[Flow]float64{}
 		for range rapid.IntRange(1, 300).Draw(t, "steps") {
 			f := Flow(rapid.Uint64Range(1, 60).Draw(t, "flow"))
 			switch rapid.IntRange(0, 5).Draw(t, "action") {
 			case 0:
 				paid := rapid.Float64Range(0, 5).Draw(t, "paid")
-				flows.forget(len(flows.slots)+flows.n, paid)
-				for g, due := range naive {
+				flows.removePaid(len(flows.slots)+flows.n, paid)
+				for g, due := range model {
 					if due <= paid {
 						if flows.find(g) == nil {
-							delete(naive, g)
+							delete(model, g)
 						}
 					}
 				}
 			case 1:
 				if flows.n > 0 {
 					before := flows.n
-					flows.drop()
+					flows.evictNext()
 					assert.Equal(t, flows.n, before-1)
-					for g := range naive {
+					for g := range model {
 						if flows.find(g) == nil {
-							delete(naive, g)
+							delete(model, g)
 						}
 					}
 				}
@@ -47,10 +45,10 @@
 				if s == nil {
 					s = flows.add(f)
 				}
-				s.due, naive[f] = due, due
+				s.due, model[f] = due, due
 			}
-			assert.Equal(t, flows.n, len(naive))
-			for g, due := range naive {
+			assert.Equal(t, flows.n, len(model))
+			for g, due := range model {
 				s := flows.find(g)
 				assert.Assert(t, s != nil, "flow %d is lost", g)
 				assert.Equal(t, s.due, due)
@@ -60,7 +58,8 @@
 	})
 }
 
-// All slots looked at once must forget all that owe nothing, and nobody else.
+// Guards against removing flows with debts, or keeping those without, in a pass over all
+// slots.
 func TestForgettingLeavesOnlyDebtors(t *testing.T) {
 	seeds.Check(t, func(t *rapid.T) {
 		var flows flows
@@ -73,7 +72,7 @@
 			}
 		}
 		for range 2 {
-			flows.forget(len(flows.slots), 1)
+			flows.removePaid(len(flows.slots), 1)
 		}
 		assert.Equal(t, flows.n, owing)
 	})
