--- a/internal/load/pick/pick_test.go
+++ b/internal/load/pick/pick_test.go
@@ -11,73 +11,71 @@
 	"hawthornfield.org/hawthornfield/internal/fake/seeds"
 )
 
-var begin = time.Unix(1000, 0)
+var start = time.Unix(1000, 0)
 
-// The set agrees with a plain map, and a choice is always a member, and never
-// the one to skip unless it is the only one.
+// Guards against choosing a server that is not in the set, or the one to skip although
+// there are others.
 func TestSetAgreesWithAMap(t *testing.T) {
 	seeds.Check(t, func(t *rapid.T) {
 		var s Set
-		naive := map[int]bool{}
+		model := map[int]bool{}
 		r := rand.New(rand.NewPCG(1, 1))
 		for range 100 {
 			i, room := rapid.IntRange(0, 12).Draw(t, "server"), rapid.Bool().Draw(t, "room")
 			s.Put(i, room)
-			delete(naive, i)
+			delete(model, i)
 			if room {
-				naive[i] = true
+				model[i] = true
 			}
-			assert.Equal(t, s.Len(), len(naive))
+			assert.Equal(t, s.Len(), len(model))
 			skip := rapid.IntRange(-1, 12).Draw(t, "skip")
 			got := s.Choose(r, skip, func(i int) float64 { return float64(i % 3) })
-			if len(naive) == 0 {
+			if len(model) == 0 {
 				assert.Equal(t, got, -1)
 				continue
 			}
-			assert.Assert(t, naive[got])
-			assert.Assert(t, got != skip || len(naive) == 1)
+			assert.Assert(t, model[got])
+			assert.Assert(t, got != skip || len(model) == 1)
 		}
 	})
 }
 
-// A server fails at once, so that nothing is ever in flight there. It must not
-// look better than a healthy one that is busy.
+// Guards against preferring a server that fails at once, so that no request is ever in
+// flight there, to a healthy one that is busy.
 func TestFastFailureDoesNotLookIdle(t *testing.T) {
 	good, bad := Load{Slots: 4, Running: 3}, Load{Slots: 4}
 	for range 10 {
-		good.Observe(begin, 8*time.Millisecond, false)
-		bad.Observe(begin, time.Millisecond, true)
+		good.Observe(start, 8*time.Millisecond, false)
+		bad.Observe(start, time.Millisecond, true)
 	}
-	assert.Assert(t, bad.Score(begin, 8e-3) > good.Score(begin, 8e-3))
+	assert.Assert(t, bad.Score(start, 8e-3) > good.Score(start, 8e-3))
 }
 
-// A server reports that it is idle while its answers are slow. Its word must
-// lose its weight, and an honest busy server must win.
-func TestLiarIsBelievedLess(t *testing.T) {
+// Guards against preferring a server that reports to be idle while its answers are slow.
+func TestFalseReportsLoseTrust(t *testing.T) {
 	liar, honest := Load{Slots: 4}, Load{Slots: 4}
 	for range 20 {
-		liar.Observe(begin, 30*time.Millisecond, false)
-		honest.Observe(begin, 10*time.Millisecond, false)
-		liar.Report(begin, 0, 0, 12*time.Millisecond)
-		honest.Report(begin, 4, 0, 12*time.Millisecond)
+		liar.Observe(start, 30*time.Millisecond, false)
+		honest.Observe(start, 10*time.Millisecond, false)
+		liar.Report(start, 0, 0, 12*time.Millisecond)
+		honest.Report(start, 4, 0, 12*time.Millisecond)
 	}
-	assert.Assert(t, liar.trust > 0.9)
-	assert.Assert(t, honest.Score(begin, 12e-3) < liar.Score(begin, 12e-3))
+	assert.Assert(t, liar.distrust > 0.9)
+	assert.Assert(t, honest.Score(start, 12e-3) < liar.Score(start, 12e-3))
 }
 
-// A report of a crowd is an hour old. It must not keep load away any more.
+// Guards against avoiding a server because of an old report of overload.
 func TestOldReportsFade(t *testing.T) {
 	l := Load{Slots: 4}
-	l.Observe(begin, 10*time.Millisecond, false)
-	quiet := l.Score(begin, 10e-3)
-	l.Report(begin, 100, 0, 10*time.Millisecond)
-	assert.Assert(t, l.Score(begin, 10e-3) > 2*quiet)
-	assert.Assert(t, l.Score(begin.Add(time.Hour), 10e-3) < 1.01*quiet)
+	l.Observe(start, 10*time.Millisecond, false)
+	unloaded := l.Score(start, 10e-3)
+	l.Report(start, 100, 0, 10*time.Millisecond)
+	assert.Assert(t, l.Score(start, 10e-3) > 2*unloaded)
+	assert.Assert(t, l.Score(start.Add(time.Hour), 10e-3) < 1.01*unloaded)
 }
 
-// A server refuses a hundred requests in a row and then answers again. Each
-// failure counting ten times the one before would leave it shunned for minutes
-// of good answers.
+// Guards against a latency that grows tenfold with each failure in a row. A server that
+// refused a hundred requests would be avoided for minutes after it answers again.
 func TestFailuresDoNotAddUp(t *testing.T) {
 	var l Load
 	now := time.Unix(1000, 0)
@@ -86,29 +84,28 @@
 		l.Observe(now, time.Millisecond, true)
 	}
 	assert.Equal(t, l.AnswerLatency(), 8*time.Millisecond)
-	assert.Assert(t, l.Latency() <= Penalty*8*time.Millisecond, "%v", l.Latency())
+	assert.Assert(t, l.Latency() <= FailurePenalty*8*time.Millisecond, "%v", l.Latency())
 	for range 20 {
 		l.Observe(now, 8*time.Millisecond, false)
 	}
 	assert.Assert(t, l.Latency() <= 9*time.Millisecond, "%v", l.Latency())
 }
 
-// Thirty VMs start together and each gets its first few requests. If all began their
-// turns at the same server, it would get thirty at once, queue them for seconds or turn
-// them away, and then the next one would.
+// Guards against thirty VMs that start together and send their first requests to the same
+// server, which would queue them for seconds or refuse them.
 func TestVMsThatStartTogetherSpread(t *testing.T) {
-	went := map[int]int{}
+	firstChoices := map[int]int{}
 	for vm := range uint64(30) {
 		var s Set
 		for i := range 25 {
 			s.Put(i, true)
 		}
 		r := rand.New(rand.NewPCG(vm, vm))
-		went[s.Choose(r, -1, func(int) float64 { return 1 })]++
+		firstChoices[s.Choose(r, -1, func(int) float64 { return 1 })]++
 	}
 	most := 0
-	for _, n := range went {
+	for _, n := range firstChoices {
 		most = max(most, n)
 	}
-	assert.Assert(t, most <= 6, "%v", went)
+	assert.Assert(t, most <= 6, "%v", firstChoices)
 }
