--- a/internal/load/conns/conns.go
+++ b/internal/load/conns/conns.go
@@ -1,21 +1,15 @@
-// Package conns decides how many connections an entry VM holds open to a
-// backend server.
+// Package conns decides how many connections an entry VM holds open to a backend server.
 //
-// The load pattern: a server accepts 45 or 100 connections from all entry VMs
-// together, and opening one takes about 1 ms, a fifth of a lookup. Without a
-// share, ten VMs in a burst open as many as they like, and the server refuses
-// those that come last, which may be all of one VM's. Without warm connections,
-// each request after a quiet moment pays the millisecond.
+// The load pattern: a server accepts 45 or 100 connections from all entry VMs together, and
+// opening one takes about 1 ms, a fifth of a lookup. Without a share per VM, ten VMs in a
+// burst open as many as they like, and the server refuses those that come last, which may
+// be all those of one VM. Without idle connections, each request after a quiet moment waits
+// for the millisecond.
 //
-// Each VM may hold its whole part of the total. When a VM joins, the part
-// shrinks at once; when one leaves, it grows only after Settle, because the
-// others may not have shrunk theirs yet or the leaver may still hold its own.
-// Idle connections are kept up to the most that were in use lately.
-//
-// Grounds: Settle of 5 s is longer than the few seconds within which all VMs
-// learn of a change. The memory of the peak halves every 30 s: a truck queue or
-// a council sitting comes back within that time, a burst of 2 s does not hold
-// connections that other VMs could use.
+// Each VM may hold its whole share of the total. When a VM joins, the share shrinks at
+// once. When one leaves, the share grows only after [GrowDelay], because other VMs may not
+// have shrunk theirs yet, or the VM that leaves may still hold its own. Idle connections
+// are kept up to the number recently in use at once.
 package conns
 
 import (
@@ -23,70 +17,77 @@
 	"time"
 )
 
-// Settings, with their grounds in the package comment.
+// Settings of the shares.
 const (
-	Settle   = 5 * time.Second
-	HalfLife = 30 * time.Second
-	// decayEvery spares the exponent for each request.
-	decayEvery = 100 * time.Millisecond
+	// GrowDelay is how long a larger share is delayed. 5 s is longer than the few seconds
+	// within which all VMs learn of a change.
+	GrowDelay = 5 * time.Second
+	// PeakHalfLife is the time in which the remembered peak of use halves. Within 30 s a
+	// truck queue or a council sitting sends requests again, while a burst of 2 s does not
+	// hold connections that other VMs could use.
+	PeakHalfLife = 30 * time.Second
+	// decayInterval is the shortest time between two decays of the peak, which saves an
+	// exponential function for each request.
+	decayInterval = 100 * time.Millisecond
 )
 
-// Pool is the policy for one server. The zero value allows one connection.
+// Pool is the connection policy for one server. The zero value allows one connection.
 type Pool struct {
-	most   int
-	wish   int
-	wishAt time.Time
-	using  int
-	peak   float64
-	peakAt time.Time
+	limit        int // this VM's share of the connections
+	pendingLimit int // share that applies from pendingAt on, if larger than limit
+	pendingAt    time.Time
+	inUse        int       // connections in use now
+	peak         float64   // recent maximum of inUse, decaying
+	decayedAt    time.Time // when peak last decayed
 }
 
-// SetShare sets what the server accepts and by how many VMs it is divided.
+// SetShare sets how many connections the server accepts and among how many VMs they are
+// divided.
 func (p *Pool) SetShare(now time.Time, conns, vms int) {
-	part := max(conns/max(vms, 1), 1)
-	if p.most == 0 || part <= p.most {
-		p.most, p.wish = part, part
+	share := max(conns/max(vms, 1), 1)
+	if p.limit == 0 || share <= p.limit {
+		p.limit, p.pendingLimit = share, share
 		return
 	}
-	if p.wish == part {
+	if p.pendingLimit == share {
 		return
 	}
-	p.wish, p.wishAt = part, now.Add(Settle)
+	p.pendingLimit, p.pendingAt = share, now.Add(GrowDelay)
 }
 
-// Max is how many connections may be open now.
+// Max returns how many connections may be open now.
 func (p *Pool) Max(now time.Time) int {
-	if p.wish > p.most && !now.Before(p.wishAt) {
-		p.most = p.wish
+	if p.pendingLimit > p.limit && !now.Before(p.pendingAt) {
+		p.limit = p.pendingLimit
 	}
-	return max(p.most, 1)
+	return max(p.limit, 1)
 }
 
-// Acquire notes that one more connection is in use, and Free that one is not.
+// Acquire records that one more connection is in use.
 func (p *Pool) Acquire(now time.Time) {
-	p.using++
+	p.inUse++
 	p.decay(now)
-	p.peak = max(p.peak, float64(p.using))
+	p.peak = max(p.peak, float64(p.inUse))
 }
 
-// Release notes that a connection is no longer in use.
+// Release records that a connection is no longer in use.
 func (p *Pool) Release(now time.Time) {
-	p.using--
+	p.inUse--
 	p.decay(now)
 }
 
 func (p *Pool) decay(now time.Time) {
-	passed := now.Sub(p.peakAt)
-	if passed < decayEvery {
+	elapsed := now.Sub(p.decayedAt)
+	if elapsed < decayInterval {
 		return
 	}
-	if !p.peakAt.IsZero() {
-		p.peak *= math.Exp2(-passed.Seconds() / HalfLife.Seconds())
+	if !p.decayedAt.IsZero() {
+		p.peak *= math.Exp2(-elapsed.Seconds() / PeakHalfLife.Seconds())
 	}
-	p.peakAt = now
+	p.decayedAt = now
 }
 
-// MaxIdle is how many idle connections are worth keeping.
+// MaxIdle returns how many idle connections are worth keeping.
 func (p *Pool) MaxIdle(now time.Time) int {
 	p.decay(now)
 	return min(int(math.Ceil(p.peak)), p.Max(now))
--- a/internal/load/conns/conns_test.go
+++ b/internal/load/conns/conns_test.go
@@ -10,48 +10,48 @@
 	"hawthornfield.org/hawthornfield/internal/fake/seeds"
 )
 
-var begin = time.Unix(1000, 0)
+var start = time.Unix(1000, 0)
 
-// A VM joins, another leaves a moment later. The share must shrink at once and
-// grow late: the server would otherwise refuse connections of whoever comes last.
+// Guards against refused connections when a VM joins and another leaves a moment later: the
+// share must shrink at once and grow late.
 func TestShareShrinksAtOnceAndGrowsLate(t *testing.T) {
 	var p Pool
-	p.SetShare(begin, 45, 9)
-	assert.Equal(t, p.Max(begin), 5)
-	p.SetShare(begin, 45, 10)
-	assert.Equal(t, p.Max(begin), 4)
-	p.SetShare(begin, 45, 5)
-	assert.Equal(t, p.Max(begin.Add(Settle-1)), 4)
-	assert.Equal(t, p.Max(begin.Add(Settle)), 9)
-	p.SetShare(begin, 3, 10)
-	assert.Equal(t, p.Max(begin), 1, "a VM without any connection is shut out")
+	p.SetShare(start, 45, 9)
+	assert.Equal(t, p.Max(start), 5)
+	p.SetShare(start, 45, 10)
+	assert.Equal(t, p.Max(start), 4)
+	p.SetShare(start, 45, 5)
+	assert.Equal(t, p.Max(start.Add(GrowDelay-1)), 4)
+	assert.Equal(t, p.Max(start.Add(GrowDelay)), 9)
+	p.SetShare(start, 3, 10)
+	assert.Equal(t, p.Max(start), 1, "each VM must be allowed one connection")
 }
 
-// Connections used lately stay warm, those of a burst minutes ago do not.
-func TestWarmFollowsTheRecentPeak(t *testing.T) {
+// Guards against closing connections that were in use lately, and against keeping those of
+// a burst minutes ago.
+func TestIdleConnectionsFollowTheRecentPeak(t *testing.T) {
 	var p Pool
-	p.SetShare(begin, 100, 10)
+	p.SetShare(start, 100, 10)
 	for range 8 {
-		p.Acquire(begin)
+		p.Acquire(start)
 	}
 	for range 8 {
-		p.Release(begin)
+		p.Release(start)
 	}
-	assert.Equal(t, p.MaxIdle(begin.Add(time.Second)), 8)
-	assert.Equal(t, p.MaxIdle(begin.Add(HalfLife)), 4)
-	assert.Assert(t, p.MaxIdle(begin.Add(10*HalfLife)) <= 1)
+	assert.Equal(t, p.MaxIdle(start.Add(time.Second)), 8)
+	assert.Equal(t, p.MaxIdle(start.Add(PeakHalfLife)), 4)
+	assert.Assert(t, p.MaxIdle(start.Add(10*PeakHalfLife)) <= 1)
 }
 
-// VMs join and leave, and hear of it at different moments, each before the next
-// change. All together must stay within what the server accepts, but for the
-// part of a VM that has just joined, which the others give up as they hear; it
-// would otherwise refuse connections of whoever comes last.
-func TestAllTogetherStayWithinTheServersBound(t *testing.T) {
+// Guards against exceeding the connections that the server accepts when VMs join and leave
+// and learn of it at different moments. Only the share of a VM that has just joined may
+// exceed them, until the others have learned of it.
+func TestSumOfSharesStaysWithinTheServersBound(t *testing.T) {
 	seeds.Check(t, func(t *rapid.T) {
 		total := rapid.IntRange(20, 100).Draw(t, "connections")
 		n := rapid.IntRange(1, 10).Draw(t, "vms")
 		pools := make([]Pool, n, 20)
-		now := begin
+		now := start
 		for i := range pools {
 			pools[i].SetShare(now, total, n)
 		}
@@ -62,7 +62,7 @@
 			return all
 		}
 		for range 30 {
-			now = now.Add(Settle + time.Duration(rapid.IntRange(0, 20).Draw(t, "s"))*time.Second)
+			now = now.Add(GrowDelay + time.Duration(rapid.IntRange(0, 20).Draw(t, "s"))*time.Second)
 			allowed := total
 			if len(pools) < 20 && (len(pools) == 1 || rapid.Bool().Draw(t, "joins")) {
 				pools = append(pools, Pool{})
@@ -76,7 +76,7 @@
 				pools[i].SetShare(now, total, len(pools))
 				assert.Assert(t, sum(now) <= allowed, "%d of %d", sum(now), total)
 			}
-			assert.Assert(t, sum(now) <= total, "%d of %d once all have heard", sum(now), total)
+			assert.Assert(t, sum(now) <= total, "%d of %d after all VMs learned of the change", sum(now), total)
 			assert.Assert(t, sum(now.Add(time.Hour)) <= total)
 		}
 	})
