--- a/internal/load/fair/fair_test.go
+++ b/internal/load/fair/fair_test.go
@@ -71,7 +71,7 @@
 
 // Guards against a common rate below an equal share of the recent flows or below
 // MinRateShare: two callers would both be held to a fiftieth of an idle server.
-func TestNobodyIsSqueezedBelowAnEqualShare(t *testing.T) {
+func TestRateIsNotBelowAnEqualShare(t *testing.T) {
 	seeds.Check(t, func(t *rapid.T) {
 		var d Debts
 		n := rapid.IntRange(1, 200).Draw(t, "flows")
--- a/internal/load/fair/flows_test.go
+++ b/internal/load/fair/flows_test.go
@@ -60,7 +60,7 @@
 
 // Guards against removing flows with debts, or keeping those without, in a pass over all
 // slots.
-func TestForgettingLeavesOnlyDebtors(t *testing.T) {
+func TestRemovePaidKeepsFlowsWithDebt(t *testing.T) {
 	seeds.Check(t, func(t *rapid.T) {
 		var flows flows
 		owing := 0
--- a/internal/load/retry/retry_test.go
+++ b/internal/load/retry/retry_test.go
@@ -73,7 +73,7 @@
 
 // Guards against ten VMs that together exceed the platform's limit on retries in any ten
 // seconds, although each stays within its own part of the budget.
-func TestABudgetIsSharedByWindow(t *testing.T) {
+func TestBudgetsOfAllVMsStayWithinThePlatformsLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const share, burst, vms = 0.16, 46.0, 10
 		all := make([]Budget, vms)
