--- /dev/null
+++ b/internal/node/member/member.go
@@ -0,0 +1,258 @@
+// Package member keeps the list of backend servers. Each server writes an entry of its own
+// into the platform's store.
+//
+// An entry that expires means that its server has ended, unless the store was unreachable:
+// then entries expire because the servers could not renew them. The first list after an
+// outage may therefore lack servers that are alive. They are kept until they have had the
+// time to write their entries again.
+package member
+
+import (
+	"cmp"
+	"maps"
+	"slices"
+	"time"
+
+	"hawthornfield.org/hawthornfield/internal/core/ident"
+)
+
+// Settings for outages of the store.
+const (
+	// RelistTime is how long a live server that reaches the store needs to be listed again
+	// after an outage. The platform states about two seconds.
+	RelistTime = 2200 * time.Millisecond
+	// OutageGrace is the longest outage of the store in which no entry can expire: a server
+	// renews its entry every 0.87 s, and it expires after three missed renewals, 2.6 s. A
+	// single failed call is no outage: to wait for RelistTime after each would send
+	// requests to a server that has just left for longer than the 2 s that the platform
+	// allows.
+	OutageGrace = 1500 * time.Millisecond
+)
+
+// Entry is the entry of one server. Rev is the store revision that wrote it.
+type Entry[T any] struct {
+	Name  ident.Server
+	Rev   uint64
+	Value T
+	// Leaving is set if the server announced that it leaves. Its absence then needs no
+	// confirmation.
+	Leaving bool
+}
+
+// Set is the set of known servers. The zero value is empty.
+type Set[T any] struct {
+	entries      map[ident.Server]*record[T]
+	latestRev    uint64                  // latest store revision seen
+	removedRevs  map[ident.Server]uint64 // revisions at which servers were removed
+	storeDown    bool                    // the store is unreachable
+	lastAnswer   time.Time               // when the store last answered
+	storeUpSince time.Time               // when the store first answered after the last outage
+}
+
+// record is an entry and whether it is missing from the store.
+type record[T any] struct {
+	Entry[T]
+	goneAt time.Time // when the missing entry will be removed; zero while it is listed
+}
+
+// StoreDown records that the store does not answer.
+func (s *Set[T]) StoreDown() { s.storeDown = true }
+
+// StoreUp records that the store answers.
+func (s *Set[T]) StoreUp(now time.Time) {
+	if s.storeDown && now.Sub(s.lastAnswer) >= OutageGrace {
+		s.storeUpSince = now
+	}
+	s.storeDown, s.lastAnswer = false, now
+}
+
+// StoreSeenByPeer records that another VM has reached the store without a break since the
+// given time. It reports whether servers were removed because of it.
+//
+// A VM that alone could not reach the store for some seconds cannot tell this from an
+// outage. Without its peer it would send requests to a server that left meanwhile until
+// RelistTime after its own return, 0.2 s longer than the platform allows. Live servers are
+// listed again within RelistTime of the first answer of the store to any VM.
+func (s *Set[T]) StoreSeenByPeer(now, since time.Time) bool {
+	if !since.Before(s.storeUpSince) {
+		return false
+	}
+	earlier := s.storeUpSince.Sub(since)
+	s.storeUpSince = since
+	for _, r := range s.entries {
+		if !r.goneAt.IsZero() {
+			r.goneAt = r.goneAt.Add(-earlier)
+		}
+	}
+	return s.Expire(now)
+}
+
+// storeJustReturned reports whether the outage ended so recently that live servers may not
+// be listed yet.
+func (s *Set[T]) storeJustReturned(now time.Time) bool {
+	return !s.storeUpSince.IsZero() && now.Sub(s.storeUpSince) < RelistTime
+}
+
+// Uncertain reports whether listed servers may be gone, or live ones not listed, because of
+// a present or recent outage of the store.
+func (s *Set[T]) Uncertain(now time.Time) bool { return s.storeDown || s.storeJustReturned(now) }
+
+// Has returns the entry of a server, and whether there is one.
+func (s *Set[T]) Has(name ident.Server) (Entry[T], bool) {
+	r := s.entries[name]
+	if r == nil {
+		return Entry[T]{}, false
+	}
+	return r.Entry, true
+}
+
+// ReplaceAll applies the complete list of the store at a revision. It reports whether the
+// set changed.
+func (s *Set[T]) ReplaceAll(now time.Time, rev uint64, list []Entry[T]) bool {
+	s.StoreUp(now)
+	if rev < s.latestRev {
+		return false // an old list would restore servers that have left since
+	}
+	s.latestRev = rev
+	listed := make(map[ident.Server]bool, len(list))
+	changed := false
+	for _, e := range list {
+		listed[e.Name] = true
+		changed = s.Put(e) || changed
+	}
+	for name, r := range s.entries {
+		if !listed[name] && r.goneAt.IsZero() {
+			changed = s.remove(now, name, rev) || changed
+		}
+	}
+	return changed
+}
+
+// MergePeer applies the complete list of another VM at a revision. It reports whether the
+// set changed. That VM may have removed an entry that the store still lists, or lists
+// again, so its list does not exclude later entries of the same name.
+func (s *Set[T]) MergePeer(now time.Time, rev uint64, list []Entry[T]) bool {
+	if rev < s.latestRev {
+		return false
+	}
+	listed := make(map[ident.Server]bool, len(list))
+	changed := false
+	for _, e := range list {
+		listed[e.Name] = true
+		changed = s.Put(e) || changed
+	}
+	for name, r := range s.entries {
+		if !listed[name] {
+			changed = s.markMissingAtPeer(now, r, rev) || changed
+		}
+	}
+	return changed
+}
+
+// MergePeerDelta applies the changes in the list of another VM up to a revision: entries
+// that are new or were rewritten, and names of servers that are gone. It reports whether
+// the set changed.
+func (s *Set[T]) MergePeerDelta(now time.Time, rev uint64, list []Entry[T], gone []ident.Server) bool {
+	if rev < s.latestRev {
+		return false
+	}
+	changed := false
+	for _, e := range list {
+		changed = s.Put(e) || changed
+	}
+	for _, name := range gone {
+		if r := s.entries[name]; r != nil {
+			changed = s.markMissingAtPeer(now, r, rev) || changed
+		}
+	}
+	return changed
+}
+
+// markMissingAtPeer removes an entry that another VM does not list at a revision, unless
+// the entry is newer.
+func (s *Set[T]) markMissingAtPeer(now time.Time, r *record[T], rev uint64) bool {
+	return r.Rev <= rev && r.goneAt.IsZero() && s.remove(now, r.Name, r.Rev)
+}
+
+// Put applies an entry that is new or was rewritten. It reports whether the set changed.
+func (s *Set[T]) Put(e Entry[T]) bool {
+	if s.entries == nil {
+		s.entries = map[ident.Server]*record[T]{}
+	}
+	old := s.entries[e.Name]
+	if old != nil && old.Rev >= e.Rev && old.goneAt.IsZero() || e.Rev <= s.removedRevs[e.Name] {
+		return false
+	}
+	s.latestRev = max(s.latestRev, e.Rev)
+	s.entries[e.Name] = &record[T]{Entry: e}
+	return true
+}
+
+// Remove applies the removal of an entry at a revision. It reports whether the set changed.
+func (s *Set[T]) Remove(now time.Time, name ident.Server, rev uint64) bool {
+	s.StoreUp(now)
+	r := s.entries[name]
+	if r == nil || rev < r.Rev || !r.goneAt.IsZero() {
+		return false
+	}
+	s.latestRev = max(s.latestRev, rev)
+	return s.remove(now, name, rev)
+}
+
+// maxRemoved bounds the number of removed servers that are remembered. A forgotten one
+// could be restored only by a list that is thousands of removals old.
+const maxRemoved = 4096
+
+// remove removes an entry and reports whether it did. Shortly after an outage the removal
+// is delayed, unless the server announced that it leaves.
+func (s *Set[T]) remove(now time.Time, name ident.Server, rev uint64) bool {
+	r := s.entries[name]
+	if s.storeJustReturned(now) && !r.Leaving {
+		r.goneAt = s.storeUpSince.Add(RelistTime)
+		return false
+	}
+	if s.removedRevs == nil {
+		s.removedRevs = map[ident.Server]uint64{}
+	}
+	if len(s.removedRevs) >= maxRemoved {
+		s.pruneRemoved()
+	}
+	s.removedRevs[name] = rev
+	delete(s.entries, name)
+	return true
+}
+
+// pruneRemoved forgets the older half of the removed servers. The newer half is kept,
+// because a list that is a second old would otherwise restore a server that has just left.
+func (s *Set[T]) pruneRemoved() {
+	revs := slices.Sorted(maps.Values(s.removedRevs))
+	median := revs[len(revs)/2]
+	maps.DeleteFunc(s.removedRevs, func(_ ident.Server, rev uint64) bool { return rev < median })
+	if len(s.removedRevs) >= maxRemoved { // most were removed at the same revision
+		maps.DeleteFunc(s.removedRevs, func(_ ident.Server, rev uint64) bool { return rev <= median })
+	}
+}
+
+// Expire removes the entries whose delay after an outage is over, and reports whether there
+// were any.
+func (s *Set[T]) Expire(now time.Time) bool {
+	dropped := false
+	for name, r := range s.entries {
+		if !r.goneAt.IsZero() && !now.Before(r.goneAt) {
+			delete(s.entries, name)
+			dropped = true
+		}
+	}
+	return dropped
+}
+
+// All returns the entries of all servers, by name. It includes those whose removal is
+// delayed.
+func (s *Set[T]) All() []Entry[T] {
+	list := make([]Entry[T], 0, len(s.entries))
+	for _, r := range s.entries {
+		list = append(list, r.Entry)
+	}
+	slices.SortFunc(list, func(a, b Entry[T]) int { return cmp.Compare(a.Name, b.Name) })
+	return list
+}
