--- a/internal/load/health/health.go
+++ b/internal/load/health/health.go
@@ -182,6 +182,8 @@
 	}
 }
 
+// eject ejects the server for twice its last pause, or for MinEjection if it was healthy for
+// ejectionReset.
 func (s *Server) eject(now time.Time) {
 	if s.State() == OK && now.Sub(s.since) > ejectionReset {
 		s.ejection = 0
