--- a/internal/load/limit/limit_test.go
+++ b/internal/load/limit/limit_test.go
@@ -39,7 +39,7 @@
 			case 0:
 				l.MarkRefused()
 			case 1:
-				l.Report(now, rapid.Float64Range(0, 30).Draw(t, "crowd"))
+				l.Report(now, rapid.Float64Range(0, 30).Draw(t, "load"))
 			case 2:
 				l.MarkLimited()
 			default:
