--- a/internal/edge/front/guard.go
+++ b/internal/edge/front/guard.go
@@ -115,7 +115,7 @@
 	case x.body.stream == nil:
 		return head.Fingerprint(caller, poison.BodyOf(x.body.held)), true
 	case x.body.digest == nil:
-		return head.Fingerprint(caller, poison.LengthOf(x.r.ContentLength)), true
+		return head.Fingerprint(caller, poison.BodyOfLength(x.r.ContentLength)), true
 	}
 	body, whole := x.body.digest.Body()
 	return head.Fingerprint(caller, body), whole
--- a/internal/load/poison/poison.go
+++ b/internal/load/poison/poison.go
@@ -64,9 +64,9 @@
 	return Body(sum[:partSize])
 }
 
-// LengthOf returns a substitute digest for a body of which only the length in bytes is
+// BodyOfLength returns a substitute digest for a body of which only the length in bytes is
 // known before it is sent.
-func LengthOf(n int64) Body {
+func BodyOfLength(n int64) Body {
 	var b [8]byte
 	binary.BigEndian.PutUint64(b[:], uint64(n))
 	return BodyOf(b[:])
--- a/internal/load/poison/poison_test.go
+++ b/internal/load/poison/poison_test.go
@@ -60,7 +60,7 @@
 	for _, h := range []Head{
 		HeadOf("GET", "a", "/b"), HeadOf("GET", "a/", "b"), HeadOf("POST", "a", "/b"), HeadOf("GET", "a", "/b?c"),
 	} {
-		for _, b := range []Body{BodyOf(nil), BodyOf([]byte("x")), LengthOf(1), LengthOf(2)} {
+		for _, b := range []Body{BodyOf(nil), BodyOf([]byte("x")), BodyOfLength(1), BodyOfLength(2)} {
 			for _, caller := range []string{"", "a", "b"} {
 				p := h.Fingerprint(caller, b)
 				assert.Assert(t, !seen[p])
