--- a/internal/edge/leases/assign.go
+++ b/internal/edge/leases/assign.go
@@ -11,18 +11,16 @@
 	"hawthornfield.org/hawthornfield/internal/plat/vmlist"
 )
 
-// Assign picks the VM that should hold a server's seat and the one that should
-// be its deputy, out of the live VMs, by rendezvous hashing: every VM computes
-// the same, and when one VM comes or goes only its own seats change.
-//
-// Both stand in another data centre than the server where that is possible, so
+// Assign picks the VM that should hold a server's lessor (the leader) and the VM
+// that should be its deputy, out of the live VMs, by rendezvous hashing: every VM
+// computes the same result, and when a VM comes or goes only its own lessors move.
+// Both VMs are in another data centre than the server where that is possible, so
 // that the loss of one data centre never takes a server and its authority
-// together; and in two different data centres where that is possible too.
-//
-// The deputy follows from the holder, not from the server: a holder's seats then
-// share one deputy for each data centre of their servers, and their beats share
-// packets.
-func Assign(svc ident.Service, srv ident.Server, centre ident.Centre, live []vmlist.VM) (lead, deputy ident.VM) {
+// together, and in two different data centres where that is possible too.
+// The deputy depends on the leader, not on the server: the lessors of one leader
+// then share one deputy for each data centre of their servers, and their
+// heartbeats share packets.
+func Assign(svc ident.Service, srv ident.Server, centre ident.Centre, live []vmlist.VM) (leader, deputy ident.VM) {
 	first := best(string(svc)+"\x00"+string(srv), live, func(vm vmlist.VM) int {
 		if vm.Centre == centre {
 			return 1
@@ -35,13 +33,13 @@
 	return first.ID, deputyOf(first, centre, live)
 }
 
-// deputyOf picks the deputy for a holder's seats of servers in a data centre.
-func deputyOf(lead *vmlist.VM, centre ident.Centre, live []vmlist.VM) ident.VM {
-	vm := best("deputy\x00"+string(lead.ID), live, func(vm vmlist.VM) int {
+// deputyOf picks the deputy for a leader's lessors whose servers are in centre.
+func deputyOf(leader *vmlist.VM, centre ident.Centre, live []vmlist.VM) ident.VM {
+	vm := best("deputy\x00"+string(leader.ID), live, func(vm vmlist.VM) int {
 		switch {
-		case vm.ID == lead.ID:
+		case vm.ID == leader.ID:
 			return skip
-		case vm.Centre != centre && vm.Centre != lead.Centre:
+		case vm.Centre != centre && vm.Centre != leader.Centre:
 			return 0
 		case vm.Centre != centre:
 			return 1
@@ -54,11 +52,11 @@
 	return vm.ID
 }
 
-// skip excludes a VM in best.
+// skip is the rank that excludes a VM in best.
 const skip = -1
 
-// best returns the VM of the lowest rank, and among those the one with the
-// highest hash with name.
+// best returns the VM with the lowest rank; among VMs of equal rank, the one with
+// the highest hash of name and VM.
 func best(name string, live []vmlist.VM, rank func(vmlist.VM) int) *vmlist.VM {
 	var found *vmlist.VM
 	var foundRank int
@@ -76,8 +74,8 @@
 	return found
 }
 
-// Spread is the simplest planner: every key of a server that leaves goes to the
-// usable server that then owns the fewest slices.
+// Spread is the simplest Planner: it gives each slice and key of the server that
+// leaves to the usable server that owns the fewest slices at that point.
 func Spread(_ *state.Service, tab table.Table, from ident.Server, usable []ident.Server) []table.Move {
 	if len(usable) == 0 {
 		return nil
--- a/internal/edge/leases/commit.go
+++ b/internal/edge/leases/commit.go
@@ -15,98 +15,101 @@
 	"hawthornfield.org/hawthornfield/internal/plat/vmlist"
 )
 
-// startWriter starts the one writer of a service's table on this VM. The
-// decisions are owner/commit's; here are its calls to the store.
-func (k *Manager) startWriter(svc ident.Service, b *book) {
-	model := commit.New(commit.Config{Self: k.VM, Service: svc, Store: k.Times.StoreTimeout})
-	b.writer = loop.New(model, loop.RunnerFunc(func(ctx context.Context, cmd loop.Cmd, send func(loop.Msg)) {
-		k.runWriter(ctx, svc, cmd, send)
+// startWriter starts the single writer of a service's table on this VM. The
+// decisions are made by owner/commit; the store calls are made here.
+func (mgr *Manager) startWriter(svc ident.Service, ts *tableState) {
+	model := commit.New(commit.Config{Self: mgr.VM, Service: svc, Store: mgr.Times.StoreTimeout})
+	ts.writer = loop.New(model, loop.RunnerFunc(func(ctx context.Context, cmd loop.Cmd, send func(loop.Msg)) {
+		mgr.runWriter(ctx, svc, cmd, send)
 	}))
 }
 
-// edit passes a seat's write on. The seat's loop must never wait for the writer
-// while the writer waits for it, so the answer goes the way of answers, which
-// have room always.
-func (k *Manager) edit(c *chair, cmd lessor.PutTableCmd, answer func(loop.Msg)) {
-	c.answer.Store(&answer)
-	k.books[c.seatName.svc].writer.Send(commit.EditMsg{Cmd: cmd})
+// submitEdit passes a lessor's table edit to the writer. The lessor's loop must
+// never wait for the writer while the writer waits for the lessor, so the result
+// comes back through the reply function, which never blocks.
+func (mgr *Manager) submitEdit(h *hostedLessor, cmd lessor.PutTableCmd, reply func(loop.Msg)) {
+	h.editReply.Store(&reply)
+	mgr.tables[h.lessorID.svc].writer.Send(commit.EditMsg{Cmd: cmd})
 }
 
-func (k *Manager) runWriter(ctx context.Context, svc ident.Service, cmd loop.Cmd, send func(loop.Msg)) {
+// runWriter carries out one command of a table writer.
+func (mgr *Manager) runWriter(ctx context.Context, svc ident.Service, cmd loop.Cmd, send func(loop.Msg)) {
 	var call func(context.Context) loop.Msg
 	switch cmd := cmd.(type) {
 	case commit.ReadCmd:
-		call = func(ctx context.Context) loop.Msg { return k.readForWriter(ctx, svc, cmd) }
+		call = func(ctx context.Context) loop.Msg { return mgr.readForWriter(ctx, svc, cmd) }
 	case commit.WriteCmd:
-		call = func(ctx context.Context) loop.Msg { return k.writeTable(ctx, svc, cmd) }
+		call = func(ctx context.Context) loop.Msg { return mgr.writeTable(ctx, svc, cmd) }
 	case commit.AnswerCmd:
-		k.answerSeat(svc, cmd)
+		mgr.replyToLessor(svc, cmd)
 		return
 	case commit.SendCmd:
-		k.postEdit(svc, cmd)
+		mgr.sendToWriter(svc, cmd)
 		return
 	default:
-		k.Log.Error("unknown effect of a writer", "service", svc, "cmd", fmt.Sprintf("%T", cmd))
+		mgr.Log.Error("unknown effect of a writer", "service", svc, "cmd", fmt.Sprintf("%T", cmd))
 		return
 	}
-	k.effect.Go(func(context.Context) error {
-		ctx, cancel := context.WithTimeout(ctx, k.Times.StoreWait())
+	mgr.effects.Go(func(context.Context) error {
+		ctx, cancel := context.WithTimeout(ctx, mgr.Times.StoreWait())
 		defer cancel()
 		send(call(ctx))
 		return nil
 	})
 }
 
-func (k *Manager) answerSeat(svc ident.Service, cmd commit.AnswerCmd) {
-	c, ok := k.seats[seatName{svc, cmd.Server}]
+// replyToLessor hands the outcome of an edit to the lessor that submitted it.
+func (mgr *Manager) replyToLessor(svc ident.Service, cmd commit.AnswerCmd) {
+	h, ok := mgr.lessors[lessorID{svc, cmd.Server}]
 	if !ok {
 		return
 	}
-	if answer := c.answer.Load(); answer != nil {
-		(*answer)(cmd.Msg)
+	if reply := h.editReply.Load(); reply != nil {
+		(*reply)(cmd.Msg)
 	}
 }
 
-// postEdit sends a message to another VM's writer, unless the authority behind
-// it ended while it waited here.
-func (k *Manager) postEdit(svc ident.Service, cmd commit.SendCmd) {
+// sendToWriter sends a message to another VM's writer, unless the authority behind
+// the message ended while it waited here.
+func (mgr *Manager) sendToWriter(svc ident.Service, cmd commit.SendCmd) {
 	if !cmd.Valid(time.Now()) {
 		return
 	}
-	l := letter{Svc: svc}
+	msg := message{Svc: svc}
 	switch m := cmd.Msg.(type) {
 	case commit.ForwardMsg:
-		l.Edit = &m
+		msg.Forward = &m
 	case commit.ForwardedMsg:
-		l.Did = &m
+		msg.Forwarded = &m
 	}
-	b, err := wire.Encode(l)
+	body, err := wire.Encode(msg)
 	if err != nil {
-		k.Log.Error("message between writers", "err", err)
+		mgr.Log.Error("message between writers", "err", err)
 		return
 	}
-	k.Peers.Send(cmd.To, b)
+	mgr.Peers.Send(cmd.To, body)
 }
 
-func (k *Manager) deliverWriter(svc ident.Service, msg loop.Msg) error {
-	b, ok := k.books[svc]
+// deliverToWriter passes a message from another VM's writer to the local writer.
+func (mgr *Manager) deliverToWriter(svc ident.Service, msg loop.Msg) error {
+	ts, ok := mgr.tables[svc]
 	if !ok {
 		return kinds.New(kinds.NotFound, "no such service here")
 	}
-	b.writer.Send(msg)
+	ts.writer.Send(msg)
 	return nil
 }
 
-// hubCount is how many VMs are named to join the edits of all: one may be lost,
-// with its data centre, and the next one be cut off.
-const hubCount = 3
+// coordinatorCount is how many VMs are named to merge the edits of all VMs: one
+// may be lost together with its data centre, and the next one be cut off.
+const coordinatorCount = 3
 
-// hubs picks them by rendezvous hashing, in different data centres where that is
-// possible.
-func hubs(svc ident.Service, live []vmlist.VM) []ident.VM {
+// coordinators picks those VMs by rendezvous hashing, in different data centres
+// where that is possible.
+func coordinators(svc ident.Service, live []vmlist.VM) []ident.VM {
 	var picked []ident.VM
 	taken := map[ident.Centre]bool{}
-	for range hubCount {
+	for range coordinatorCount {
 		vm := best("commit\x00"+string(svc), live, func(vm vmlist.VM) int {
 			switch {
 			case slices.Contains(picked, vm.ID):
@@ -125,24 +128,24 @@
 	return picked
 }
 
-func (k *Manager) readForWriter(ctx context.Context, svc ident.Service, cmd commit.ReadCmd) loop.Msg {
-	m := k.readTable(ctx, svc).(lessor.TableMsg)
-	return commit.ReadResultMsg{Cmd: cmd, Table: m.Table, Version: m.Version, Kind: m.Kind}
+func (mgr *Manager) readForWriter(ctx context.Context, svc ident.Service, cmd commit.ReadCmd) loop.Msg {
+	msg := mgr.readTable(ctx, svc).(lessor.TableMsg)
+	return commit.ReadResultMsg{Cmd: cmd, Table: msg.Table, Version: msg.Version, Kind: msg.Kind}
 }
 
-// writeTable writes the table with the edits of several seats in it, unless the
-// authority behind one of them ended while it waited here.
-func (k *Manager) writeTable(ctx context.Context, svc ident.Service, cmd commit.WriteCmd) loop.Msg {
-	b, err := cmd.Table.Encode()
+// writeTable writes a table that contains the edits of several lessors, unless the
+// authority behind one of them ended while the write waited here.
+func (mgr *Manager) writeTable(ctx context.Context, svc ident.Service, cmd commit.WriteCmd) loop.Msg {
+	body, err := cmd.Table.Encode()
 	if err != nil {
 		return commit.WriteResultMsg{Cmd: cmd, Kind: kinds.Unavailable}
 	}
 	if !cmd.Valid(time.Now()) {
 		return commit.WriteResultMsg{Cmd: cmd, Kind: kinds.Unavailable, Expired: true}
 	}
-	v, err := k.Store.Put(ctx, tableObject(svc), b, cmd.Old)
+	v, err := mgr.Store.Put(ctx, tableObject(svc), body, cmd.Old)
 	if err == nil {
-		k.publish(svc, cmd.Table, v)
+		mgr.publish(svc, cmd.Table, v)
 	}
-	return commit.WriteResultMsg{Cmd: cmd, Version: v, Kind: outcome(err)}
+	return commit.WriteResultMsg{Cmd: cmd, Version: v, Kind: storeOutcome(err)}
 }
--- a/internal/edge/leases/effect.go
+++ b/internal/edge/leases/effect.go
@@ -15,49 +15,49 @@
 	"hawthornfield.org/hawthornfield/internal/plat/server"
 )
 
-// serverAt says where a backend server takes orders.
-type serverAt struct {
+// serverConfig is the part of a backend server's settings that its lessor needs.
+type serverConfig struct {
 	name    ident.Server
 	control netip.AddrPort
 	centre  ident.Centre
 }
 
-// Names of objects.
+// Prefixes of object names in the store.
 const (
-	tablePrefix = "table/"
-	seatPrefix  = "seat/"
+	tablePrefix  = "table/"
+	recordPrefix = "seat/"
 )
 
 func tableObject(svc ident.Service) string { return tablePrefix + string(svc) }
 
-func (n seatName) object() string { return seatPrefix + string(n.svc) + "/" + string(n.srv) }
+func (id lessorID) object() string { return recordPrefix + string(id.svc) + "/" + string(id.srv) }
 
-// run carries out one effect of a seat. Whatever may wait runs on its own; the
-// answer comes back as a message.
-func (k *Manager) run(ctx context.Context, c *chair, cmd loop.Cmd, send func(loop.Msg)) {
+// run carries out one command of a lessor. Calls that may block run in their own
+// goroutine, and the result is sent back as a message.
+func (mgr *Manager) run(ctx context.Context, h *hostedLessor, cmd loop.Cmd, send func(loop.Msg)) {
 	var call func(context.Context) loop.Msg
-	wait := k.Times.StoreWait()
+	wait := mgr.Times.StoreWait()
 	switch cmd := cmd.(type) {
 	case lessor.ReadRecordCmd:
-		call = func(ctx context.Context) loop.Msg { return k.readRecord(ctx, c, cmd) }
+		call = func(ctx context.Context) loop.Msg { return mgr.readRecord(ctx, h, cmd) }
 	case lessor.PutRecordCmd:
-		call = func(ctx context.Context) loop.Msg { return k.putRecord(ctx, c, cmd) }
+		call = func(ctx context.Context) loop.Msg { return mgr.putRecord(ctx, h, cmd) }
 	case lessor.ReadTableCmd:
-		call = func(ctx context.Context) loop.Msg { return k.readTable(ctx, c.seatName.svc) }
+		call = func(ctx context.Context) loop.Msg { return mgr.readTable(ctx, h.lessorID.svc) }
 	case lessor.PutTableCmd:
-		k.edit(c, cmd, send)
+		mgr.submitEdit(h, cmd, send)
 		return
 	case lessor.OrderCmd:
-		call, wait = func(ctx context.Context) loop.Msg { return k.order(ctx, c, cmd) }, k.Times.CallWait()
+		call, wait = func(ctx context.Context) loop.Msg { return mgr.sendOrder(ctx, h, cmd) }, mgr.Times.CallWait()
 	case lessor.ReadServerCmd:
-		call, wait = func(ctx context.Context) loop.Msg { return k.readServer(ctx, c, cmd) }, k.Times.CallWait()
+		call, wait = func(ctx context.Context) loop.Msg { return mgr.readServer(ctx, h, cmd) }, mgr.Times.CallWait()
 	case lessor.PlanCmd:
-		call = func(context.Context) loop.Msg { return k.plan(c, cmd) }
+		call = func(context.Context) loop.Msg { return mgr.plan(h, cmd) }
 	default:
-		k.runLocal(c, cmd)
+		mgr.runLocal(h, cmd)
 		return
 	}
-	k.effect.Go(func(context.Context) error {
+	mgr.effects.Go(func(context.Context) error {
 		ctx, cancel := context.WithTimeout(ctx, wait)
 		defer cancel()
 		send(call(ctx))
@@ -65,36 +65,36 @@
 	})
 }
 
-// runLocal carries out what never waits.
-func (k *Manager) runLocal(c *chair, cmd loop.Cmd) {
-	log := k.Log.With("service", c.seatName.svc, "server", c.srv)
+// runLocal carries out the commands that never block.
+func (mgr *Manager) runLocal(h *hostedLessor, cmd loop.Cmd) {
+	log := mgr.Log.With("service", h.lessorID.svc, "server", h.srv)
 	switch cmd := cmd.(type) {
 	case lessor.SendCmd:
-		k.post(c.seatName, cmd)
+		mgr.send(h.lessorID, cmd)
 	case lessor.MovedCmd:
-		k.moved(c, cmd)
+		mgr.onMoved(h, cmd)
 	case lessor.AcquiredCmd:
-		log.Info("seat taken", "epoch", cmd.Epoch)
+		log.Info("lessor authority acquired", "epoch", cmd.Epoch)
 	case lessor.SteppedDownCmd:
-		log.Info("seat given up", "epoch", cmd.Epoch, "why", cmd.Reason)
+		log.Info("lessor authority released", "epoch", cmd.Epoch, "why", cmd.Reason)
 	case lessor.DeputyActiveCmd:
-		log.Warn("renewing as deputy: the holder is silent", "epoch", cmd.Epoch)
+		log.Warn("renewing leases as deputy: no heartbeat from the holder", "epoch", cmd.Epoch)
 	case lessor.StandbyCmd:
-		k.lend(c, cmd)
+		mgr.announceStandby(h, cmd)
 	case lessor.DrainedCmd:
 		log.Info("server drained")
 	case lessor.LeftCmd:
-		c.once.Do(k.left.Done)
+		h.leftOnce.Do(mgr.leaving.Done)
 	case lessor.FaultCmd:
-		log.Error("fault in a seat", "err", cmd.Err)
+		log.Error("internal error in a lessor", "err", cmd.Err)
 	default:
-		log.Error("unknown effect", "cmd", fmt.Sprintf("%T", cmd))
+		log.Error("unknown lessor command", "cmd", fmt.Sprintf("%T", cmd))
 	}
 }
 
-// outcome reduces an error to the kinds that a seat tells apart. What is
-// neither a conflict nor doubtful certainly did nothing.
-func outcome(err error) kinds.Kind {
+// storeOutcome reduces a store error to the kinds that a lessor tells apart. A
+// call that neither conflicted nor is ambiguous certainly had no effect.
+func storeOutcome(err error) kinds.Kind {
 	switch k := kinds.Of(err); k {
 	case kinds.None, kinds.NotFound, kinds.Conflict, kinds.Ambiguous:
 		return k
@@ -102,80 +102,85 @@
 	return kinds.Unavailable
 }
 
-func (k *Manager) readRecord(ctx context.Context, c *chair, cmd lessor.ReadRecordCmd) loop.Msg {
-	o, err := k.look(ctx, c.object())
+func (mgr *Manager) readRecord(ctx context.Context, h *hostedLessor, cmd lessor.ReadRecordCmd) loop.Msg {
+	o, err := mgr.getRecord(ctx, h.object())
 	if err != nil {
-		return lessor.RecordMsg{Cmd: cmd, Kind: outcome(err)}
+		return lessor.RecordMsg{Cmd: cmd, Kind: storeOutcome(err)}
 	}
 	rec, err := lessor.DecodeRecord(o.Value)
 	if err != nil {
-		// A record of a newer program, or a broken one: who may act is not
-		// known, so this VM must not act.
-		k.Log.Error("seat record", "name", o.Name, "err", err)
+		// The record is corrupt or was written by a newer version of the
+		// program. Which VM has authority is then unknown, so this VM must not
+		// act.
+		mgr.Log.Error("cannot decode lessor record", "name", o.Name, "err", err)
 		return lessor.RecordMsg{Cmd: cmd, Kind: kinds.Unavailable}
 	}
 	return lessor.RecordMsg{Cmd: cmd, Record: rec, Version: o.Version}
 }
 
-func (k *Manager) putRecord(ctx context.Context, c *chair, cmd lessor.PutRecordCmd) loop.Msg {
+func (mgr *Manager) putRecord(ctx context.Context, h *hostedLessor, cmd lessor.PutRecordCmd) loop.Msg {
 	b, err := cmd.Record.Encode()
 	if err != nil {
 		return lessor.RecordPutMsg{Cmd: cmd, Kind: kinds.Unavailable}
 	}
-	v, err := k.Store.Put(ctx, c.object(), b, cmd.Old)
-	return lessor.RecordPutMsg{Cmd: cmd, Version: v, Kind: outcome(err)}
+	v, err := mgr.Store.Put(ctx, h.object(), b, cmd.Old)
+	return lessor.RecordPutMsg{Cmd: cmd, Version: v, Kind: storeOutcome(err)}
 }
 
-func (k *Manager) readTable(ctx context.Context, svc ident.Service) loop.Msg {
-	o, err := k.Store.Get(ctx, tableObject(svc))
+func (mgr *Manager) readTable(ctx context.Context, svc ident.Service) loop.Msg {
+	o, err := mgr.Store.Get(ctx, tableObject(svc))
 	if err != nil {
 		return lessor.TableMsg{Kind: kinds.Unavailable}
 	}
-	tab, err := k.seen(o)
+	tab, err := mgr.publishRead(o)
 	if err != nil {
-		k.Log.Error("ownership table", "name", o.Name, "err", err)
+		mgr.Log.Error("cannot decode ownership table", "name", o.Name, "err", err)
 		return lessor.TableMsg{Kind: kinds.Unavailable}
 	}
 	return lessor.TableMsg{Table: tab, Version: o.Version}
 }
 
-// order sends an order, unless its authority ended while it waited here.
-func (k *Manager) order(ctx context.Context, c *chair, cmd lessor.OrderCmd) loop.Msg {
+// sendOrder sends an order to a backend server, unless the authority behind it
+// ended while it waited here.
+func (mgr *Manager) sendOrder(ctx context.Context, h *hostedLessor, cmd lessor.OrderCmd) loop.Msg {
 	if !cmd.Valid(time.Now()) {
 		return lessor.ReplyMsg{Order: cmd, Kind: kinds.Unavailable}
 	}
-	send := k.Control.Grant
+	send := mgr.Control.Grant
 	if cmd.Revoke {
-		send = k.Control.Revoke
+		send = mgr.Control.Revoke
 	}
-	to, ok := k.chairBeside(c, cmd.Order.Server)
+	to, ok := mgr.lessorFor(h, cmd.Order.Server)
 	if !ok {
 		return lessor.ReplyMsg{Order: cmd, Kind: kinds.Unavailable}
 	}
 	sent := time.Now()
 	reply, err := send(ctx, to.cfg.control, cmd.Order)
-	k.heard(to, reply.Status, time.Since(sent), err)
-	return lessor.ReplyMsg{Order: cmd, Reply: reply, Kind: unanswered(err)}
+	mgr.reportAnswer(to, reply.Status, time.Since(sent), err)
+	return lessor.ReplyMsg{Order: cmd, Reply: reply, Kind: callOutcome(err)}
 }
 
-func (k *Manager) readServer(ctx context.Context, c *chair, cmd lessor.ReadServerCmd) loop.Msg {
-	to, ok := k.chairBeside(c, cmp.Or(cmd.To, c.srv))
+func (mgr *Manager) readServer(ctx context.Context, h *hostedLessor, cmd lessor.ReadServerCmd) loop.Msg {
+	to, ok := mgr.lessorFor(h, cmp.Or(cmd.To, h.srv))
 	if !ok {
 		return lessor.ReplyMsg{Read: cmd, Kind: kinds.Unavailable}
 	}
 	sent := time.Now()
-	reply, err := k.Control.Read(ctx, to.cfg.control, c.seatName.svc, c.srv)
-	k.heard(to, reply.Status, time.Since(sent), err)
-	return lessor.ReplyMsg{Read: cmd, Reply: reply, Kind: unanswered(err)}
+	reply, err := mgr.Control.Read(ctx, to.cfg.control, h.lessorID.svc, h.srv)
+	mgr.reportAnswer(to, reply.Status, time.Since(sent), err)
+	return lessor.ReplyMsg{Read: cmd, Reply: reply, Kind: callOutcome(err)}
 }
 
-func (k *Manager) heard(c *chair, word *server.Status, took time.Duration, err error) {
-	if tell := k.answered.Load(); err == nil && tell != nil {
-		(*tell)(c.srv, word, took)
+// reportAnswer passes a server's answer to the function that OnAnswer set.
+func (mgr *Manager) reportAnswer(h *hostedLessor, status *server.Status, took time.Duration, err error) {
+	if report := mgr.onAnswer.Load(); err == nil && report != nil {
+		(*report)(h.srv, status, took)
 	}
 }
 
-func unanswered(err error) kinds.Kind {
+// callOutcome reduces the error of a call to a backend server to the kinds that a
+// lessor tells apart.
+func callOutcome(err error) kinds.Kind {
 	if err == nil {
 		return kinds.None
 	}
@@ -185,25 +190,26 @@
 	return kinds.Unavailable
 }
 
-func (k *Manager) plan(c *chair, cmd lessor.PlanCmd) loop.Msg {
-	v := c.svc.View()
+func (mgr *Manager) plan(h *hostedLessor, cmd lessor.PlanCmd) loop.Msg {
+	v := h.svc.View()
 	if v == nil {
 		return lessor.MoveMsg{Lost: cmd.Lost}
 	}
-	return lessor.MoveMsg{Moves: k.Plan(c.svc, v.Table(), c.srv, k.usable(c.svc, c.srv)), Lost: cmd.Lost}
+	return lessor.MoveMsg{Moves: mgr.Plan(h.svc, v.Table(), h.srv, mgr.usable(h.svc, h.srv)), Lost: cmd.Lost}
 }
 
-// moved records an acknowledged move, one decision for each slice or key.
-func (k *Manager) moved(c *chair, cmd lessor.MovedCmd) {
-	k.tellNext(c.seatName.svc, cmd.Rev, cmd.Moves)
-	k.Log.Info("keys moved", "service", c.seatName.svc, "from", c.srv, "count", len(cmd.Moves), "rev", cmd.Rev)
-	if k.Record == nil {
+// onMoved handles an acknowledged move: it notifies the new owners' leaders and
+// records one decision for each slice or key.
+func (mgr *Manager) onMoved(h *hostedLessor, cmd lessor.MovedCmd) {
+	mgr.notifyLeaders(h.lessorID.svc, cmd.Rev, cmd.Moves)
+	mgr.Log.Info("keys moved", "service", h.lessorID.svc, "from", h.srv, "count", len(cmd.Moves), "rev", cmd.Rev)
+	if mgr.Record == nil {
 		return
 	}
 	for _, m := range cmd.Moves {
-		k.Record.Record(record.Decision{
-			Action: record.Place, Service: c.seatName.svc, Key: m.Key, Slice: m.Slice, Rev: cmd.Rev,
-			Server: m.To, PrevOwner: c.srv, Epoch: cmd.Epoch, Reason: "moved",
+		mgr.Record.Record(record.Decision{
+			Action: record.Place, Service: h.lessorID.svc, Key: m.Key, Slice: m.Slice, Rev: cmd.Rev,
+			Server: m.To, PrevOwner: h.srv, Epoch: cmd.Epoch, Reason: "moved",
 		})
 	}
 }
--- a/internal/edge/leases/fleet_test.go
+++ b/internal/edge/leases/fleet_test.go
@@ -26,97 +26,97 @@
 	"hawthornfield.org/hawthornfield/internal/plat/vmlist"
 )
 
-// Sizes and delays of a fleet on the fake clock. A keeper here has only the
-// seats that it leads or stands by for: the others do nothing when servers are
-// lost, and 520 times 440 loops would fill the memory.
+// Sizes and delays of a fleet on the fake clock. A manager here runs only the
+// lessors whose leader or deputy it is: the others do nothing when servers are
+// lost, and 520 times 440 loops would not fit in memory.
 const (
-	fleetCentres = 4
-	fleetShare   = 10          // slices of each server
-	fleetWatch   = 3           // VMs that hear of a table from the store, with its version
-	fleetWarm    = time.Minute // at most, until every seat is held
-	fleetSpan    = 12 * time.Second
-	fleetNotice  = 1700 * time.Millisecond // until the roster knows a lost server as silent
-	// fleetTurn is what a key that came to another lost server may wait longer: the
-	// rest of that server's lease, a plan and an update of the table.
-	fleetTurn    = 400 * time.Millisecond
-	fleetSuspect = 500 * time.Millisecond // until a lost VM is suspected
-	fleetLag     = 5 * time.Second        // until the platform lists it as gone
+	fleetCentres      = 4
+	fleetSlices       = 10          // slices of each server
+	fleetWatchers     = 3           // VMs that get a table from the store, with its version
+	fleetStartTimeout = time.Minute // at most, until every lessor is held
+	fleetRunTime      = 12 * time.Second
+	fleetDetectTime   = 1700 * time.Millisecond // until failure detection reports a lost server
+	// fleetSecondMove is how much longer a key may wait that was moved to another
+	// lost server: the rest of that server's lease, a plan and an update of the table.
+	fleetSecondMove  = 400 * time.Millisecond
+	fleetSuspectTime = 500 * time.Millisecond // until a lost VM is suspected
+	fleetListLag     = 5 * time.Second        // until the platform lists it as gone
 )
 
-// fleet is the keepers of all VMs around one store.
+// fleet is the managers of all VMs, around one store.
 type fleet struct {
-	store   *tally
-	vms     []vmlist.VM
-	keepers map[ident.VM]*Manager
-	servers []config.Server
-	tab     table.Table
+	store      *countingStore
+	vms        []vmlist.VM
+	managers   map[ident.VM]*Manager
+	servers    []config.Server
+	firstTable table.Table
 
 	mu      sync.Mutex
 	rng     *rand.Rand
-	origin  map[netip.AddrPort]*holder
-	names   map[ident.Server]*holder
-	lost    time.Time
+	byAddr  map[netip.AddrPort]*fakeServer
+	byName  map[ident.Server]*fakeServer
+	lostAt  time.Time
 	noticed bool                      // every VM knows which servers are lost
 	served  map[ident.Slice]time.Time // first grant after the loss
 }
 
-// tally is a store that counts what is done with the tables and with records,
-// and passes each new table on as watches and peers do.
-type tally struct {
+// countingStore counts the calls for tables and for records, and passes each new
+// table on as watches and peers do.
+type countingStore struct {
 	*objmem.Store
-	mu    sync.Mutex
-	sum   calls
-	wrote func(object.Object)
+	mu      sync.Mutex
+	counts  storeCalls
+	onTable func(object.Object)
 }
 
-type calls struct {
-	reads, writes, clashes int // of the table
-	records, lists         int // of the seats' records
+type storeCalls struct {
+	reads, writes, conflicts int // of the table
+	records, lists           int // of the lessors' records
 }
 
-func (s *tally) calls() calls {
+func (s *countingStore) calls() storeCalls {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.sum
+	return s.counts
 }
 
-func (s *tally) add(n *int) {
+func (s *countingStore) add(n *int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	*n++
 }
 
-func (s *tally) Get(ctx context.Context, name string) (object.Object, error) {
+func (s *countingStore) Get(ctx context.Context, name string) (object.Object, error) {
 	if strings.HasPrefix(name, tablePrefix) {
-		s.add(&s.sum.reads)
+		s.add(&s.counts.reads)
 	} else {
-		s.add(&s.sum.records)
+		s.add(&s.counts.records)
 	}
 	return s.Store.Get(ctx, name)
 }
 
-func (s *tally) List(ctx context.Context, prefix string) ([]object.Object, object.Cursor, error) {
-	s.add(&s.sum.lists)
+func (s *countingStore) List(ctx context.Context, prefix string) ([]object.Object, object.Cursor, error) {
+	s.add(&s.counts.lists)
 	return s.Store.List(ctx, prefix)
 }
 
-func (s *tally) Put(ctx context.Context, name string, b []byte, old object.Version) (object.Version, error) {
+func (s *countingStore) Put(ctx context.Context, name string, b []byte, old object.Version) (object.Version, error) {
 	v, err := s.Store.Put(ctx, name, b, old)
 	if !strings.HasPrefix(name, tablePrefix) {
 		return v, err
 	}
-	s.add(&s.sum.writes)
+	s.add(&s.counts.writes)
 	if kinds.Of(err) == kinds.Conflict {
-		s.add(&s.sum.clashes)
+		s.add(&s.counts.conflicts)
 	}
-	if err == nil && s.wrote != nil {
-		s.wrote(object.Object{Name: name, Version: v, Value: b})
+	if err == nil && s.onTable != nil {
+		s.onTable(object.Object{Name: name, Version: v, Value: b})
 	}
 	return v, err
 }
 
-// holder is a backend server's lease on its own clock.
-type holder struct {
+// fakeServer is a backend server's lease on its own clock.
+type fakeServer struct {
 	dead  bool
 	start time.Time
 	fence ident.Fence
@@ -124,43 +124,43 @@
 	end   time.Duration
 }
 
-func (h *holder) reply(done bool, why string) server.Reply {
-	now := time.Since(h.start)
+func (s *fakeServer) reply(done bool, why string) server.Reply {
+	now := time.Since(s.start)
 	return server.Reply{
-		Done: done, Reason: why, Fence: h.fence, Rev: h.rev, Left: max(h.end-now, 0), Mark: server.Mark{Boot: 1, At: now},
+		Done: done, Reason: why, Fence: s.fence, Rev: s.rev, Left: max(s.end-now, 0), Mark: server.Mark{Boot: 1, At: now},
 	}
 }
 
-func (h *holder) obey(o server.Order, revoke bool) server.Reply {
-	now, end := time.Since(h.start), o.Mark.At+o.TTL
+func (s *fakeServer) apply(o server.Order, revoke bool) server.Reply {
+	now, end := time.Since(s.start), o.Mark.At+o.TTL
 	switch {
 	case now >= end:
-		return h.reply(false, server.ReasonLate)
-	case o.Fence.Less(h.fence):
-		return h.reply(false, server.ReasonFence)
-	case !revoke && !o.Full && (now >= h.end || h.rev != o.Rev):
-		return h.reply(false, server.ReasonRev)
+		return s.reply(false, server.ReasonLate)
+	case o.Fence.Less(s.fence):
+		return s.reply(false, server.ReasonFence)
+	case !revoke && !o.Full && (now >= s.end || s.rev != o.Rev):
+		return s.reply(false, server.ReasonRev)
 	}
-	h.fence = o.Fence
+	s.fence = o.Fence
 	if revoke || o.Full {
-		h.rev = o.Rev
+		s.rev = o.Rev
 	}
 	if !revoke {
-		h.end = max(h.end, end)
+		s.end = max(s.end, end)
 	}
-	return h.reply(true, "")
+	return s.reply(true, "")
 }
 
-// handset is the control side of all servers; a lost one never answers.
-type handset struct {
+// fleetControl is the control API of all servers; a lost server never answers.
+type fleetControl struct {
 	server.Control
 	f *fleet
 }
 
-func (c handset) Grant(ctx context.Context, to netip.AddrPort, o server.Order) (server.Reply, error) {
-	return c.call(ctx, to, func(h *holder) server.Reply {
-		r := h.obey(o, false)
-		if r.Done && o.Full && !c.f.lost.IsZero() {
+func (c fleetControl) Grant(ctx context.Context, to netip.AddrPort, o server.Order) (server.Reply, error) {
+	return c.call(ctx, to, func(h *fakeServer) server.Reply {
+		r := h.apply(o, false)
+		if r.Done && o.Full && !c.f.lostAt.IsZero() {
 			for _, x := range o.Slices {
 				if _, ok := c.f.served[x]; !ok {
 					c.f.served[x] = time.Now()
@@ -171,18 +171,18 @@
 	})
 }
 
-func (c handset) Revoke(ctx context.Context, to netip.AddrPort, o server.Order) (server.Reply, error) {
-	return c.call(ctx, to, func(h *holder) server.Reply { return h.obey(o, true) })
+func (c fleetControl) Revoke(ctx context.Context, to netip.AddrPort, o server.Order) (server.Reply, error) {
+	return c.call(ctx, to, func(h *fakeServer) server.Reply { return h.apply(o, true) })
 }
 
-func (c handset) Read(ctx context.Context, to netip.AddrPort, _ ident.Service, _ ident.Server) (server.Reply, error) {
-	return c.call(ctx, to, func(h *holder) server.Reply { return h.reply(true, "") })
+func (c fleetControl) Read(ctx context.Context, to netip.AddrPort, _ ident.Service, _ ident.Server) (server.Reply, error) {
+	return c.call(ctx, to, func(h *fakeServer) server.Reply { return h.reply(true, "") })
 }
 
-func (c handset) call(ctx context.Context, to netip.AddrPort, do func(*holder) server.Reply) (server.Reply, error) {
-	time.Sleep(c.f.between(time.Millisecond, 2*time.Millisecond))
+func (c fleetControl) call(ctx context.Context, to netip.AddrPort, do func(*fakeServer) server.Reply) (server.Reply, error) {
+	time.Sleep(c.f.randDelay(time.Millisecond, 2*time.Millisecond))
 	c.f.mu.Lock()
-	h := c.f.origin[to]
+	h := c.f.byAddr[to]
 	if !h.dead {
 		defer c.f.mu.Unlock()
 		return do(h), nil
@@ -192,18 +192,18 @@
 	return server.Reply{}, kinds.New(kinds.Ambiguous, "no answer")
 }
 
-// post is the links between the VMs.
-type post struct {
+// fleetLink sends one VM's messages to the others.
+type fleetLink struct {
 	f    *fleet
 	from ident.VM
 }
 
-func (p post) Send(to ident.VM, b []byte) {
-	time.AfterFunc(p.f.between(time.Millisecond, 2*time.Millisecond), func() { _ = p.f.keepers[to].Handle(p.from, b) })
+func (l fleetLink) Send(to ident.VM, b []byte) {
+	time.AfterFunc(l.f.randDelay(time.Millisecond, 2*time.Millisecond), func() { _ = l.f.managers[to].Handle(l.from, b) })
 }
-func (p post) Cast(to ident.VM, b []byte) { p.Send(to, b) }
+func (l fleetLink) Cast(to ident.VM, b []byte) { l.Send(to, b) }
 
-func (f *fleet) between(lo, hi time.Duration) time.Duration {
+func (f *fleet) randDelay(lo, hi time.Duration) time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return lo + time.Duration(f.rng.Int64N(int64(hi-lo)))
@@ -211,8 +211,8 @@
 
 func newFleet(tb testing.TB, seed uint64, vms, servers int) *fleet {
 	f := &fleet{
-		store: &tally{Store: objmem.New()}, keepers: map[ident.VM]*Manager{}, rng: rand.New(rand.NewPCG(seed, 11)),
-		origin: map[netip.AddrPort]*holder{}, names: map[ident.Server]*holder{}, served: map[ident.Slice]time.Time{},
+		store: &countingStore{Store: objmem.New()}, managers: map[ident.VM]*Manager{}, rng: rand.New(rand.NewPCG(seed, 11)),
+		byAddr: map[netip.AddrPort]*fakeServer{}, byName: map[ident.Server]*fakeServer{}, served: map[ident.Slice]time.Time{},
 	}
 	for i := range vms {
 		f.vms = append(f.vms, vmlist.VM{
@@ -223,11 +223,11 @@
 		at := netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 1, byte(i >> 8), byte(i)}), 80)
 		name := ident.Server(fmt.Sprintf("s-%d", i))
 		f.servers = append(f.servers, config.Server{Name: name, Control: at, Data: at, Centre: centreOf(i)})
-		h := &holder{start: time.Now()}
-		f.origin[at], f.names[name] = h, h
+		srv := &fakeServer{start: time.Now()}
+		f.byAddr[at], f.byName[name] = srv, srv
 	}
 	f.store.SetFault(func(objmem.Op, string) objmem.Fault {
-		return objmem.Fault{Delay: f.between(3*time.Millisecond, 7*time.Millisecond)}
+		return objmem.Fault{Delay: f.randDelay(3*time.Millisecond, 7*time.Millisecond)}
 	})
 	tab, err := FirstTable(&state.Service{Service: f.config(f.servers)})
 	assert.NilError(tb, err)
@@ -235,8 +235,8 @@
 	assert.NilError(tb, err)
 	_, err = f.store.Put(tb.Context(), tableObject("lookup"), b, 0)
 	assert.NilError(tb, err)
-	f.tab = tab
-	f.store.wrote = f.spread
+	f.firstTable = tab
+	f.store.onTable = f.distribute
 	return f
 }
 
@@ -244,27 +244,27 @@
 
 func (f *fleet) config(list []config.Server) config.Service {
 	return config.Service{
-		Name: "lookup", Divided: true, FenceChecks: true, Slices: uint32(fleetShare * len(f.servers)), Servers: list,
+		Name: "lookup", Divided: true, FenceChecks: true, Slices: uint32(fleetSlices * len(f.servers)), Servers: list,
 	}
 }
 
-// spread tells every VM of a new table.
-func (f *fleet) spread(o object.Object) {
+// distribute sends a new table to every VM.
+func (f *fleet) distribute(o object.Object) {
 	tab, err := table.Decode(o.Value)
 	if err != nil {
 		return
 	}
 	for i, vm := range f.vms {
-		k, ver, d := f.keepers[vm.ID], object.Version(0), f.between(2*time.Millisecond, 40*time.Millisecond)
-		if i < fleetWatch {
-			ver, d = o.Version, f.between(time.Millisecond, 3*time.Millisecond)
+		mgr, version, d := f.managers[vm.ID], object.Version(0), f.randDelay(2*time.Millisecond, 40*time.Millisecond)
+		if i < fleetWatchers {
+			version, d = o.Version, f.randDelay(time.Millisecond, 3*time.Millisecond)
 		}
-		time.AfterFunc(d, func() { k.Table(tab, ver) })
+		time.AfterFunc(d, func() { mgr.Table(tab, version) })
 	}
 }
 
-// plan gives the keys of a lost server to those that seem well: what this VM's own
-// seats know, and after a while what the roster knows.
+// plan gives the keys of a lost server to those that seem healthy: by what this VM's
+// lessors know and, after fleetDetectTime, by what failure detection reports.
 func (f *fleet) plan(svc *state.Service, tab table.Table, from ident.Server, usable []ident.Server) []table.Move {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -272,39 +272,39 @@
 	for _, s := range svc.Servers {
 		out[s.Name] = out[s.Name] || !slices.Contains(usable, s.Name)
 	}
-	var well []ident.Server
+	var healthy []ident.Server
 	for _, s := range f.servers {
-		if !out[s.Name] && (!f.noticed || !f.names[s.Name].dead) {
-			well = append(well, s.Name)
+		if !out[s.Name] && (!f.noticed || !f.byName[s.Name].dead) {
+			healthy = append(healthy, s.Name)
 		}
 	}
 	var moves []table.Move
 	for _, x := range tab.SetOf(from).Slices {
-		moves = append(moves, table.Move{Slice: x, To: well[f.rng.IntN(len(well))]})
+		moves = append(moves, table.Move{Slice: x, To: healthy[f.rng.IntN(len(healthy))]})
 	}
 	return moves
 }
 
 func (f *fleet) start() {
-	part := map[ident.VM][]config.Server{}
-	var places []Target
+	assigned := map[ident.VM][]config.Server{}
+	var targets []Target
 	for _, s := range f.servers {
-		places = append(places, Target{"lookup", s.Name, s.Centre})
+		targets = append(targets, Target{"lookup", s.Name, s.Centre})
 	}
-	pairs := AssignAll(places, f.vms)
+	pairs := AssignAll(targets, f.vms)
 	for i, s := range f.servers {
-		for _, vm := range []ident.VM{pairs[places[i]].Leader, pairs[places[i]].Deputy} {
-			part[vm] = append(part[vm], s)
+		for _, vm := range []ident.VM{pairs[targets[i]].Leader, pairs[targets[i]].Deputy} {
+			assigned[vm] = append(assigned[vm], s)
 		}
 	}
 	for _, vm := range f.vms {
-		f.keepers[vm.ID] = New(Options{
-			VM: vm.ID, State: state.New([]config.Service{f.config(part[vm.ID])}), Store: f.store, Control: handset{f: f},
-			Peers: post{f, vm.ID}, Plan: f.plan, Log: slog.New(slog.DiscardHandler),
+		f.managers[vm.ID] = New(Options{
+			VM: vm.ID, State: state.New([]config.Service{f.config(assigned[vm.ID])}), Store: f.store, Control: fleetControl{f: f},
+			Peers: fleetLink{f, vm.ID}, Plan: f.plan, Log: slog.New(slog.DiscardHandler),
 		})
 	}
-	for _, k := range f.keepers {
-		k.places = places // those of others too, or each keeper would deal its own part alone
-		k.SetVMs(f.vms)
+	for _, mgr := range f.managers {
+		mgr.targets = targets // all lessors of the fleet, or each manager would assign only its own part
+		mgr.SetVMs(f.vms)
 	}
 }
--- a/internal/edge/leases/form_test.go
+++ b/internal/edge/leases/heartbeat_test.go
@@ -15,10 +15,10 @@
 	"hawthornfield.org/hawthornfield/internal/plat/server"
 )
 
-// A beat is rounded on its way. If it told a deputy of a longer term, or of a
-// later reading of its clock, the deputy would renew a lease after its holder's
+// A heartbeat's times are rounded when it is encoded. If the deputy read a longer
+// term, or a later reading of its clock, it would renew a lease after the holder's
 // term has ended.
-func TestABeatOnItsWayNeverGivesMore(t *testing.T) {
+func TestHeartbeatEncodingNeverExtendsATerm(t *testing.T) {
 	seeds.Check(t, func(t *rapid.T) {
 		m := lessor.HeartbeatMsg{
 			From:        "vm-1",
@@ -30,11 +30,11 @@
 			Rev:         ident.Revision(rapid.Uint64().Draw(t, "rev")),
 			NoStandby:   rapid.Bool().Draw(t, "clear"),
 		}
-		b, err := wire.Encode(letter{Seat: 1, Beat: formOf(m)})
+		b, err := wire.Encode(message{Hash: 1, Heartbeat: heartbeatToWire(m)})
 		assert.NilError(t, err)
-		var l letter
-		assert.NilError(t, wire.Decode(b, &l))
-		got := l.Beat.msg("vm-1")
+		var decoded message
+		assert.NilError(t, wire.Decode(b, &decoded))
+		got := decoded.Heartbeat.msg("vm-1")
 		assert.Assert(t, got.Left <= m.Left && got.Left > m.Left-time.Millisecond)
 		assert.Assert(t, got.Echo <= m.Echo && got.Echo > m.Echo-time.Millisecond)
 		got.Left, got.Echo = m.Left, m.Echo
@@ -42,9 +42,9 @@
 	})
 }
 
-func TestABeatIsShort(t *testing.T) {
+func TestHeartbeatEncodingIsShort(t *testing.T) {
 	now := time.Date(2026, 10, 1, 6, 0, 0, 0, time.UTC)
-	b, err := wire.Encode(letter{Seat: seatName{"lookup", "lookup-07"}.sum(), Beat: formOf(lessor.HeartbeatMsg{
+	b, err := wire.Encode(message{Hash: lessorID{"lookup", "lookup-07"}.hash(), Heartbeat: heartbeatToWire(lessor.HeartbeatMsg{
 		Epoch: 300, Left: 29 * time.Minute, Echo: 40 * 24 * time.Hour, Incarnation: now.UnixNano(),
 		Mark: server.Mark{Boot: 1 << 63, At: 40 * 24 * time.Hour}, Rev: 100_000,
 	})})
@@ -52,17 +52,17 @@
 	assert.Assert(t, len(b) <= 70, "%d bytes", len(b))
 }
 
-// Two seats have the same eight bytes. A beat that named them so would reach one
-// of the two whichever was meant.
-func TestSeatsThatShareTheirBytesAreNamedInFull(t *testing.T) {
-	a, b, c := &chair{}, &chair{}, &chair{}
-	seats := map[seatName]*chair{{"lookup", "a"}: a, {"lookup", "b"}: b, {"lookup", "c"}: c}
-	by := desksOf(seats, func(n seatName) uint64 {
+// Two lessors have the same hash. A heartbeat that named one by its hash might reach
+// the other.
+func TestLessorsWithCollidingHashesAreNamedInFull(t *testing.T) {
+	a, b, c := &hostedLessor{}, &hostedLessor{}, &hostedLessor{}
+	lessors := map[lessorID]*hostedLessor{{"lookup", "a"}: a, {"lookup", "b"}: b, {"lookup", "c"}: c}
+	byHash := indexLessors(lessors, func(n lessorID) uint64 {
 		if n.srv == "c" {
 			return 7
 		}
 		return 9
 	})
-	assert.Equal(t, len(by), 1)
-	assert.Equal(t, by[7], c)
+	assert.Equal(t, len(byHash), 1)
+	assert.Equal(t, byHash[7], c)
 }
--- a/internal/edge/leases/loss_test.go
+++ b/internal/edge/leases/loss_test.go
@@ -16,56 +16,57 @@
 	"hawthornfield.org/hawthornfield/internal/plat/vmlist"
 )
 
-// lose ends servers, one data centre after the other from the hub's on, and
-// returns their slices.
-func (f *fleet) lose(n int) []ident.Slice {
+// loseServers ends n servers, one data centre after the other, starting with the
+// first coordinator's, and returns their slices.
+func (f *fleet) loseServers(n int) []ident.Slice {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	first, err := strconv.Atoi(string(f.hubCentre()))
+	first, err := strconv.Atoi(string(f.coordinatorCentre()))
 	if err != nil {
 		return nil
 	}
-	var hit []ident.Slice
+	var lostSlices []ident.Slice
 	for c := range fleetCentres {
 		for i := (first + c) % fleetCentres; i < len(f.servers) && n > 0; i += fleetCentres {
-			f.names[f.servers[i].Name].dead = true
-			hit = append(hit, f.tab.SetOf(f.servers[i].Name).Slices...)
+			f.byName[f.servers[i].Name].dead = true
+			lostSlices = append(lostSlices, f.firstTable.SetOf(f.servers[i].Name).Slices...)
 			n--
 		}
 	}
-	f.lost = time.Now()
-	time.AfterFunc(fleetNotice, f.notice)
-	return hit
+	f.lostAt = time.Now()
+	time.AfterFunc(fleetDetectTime, f.detectLoss)
+	return lostSlices
 }
 
-// notice tells every VM which servers do not answer, as its probers do.
-func (f *fleet) notice() {
+// detectLoss tells every VM which servers do not answer, as failure detection does.
+func (f *fleet) detectLoss() {
 	f.mu.Lock()
 	f.noticed = true
 	f.mu.Unlock()
 	for _, s := range f.servers {
 		f.mu.Lock()
-		dead := f.names[s.Name].dead
+		dead := f.byName[s.Name].dead
 		f.mu.Unlock()
 		if dead {
-			for _, k := range f.keepers {
-				k.SetAlive(s.Name, false)
+			for _, mgr := range f.managers {
+				mgr.SetAlive(s.Name, false)
 			}
 		}
 	}
 }
 
-func (f *fleet) hubCentre() ident.Centre {
-	first := hubs("lookup", f.vms)[0]
+// coordinatorCentre returns the data centre of the first coordinator.
+func (f *fleet) coordinatorCentre() ident.Centre {
+	first := coordinators("lookup", f.vms)[0]
 	i := slices.IndexFunc(f.vms, func(vm vmlist.VM) bool { return vm.ID == first })
 	return f.vms[i].Centre
 }
 
-// loseVMs ends the VMs of the hub's data centre without a word. The others
-// suspect them soon, and the platform lists them as gone much later.
+// loseVMs ends the VMs of the first coordinator's data centre without a handover. The
+// others suspect them soon, and the platform lists them as gone much later.
 func (f *fleet) loseVMs(t *testing.T) {
 	var list []vmlist.VM
-	centre, dead := f.hubCentre(), map[ident.VM]bool{}
+	centre, dead := f.coordinatorCentre(), map[ident.VM]bool{}
 	for _, vm := range f.vms {
 		if vm.Centre == centre {
 			vm.State, dead[vm.ID] = vmlist.Gone, true
@@ -73,37 +74,37 @@
 		list = append(list, vm)
 	}
 	for vm := range dead {
-		assert.NilError(t, f.keepers[vm].Close())
+		assert.NilError(t, f.managers[vm].Close())
 	}
-	tell := func(do func(*Manager)) func() {
+	forOthers := func(do func(*Manager)) func() {
 		return func() {
-			for vm, k := range f.keepers {
+			for vm, mgr := range f.managers {
 				if !dead[vm] {
-					do(k)
+					do(mgr)
 				}
 			}
 		}
 	}
-	time.AfterFunc(fleetSuspect, tell(func(k *Manager) {
+	time.AfterFunc(fleetSuspectTime, forOthers(func(mgr *Manager) {
 		for vm := range dead {
-			k.Suspect(vm)
+			mgr.Suspect(vm)
 		}
 	}))
-	time.AfterFunc(fleetLag, tell(func(k *Manager) { k.SetVMs(list) }))
+	time.AfterFunc(fleetListLag, forOthers(func(mgr *Manager) { mgr.SetVMs(list) }))
 }
 
 func (f *fleet) held() int {
 	n := 0
-	for _, k := range f.keepers {
-		n += len(k.Held())
+	for _, mgr := range f.managers {
+		n += len(mgr.Held())
 	}
 	return n
 }
 
-// settle waits until every seat is held, and returns how long that took.
-func (f *fleet) settle() time.Duration {
+// waitHeld waits until every lessor is held, and returns how long that took.
+func (f *fleet) waitHeld() time.Duration {
 	began := time.Now()
-	for f.held() < len(f.servers) && time.Since(began) < fleetWarm {
+	for f.held() < len(f.servers) && time.Since(began) < fleetStartTimeout {
 		time.Sleep(10 * time.Millisecond)
 	}
 	took := time.Since(began)
@@ -112,110 +113,111 @@
 }
 
 func (f *fleet) close(t *testing.T) {
-	for _, k := range f.keepers {
-		assert.NilError(t, k.Close())
+	for _, mgr := range f.managers {
+		assert.NilError(t, mgr.Close())
 	}
 	synctest.Wait()
-	time.Sleep(time.Second) // letters on their way
+	time.Sleep(time.Second) // messages in flight
 }
 
-// fleetRow is what a loss of many servers at once cost.
-type fleetRow struct {
-	vms, servers, lost     int
-	start                  time.Duration // until every seat was held
-	p50, p99, most         time.Duration
-	gone                   []time.Duration // each lost slice
-	unserved               int
-	reads, writes, clashes int
+// lossResult is what the loss of many servers at once cost.
+type lossResult struct {
+	vms, servers, lost       int
+	start                    time.Duration // until every lessor was held
+	p50, p99, longest        time.Duration
+	unservedTimes            []time.Duration // each lost slice
+	unserved                 int
+	reads, writes, conflicts int
 }
 
-func (r fleetRow) String() string {
+func (r lossResult) String() string {
 	return fmt.Sprintf("| %d | %d of %d | %d | %d | %d | %d | %d | %d | %d |", r.vms, r.lost, r.servers,
-		r.start.Milliseconds(), r.p50.Milliseconds(), r.p99.Milliseconds(), r.most.Milliseconds(), r.writes, r.clashes, r.reads)
+		r.start.Milliseconds(), r.p50.Milliseconds(), r.p99.Milliseconds(), r.longest.Milliseconds(), r.writes, r.conflicts, r.reads)
 }
 
-func (r *fleetRow) sort() {
-	slices.Sort(r.gone)
-	r.p50, r.p99, r.most = r.gone[len(r.gone)/2], r.gone[len(r.gone)*99/100], r.gone[len(r.gone)-1]
+func (r *lossResult) sort() {
+	slices.Sort(r.unservedTimes)
+	r.p50, r.p99, r.longest = r.unservedTimes[len(r.unservedTimes)/2], r.unservedTimes[len(r.unservedTimes)*99/100], r.unservedTimes[len(r.unservedTimes)-1]
 }
 
-// add takes another run in: the slices of both, and the larger of the others.
-func (r *fleetRow) add(o fleetRow) {
-	r.gone = append(r.gone, o.gone...)
+// add merges another run: the slices of both, and the larger of the other figures.
+func (r *lossResult) add(o lossResult) {
+	r.unservedTimes = append(r.unservedTimes, o.unservedTimes...)
 	r.sort()
 	r.start, r.unserved = max(r.start, o.start), r.unserved+o.unserved
-	r.writes, r.clashes, r.reads = max(r.writes, o.writes), max(r.clashes, o.clashes), max(r.reads, o.reads)
+	r.writes, r.conflicts, r.reads = max(r.writes, o.writes), max(r.conflicts, o.conflicts), max(r.reads, o.reads)
 }
 
-// loseMany runs one fleet, loses servers in one moment and says how long their
-// slices were served by nobody.
+// runLoss runs one fleet, loses servers at one moment and reports how long their
+// slices were not served.
 //
-// With centre set, the entry VMs of the hub's data centre are lost as well.
-func loseMany(t *testing.T, seed uint64, vms, servers, lost int, centre bool) fleetRow {
-	row := fleetRow{vms: vms, servers: servers, lost: lost}
+// With centre set, the entry VMs of the first coordinator's data centre are lost as
+// well.
+func runLoss(t *testing.T, seed uint64, vms, servers, lost int, centre bool) lossResult {
+	res := lossResult{vms: vms, servers: servers, lost: lost}
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, seed, vms, servers)
 		f.start()
 		defer f.close(t)
-		row.start = f.settle()
-		time.Sleep(f.between(0, time.Second))
+		res.start = f.waitHeld()
+		time.Sleep(f.randDelay(0, time.Second))
 		before := f.store.calls()
-		hit := f.lose(lost)
+		lostSlices := f.loseServers(lost)
 		if centre {
 			f.loseVMs(t)
 		}
-		time.Sleep(fleetSpan)
+		time.Sleep(fleetRunTime)
 		after := f.store.calls()
-		row.reads, row.writes = after.reads-before.reads, after.writes-before.writes
-		row.clashes = after.clashes - before.clashes
+		res.reads, res.writes = after.reads-before.reads, after.writes-before.writes
+		res.conflicts = after.conflicts - before.conflicts
 		f.mu.Lock()
-		for _, x := range hit {
+		for _, x := range lostSlices {
 			at, ok := f.served[x]
 			if !ok {
-				row.unserved++
-				at = f.lost.Add(fleetSpan)
+				res.unserved++
+				at = f.lostAt.Add(fleetRunTime)
 			}
-			row.gone = append(row.gone, at.Sub(f.lost))
+			res.unservedTimes = append(res.unservedTimes, at.Sub(f.lostAt))
 		}
 		f.mu.Unlock()
-		row.sort()
+		res.sort()
 	})
-	return row
+	return res
 }
 
 // TestFleet prints what the loss of many servers of one service costs:
 //
-//	HAWTHORN_FLEET=10,520 HAWTHORN_LOST=6,20,60,220 go test -v -run TestFleet ./internal/edge/keeper
+//	HAWTHORN_FLEET=10,520 HAWTHORN_LOST=6,20,60,220 go test -v -run TestFleet ./internal/edge/leases
 //
 // HAWTHORN_FLEET lists numbers of VMs; HAWTHORN_SERVERS is 440 if not set,
 // HAWTHORN_RUNS, how many seeds each row takes, 1. With HAWTHORN_CENTRE the entry
-// VMs of one data centre are lost too, the hub's.
+// VMs of one data centre are lost too, the first coordinator's.
 func TestFleet(t *testing.T) {
 	if os.Getenv("HAWTHORN_FLEET") == "" {
 		t.Skip("a measurement: set HAWTHORN_FLEET to numbers of VMs")
 	}
 	servers := 440
-	if n := numbers(t, os.Getenv("HAWTHORN_SERVERS")); len(n) > 0 {
+	if n := parseInts(t, os.Getenv("HAWTHORN_SERVERS")); len(n) > 0 {
 		servers = n[0]
 	}
 	runs := 1
-	if n := numbers(t, os.Getenv("HAWTHORN_RUNS")); len(n) > 0 {
+	if n := parseInts(t, os.Getenv("HAWTHORN_RUNS")); len(n) > 0 {
 		runs = n[0]
 	}
-	t.Log("| VMs | lost | all seats held, ms | p50 ms | p99 ms | max ms | table writes | conflicts | table reads |")
-	for _, vms := range numbers(t, os.Getenv("HAWTHORN_FLEET")) {
-		for _, lost := range numbers(t, os.Getenv("HAWTHORN_LOST")) {
-			row := loseMany(t, 1, vms, servers, lost, os.Getenv("HAWTHORN_CENTRE") != "")
+	t.Log("| VMs | lost | all lessors held, ms | p50 ms | p99 ms | max ms | table writes | conflicts | table reads |")
+	for _, vms := range parseInts(t, os.Getenv("HAWTHORN_FLEET")) {
+		for _, lost := range parseInts(t, os.Getenv("HAWTHORN_LOST")) {
+			res := runLoss(t, 1, vms, servers, lost, os.Getenv("HAWTHORN_CENTRE") != "")
 			for seed := 2; seed <= runs; seed++ {
-				row.add(loseMany(t, uint64(seed), vms, servers, lost, os.Getenv("HAWTHORN_CENTRE") != ""))
+				res.add(runLoss(t, uint64(seed), vms, servers, lost, os.Getenv("HAWTHORN_CENTRE") != ""))
 			}
-			t.Log(row.String())
-			assert.Equal(t, row.unserved, 0)
+			t.Log(res.String())
+			assert.Equal(t, res.unserved, 0)
 		}
 	}
 }
 
-func numbers(t *testing.T, list string) []int {
+func parseInts(t *testing.T, list string) []int {
 	var all []int
 	for f := range strings.SplitSeq(list, ",") {
 		if f == "" {
@@ -228,29 +230,29 @@
 	return all
 }
 
-// A data centre with a quarter of a service's servers is lost, and a seat on
-// nearly every VM wants the one table changed in the same moment. When each wrote
-// for itself, nobody served the last keys for seconds: a queue of trucks at every
-// scale of that data centre. Nor may a fleet that starts wait for its bars.
-func TestADataCentreOfServersIsReplacedWithinASecond(t *testing.T) {
-	row := loseMany(t, 3, 40, 120, 30, false)
+// A data centre with a quarter of a service's servers is lost, and a lessor on nearly
+// every VM must change the one table at the same moment. When each VM wrote the table
+// for itself, the last keys were not served for seconds. Nor may the start of the
+// fleet wait long for the table writes that bar earlier epochs.
+func TestLostDataCentreOfServersIsReplacedWithinASecond(t *testing.T) {
+	row := runLoss(t, 3, 40, 120, 30, false)
 	t.Log(row)
 	assert.Equal(t, row.unserved, 0)
 	assert.Assert(t, row.p99 <= time.Second, "99 of 100 keys served again after %v", row.p99)
-	assert.Assert(t, row.most <= time.Second+fleetTurn, "served again after %v", row.most)
+	assert.Assert(t, row.longest <= time.Second+fleetSecondMove, "served again after %v", row.longest)
 	assert.Assert(t, row.p50 > 500*time.Millisecond, "too good to be true: %v", row.p50)
-	assert.Assert(t, row.start <= time.Second, "seats held after %v", row.start)
+	assert.Assert(t, row.start <= time.Second, "lessors held after %v", row.start)
 	assert.Assert(t, row.writes < 4*row.lost, "%d writes of the table", row.writes)
 }
 
-// The same, and the entry VMs of that data centre are lost with it, among them the
-// one that would join the edits of all. Those that turn to it must not wait for an
-// answer that never comes, nor all write for themselves again.
-func TestADataCentreIsReplacedWithoutTheHub(t *testing.T) {
-	row := loseMany(t, 3, 40, 120, 30, true)
+// The same, with the entry VMs of that data centre lost too, among them the first
+// coordinator. VMs that send it their edits must neither wait for an answer that
+// never comes nor all write for themselves again.
+func TestLostDataCentreIsReplacedWithoutTheCoordinator(t *testing.T) {
+	row := runLoss(t, 3, 40, 120, 30, true)
 	t.Log(row)
 	assert.Equal(t, row.unserved, 0)
 	assert.Assert(t, row.p99 <= time.Second, "99 of 100 keys served again after %v", row.p99)
-	assert.Assert(t, row.most <= time.Second+fleetTurn, "served again after %v", row.most)
+	assert.Assert(t, row.longest <= time.Second+fleetSecondMove, "served again after %v", row.longest)
 	assert.Assert(t, row.p50 > 500*time.Millisecond, "too good to be true: %v", row.p50)
 }
--- a/internal/edge/leases/keeper_test.go
+++ b/internal/edge/leases/manager_test.go
@@ -25,69 +25,69 @@
 	"hawthornfield.org/hawthornfield/internal/plat/vmlist"
 )
 
-// control is the control side of stand-ins in this process.
-type control struct {
+// fakeControl is the control API of fake servers in this process.
+type fakeControl struct {
 	server.Control
-	mu     sync.Mutex
-	by     map[netip.AddrPort]*origin.Origin
-	orders int
+	mu      sync.Mutex
+	servers map[netip.AddrPort]*origin.Origin
+	orders  int
 }
 
-func (c *control) at(to netip.AddrPort) *origin.Origin {
+func (c *fakeControl) at(to netip.AddrPort) *origin.Origin {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.by[to]
+	return c.servers[to]
 }
 
-func (c *control) Grant(_ context.Context, to netip.AddrPort, o server.Order) (server.Reply, error) {
+func (c *fakeControl) Grant(_ context.Context, to netip.AddrPort, o server.Order) (server.Reply, error) {
 	c.mu.Lock()
 	c.orders++
 	c.mu.Unlock()
 	return c.at(to).Grant(o), nil
 }
 
-func (c *control) Revoke(_ context.Context, to netip.AddrPort, o server.Order) (server.Reply, error) {
+func (c *fakeControl) Revoke(_ context.Context, to netip.AddrPort, o server.Order) (server.Reply, error) {
 	c.mu.Lock()
 	c.orders++
 	c.mu.Unlock()
 	return c.at(to).Revoke(o), nil
 }
 
-func (c *control) Read(_ context.Context, to netip.AddrPort, _ ident.Service, _ ident.Server) (server.Reply, error) {
+func (c *fakeControl) Read(_ context.Context, to netip.AddrPort, _ ident.Service, _ ident.Server) (server.Reply, error) {
 	return c.at(to).Read(), nil
 }
 
-type silence struct{}
+type discardSender struct{}
 
-func (silence) Send(ident.VM, []byte) {}
-func (silence) Cast(ident.VM, []byte) {}
+func (discardSender) Send(ident.VM, []byte) {}
+func (discardSender) Cast(ident.VM, []byte) {}
 
 func addr(i int) netip.AddrPort {
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, byte(i)}), 80)
 }
 
-func launch(store *objmem.Store) (*Manager, *control, *state.Service) {
-	c := &control{by: map[netip.AddrPort]*origin.Origin{}}
+func newManager(store *objmem.Store) (*Manager, *fakeControl, *state.Service) {
+	c := &fakeControl{servers: map[netip.AddrPort]*origin.Origin{}}
 	cfg := config.Service{Name: "lookup", Divided: true, Slices: 16}
 	for i, name := range []ident.Server{"a", "b", "c"} {
-		c.by[addr(i)] = origin.New(origin.Config{Service: "lookup", Server: name, Keyed: true, Slices: 16})
+		c.servers[addr(i)] = origin.New(origin.Config{Service: "lookup", Server: name, Keyed: true, Slices: 16})
 		cfg.Servers = append(cfg.Servers, config.Server{Name: name, Control: addr(i), Data: addr(i), Centre: "south"})
 	}
 	st := state.New([]config.Service{cfg})
-	k := New(Options{
-		VM: "vm-1", State: st, Store: store, Control: c, Peers: silence{}, Log: slog.New(slog.DiscardHandler),
+	mgr := New(Options{
+		VM: "vm-1", State: st, Store: store, Control: c, Peers: discardSender{}, Log: slog.New(slog.DiscardHandler),
 	})
 	svc, _ := st.Service("lookup")
-	return k, c, svc
+	return mgr, c, svc
 }
 
 func TestOneVMBootstrapsAndServesEveryKey(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		k, c, svc := launch(objmem.New())
-		k.SetVMs([]vmlist.VM{{ID: "vm-1", State: vmlist.Live}})
+		mgr, c, svc := newManager(objmem.New())
+		mgr.SetVMs([]vmlist.VM{{ID: "vm-1", State: vmlist.Live}})
 		time.Sleep(2 * time.Second)
-		assert.Equal(t, len(k.Held()), 3)
-		assert.Equal(t, len(k.Status()), 3)
+		assert.Equal(t, len(mgr.Held()), 3)
+		assert.Equal(t, len(mgr.Status()), 3)
 		for i := range 3 {
 			assert.Assert(t, c.at(addr(i)).Read().Left > 0, "server %d has no lease", i)
 		}
@@ -97,54 +97,54 @@
 		}
 		assert.Equal(t, total, 16)
 
-		k.Drain("lookup", "a", true)
+		mgr.Drain("lookup", "a", true)
 		time.Sleep(5 * time.Second)
 		assert.Assert(t, svc.View().Table().SetOf("a").Empty())
 		assert.Equal(t, c.at(addr(0)).Read().Left, time.Duration(0))
-		k.Leave(t.Context())
-		assert.Equal(t, len(k.Held()), 0)
-		assert.NilError(t, k.Close())
+		mgr.Leave(t.Context())
+		assert.Equal(t, len(mgr.Held()), 0)
+		assert.NilError(t, mgr.Close())
 	})
 }
 
-// A VM is paused between deciding on an order and sending it, for longer than
-// its authority lasts. Its successor has given the keys away meanwhile; the old
-// order, sent now, would give a key a second owner.
+// A VM is paused between deciding on an order and sending it, for longer than its
+// authority lasts. Its successor has moved the keys meanwhile; the old order, sent
+// now, would give a key a second owner.
 func TestAnOrderIsNotSentAfterItsAuthorityEnded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := objmem.New()
-		k, c, _ := launch(store)
-		chair := k.seats[seatName{"lookup", "a"}]
+		mgr, c, _ := newManager(store)
+		h := mgr.lessors[lessorID{"lookup", "a"}]
 		cmd := lessor.OrderCmd{Guard: lessor.Guard{Until: time.Now().Add(time.Second)}}
 		time.Sleep(time.Second)
-		msg := k.order(t.Context(), chair, cmd).(lessor.ReplyMsg)
+		msg := mgr.sendOrder(t.Context(), h, cmd).(lessor.ReplyMsg)
 		assert.Equal(t, msg.Kind, kinds.Unavailable)
 		assert.Equal(t, c.orders, 0)
 		before := store.Usage().Writes
-		wrote := k.writeTable(t.Context(), "lookup", commit.WriteCmd{Guard: cmd.Guard}).(commit.WriteResultMsg)
+		wrote := mgr.writeTable(t.Context(), "lookup", commit.WriteCmd{Guard: cmd.Guard}).(commit.WriteResultMsg)
 		assert.Equal(t, wrote.Kind, kinds.Unavailable)
-		assert.Assert(t, wrote.Expired, "the edits whose authority lasts could not be told from those without")
+		assert.Assert(t, wrote.Expired, "expired edits cannot be told from those whose authority lasts")
 		assert.Equal(t, store.Usage().Writes, before)
-		assert.NilError(t, k.Close())
+		assert.NilError(t, mgr.Close())
 	})
 }
 
-// An answer of the store is lost after the write took effect. It must reach the
-// seat as "may have happened": taken for a failure, the seat would be written
-// twice; taken for a success, two VMs could hold it.
-func TestOutcomesKeepWhatSafetyDependsOn(t *testing.T) {
+// The store's answer is lost after the write took effect. It must reach the lessor
+// as ambiguous: taken for a failure, the record would be written twice; taken for a
+// success, two VMs could hold the lessor.
+func TestOutcomesKeepAmbiguousErrorsApart(t *testing.T) {
 	for in, want := range map[kinds.Kind]kinds.Kind{
 		kinds.Ambiguous: kinds.Ambiguous, kinds.Conflict: kinds.Conflict, kinds.NotFound: kinds.NotFound,
 		kinds.Unavailable: kinds.Unavailable, kinds.TooLarge: kinds.Unavailable, kinds.Malformed: kinds.Unavailable,
 	} {
-		assert.Equal(t, outcome(kinds.New(in, "x")), want)
+		assert.Equal(t, storeOutcome(kinds.New(in, "x")), want)
 	}
-	assert.Equal(t, outcome(nil), kinds.None)
-	assert.Equal(t, unanswered(kinds.New(kinds.Ambiguous, "x")), kinds.Ambiguous)
-	assert.Equal(t, unanswered(kinds.New(kinds.Malformed, "x")), kinds.Unavailable)
+	assert.Equal(t, storeOutcome(nil), kinds.None)
+	assert.Equal(t, callOutcome(kinds.New(kinds.Ambiguous, "x")), kinds.Ambiguous)
+	assert.Equal(t, callOutcome(kinds.New(kinds.Malformed, "x")), kinds.Unavailable)
 }
 
-func TestAssignKeepsServerLeadAndDeputyApart(t *testing.T) {
+func TestAssignKeepsServerLeaderAndDeputyApart(t *testing.T) {
 	live := []vmlist.VM{
 		{ID: "n1", Centre: "north"},
 		{ID: "n2", Centre: "north"},
@@ -159,19 +159,19 @@
 	moved := 0
 	for i := range 100 {
 		srv := ident.Server(string(rune('a'+i%26)) + string(rune('a'+i/26)))
-		lead, deputy := Assign("lookup", srv, "south", live)
-		assert.Assert(t, centre[lead] != "south" && centre[deputy] != "south")
-		assert.Assert(t, centre[lead] != centre[deputy])
+		leader, deputy := Assign("lookup", srv, "south", live)
+		assert.Assert(t, centre[leader] != "south" && centre[deputy] != "south")
+		assert.Assert(t, centre[leader] != centre[deputy])
 		again, _ := Assign("lookup", srv, "south", live[1:])
-		if lead != "n1" {
-			assert.Equal(t, again, lead, "a seat moved although its VM stayed")
+		if leader != "n1" {
+			assert.Equal(t, again, leader, "a lessor moved although its VM stayed")
 		} else {
 			moved++
 		}
 	}
 	assert.Assert(t, moved > 0)
-	lead, deputy := Assign("lookup", "x", "south", live[2:3])
-	assert.Equal(t, lead, ident.VM("s1"))
+	leader, deputy := Assign("lookup", "x", "south", live[2:3])
+	assert.Equal(t, leader, ident.VM("s1"))
 	assert.Equal(t, deputy, ident.VM(""))
 }
 
@@ -189,17 +189,17 @@
 	assert.Equal(t, len(Spread(nil, tab, "a", nil)), 0)
 }
 
-// FuzzHandle feeds the decoder of seat messages anything at all: it takes
-// exactly one message for a seat that exists, and nothing else.
+// FuzzHandle feeds arbitrary bytes to the decoder of messages: a content field is
+// returned exactly if one was set, with the true sender.
 func FuzzHandle(f *testing.F) {
-	for _, l := range []letter{
-		{Svc: "lookup", Srv: "a", Beat: formOf(lessor.HeartbeatMsg{Epoch: 3})},
-		{Seat: seatName{"lookup", "a"}.sum(), Beat: &beatForm{Epoch: 3, Left: 1 << 62, Echo: -1 << 63}},
-		{Svc: "lookup", Srv: "a", Yield: &lessor.PrepareMsg{Below: 1 << 62}},
-		{Svc: "lookup", Srv: "a", Ask: &askForm{}, Yielded: &lessor.PromiseMsg{Below: 4}},
-		{Svc: "lookup", Edit: &commit.ForwardMsg{ID: 3, Edit: table.Edit{Server: "a", Epoch: 1}}},
-		{Svc: "lookup", Srv: "a", Did: &commit.ForwardedMsg{Done: true}, Beat: &beatForm{}},
-		{Svc: "none", Srv: "a", Yielded: &lessor.PromiseMsg{Below: 4}},
+	for _, l := range []message{
+		{Svc: "lookup", Srv: "a", Heartbeat: heartbeatToWire(lessor.HeartbeatMsg{Epoch: 3})},
+		{Hash: lessorID{"lookup", "a"}.hash(), Heartbeat: &heartbeatWire{Epoch: 3, Left: 1 << 62, Echo: -1 << 63}},
+		{Svc: "lookup", Srv: "a", Prepare: &lessor.PrepareMsg{Below: 1 << 62}},
+		{Svc: "lookup", Srv: "a", Clock: &clockWire{}, Promise: &lessor.PromiseMsg{Below: 4}},
+		{Svc: "lookup", Forward: &commit.ForwardMsg{ID: 3, Edit: table.Edit{Server: "a", Epoch: 1}}},
+		{Svc: "lookup", Srv: "a", Forwarded: &commit.ForwardedMsg{Done: true}, Heartbeat: &heartbeatWire{}},
+		{Svc: "none", Srv: "a", Promise: &lessor.PromiseMsg{Below: 4}},
 	} {
 		b, err := wire.Encode(l)
 		assert.NilError(f, err)
@@ -207,17 +207,17 @@
 	}
 	f.Add([]byte{0xff})
 	f.Fuzz(func(t *testing.T, b []byte) {
-		var l letter
+		var l message
 		if wire.Decode(b, &l) != nil {
 			return
 		}
-		msg, n := l.open("vm-9")
+		msg, n := l.unpack("vm-9")
 		assert.Equal(t, msg != nil, n > 0)
 		switch m := msg.(type) {
 		case lessor.HeartbeatMsg:
 			assert.Equal(t, m.From, ident.VM("vm-9"))
-			assert.Equal(t, m.Left > 0, l.Beat.Left > 0)
-			assert.Equal(t, m.Echo > 0, l.Beat.Echo > 0)
+			assert.Equal(t, m.Left > 0, l.Heartbeat.Left > 0)
+			assert.Equal(t, m.Echo > 0, l.Heartbeat.Echo > 0)
 		case lessor.ClockMsg:
 			assert.Equal(t, m.From, ident.VM("vm-9"))
 		case lessor.PrepareMsg:
--- a/internal/edge/leases/tables.go
+++ b/internal/edge/leases/tables.go
@@ -17,154 +17,157 @@
 	"hawthornfield.org/hawthornfield/internal/plat/object"
 )
 
-// Pauses between attempts at the store that failed.
+// Delays between attempts after a store call failed, doubled each time.
 const (
-	firstPause = 100 * time.Millisecond
-	lastPause  = 2 * time.Second
+	minRetryDelay = 100 * time.Millisecond
+	maxRetryDelay = 2 * time.Second
 )
 
-// book is what this VM knows of one service's table.
-type book struct {
+// tableState is what this VM knows of one service's table.
+type tableState struct {
 	svc    *state.Service
-	writer *loop.Loop // commit.go
+	writer *loop.Loop // see startWriter
 
 	mu  sync.Mutex
 	rev ident.Revision
 	ver object.Version
 }
 
-// newer notes a table and reports whether it is news.
-func (b *book) newer(rev ident.Revision, ver object.Version) bool {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if rev < b.rev || rev == b.rev && (ver == 0 || ver == b.ver) {
+// advance stores a table's revision and version and reports whether they are newer
+// than those stored before.
+func (t *tableState) advance(rev ident.Revision, ver object.Version) bool {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if rev < t.rev || rev == t.rev && (ver == 0 || ver == t.ver) {
 		return false
 	}
-	b.rev, b.ver = rev, ver
+	t.rev, t.ver = rev, ver
 	return true
 }
 
-// publish puts a table in place for the request path and tells the seats of its
-// service. A zero version means that a peer sent it.
-func (k *Manager) publish(svc ident.Service, tab table.Table, ver object.Version) {
-	b, ok := k.books[svc]
-	if !ok || !b.newer(tab.Rev, ver) {
+// publish makes a table available to the request path and passes it to the lessors
+// of its service. A zero version means that a peer sent it.
+func (mgr *Manager) publish(svc ident.Service, tab table.Table, ver object.Version) {
+	ts, ok := mgr.tables[svc]
+	if !ok || !ts.advance(tab.Rev, ver) {
 		return
 	}
-	b.svc.SetView(table.NewView(tab))
-	b.writer.Send(commit.TableMsg{Table: tab, Version: ver})
-	if told := k.told.Load(); told != nil && ver != 0 {
-		told.Newer(tab)
+	ts.svc.SetView(table.NewView(tab))
+	ts.writer.Send(commit.TableMsg{Table: tab, Version: ver})
+	if hooks := mgr.hooks.Load(); hooks != nil && ver != 0 {
+		hooks.Newer(tab)
 	}
-	for name, c := range k.seats {
+	for name, h := range mgr.lessors {
 		if name.svc == svc {
-			c.loop.Send(lessor.TableMsg{Table: tab, Version: ver})
+			h.loop.Send(lessor.TableMsg{Table: tab, Version: ver})
 		}
 	}
 }
 
-// TableHooks are told of tables that this VM wrote or read, for the other VMs.
+// TableHooks are called with tables that this VM wrote or read, for the other VMs.
 type TableHooks struct {
-	// Newer takes each newer one.
+	// Newer is called with each newer table.
 	Newer func(table.Table)
-	// Moved names the VMs that wait for a revision of a service's: they hold
-	// the seats of the servers that were given keys, which nobody serves until
-	// they hear of it.
+	// Moved is called with the VMs that need a revision of a service's table
+	// first: they hold the lessors of the servers that were given keys, and no
+	// server serves these keys until the lessors know the revision.
 	Moved func(svc ident.Service, rev ident.Revision, to []ident.VM)
-	// Standby takes the hints of this VM's own seats.
+	// Standby is called with the standby hints of this VM's own lessors.
 	Standby func(Standby)
 }
 
-// OnTable says who is told.
-func (k *Manager) OnTable(t TableHooks) { k.told.Store(&t) }
+// OnTable sets the hooks.
+func (mgr *Manager) OnTable(hooks TableHooks) { mgr.hooks.Store(&hooks) }
 
-// tellNext lets the holders of the next owners' seats hear of a move at once.
-func (k *Manager) tellNext(svc ident.Service, rev ident.Revision, moves []table.Move) {
-	told := k.told.Load()
-	if told == nil {
+// notifyLeaders tells the VMs that hold the new owners' lessors of a move at once.
+func (mgr *Manager) notifyLeaders(svc ident.Service, rev ident.Revision, moves []table.Move) {
+	hooks := mgr.hooks.Load()
+	if hooks == nil {
 		return
 	}
 	var to []ident.VM
 	for _, m := range moves {
-		if vm := k.Pair(svc, m.To).Leader; vm != "" && vm != k.VM && !slices.Contains(to, vm) {
+		if vm := mgr.Pair(svc, m.To).Leader; vm != "" && vm != mgr.VM && !slices.Contains(to, vm) {
 			to = append(to, vm)
 		}
 	}
 	if len(to) > 0 {
-		told.Moved(svc, rev, to)
+		hooks.Moved(svc, rev, to)
 	}
 }
 
-// Table takes a table that a watch or a peer brought; the version is that of
-// its object, zero when a peer sent it.
-func (k *Manager) Table(tab table.Table, ver object.Version) { k.publish(tab.Service, tab, ver) }
+// Table takes a table from a watch or a peer; ver is the version of its object,
+// zero when a peer sent it.
+func (mgr *Manager) Table(tab table.Table, ver object.Version) { mgr.publish(tab.Service, tab, ver) }
 
-// seen takes a table that was read from the store.
-func (k *Manager) seen(o object.Object) (table.Table, error) {
+// publishRead decodes and publishes a table that was read from the store.
+func (mgr *Manager) publishRead(o object.Object) (table.Table, error) {
 	tab, err := table.Decode(o.Value)
 	if err != nil {
 		return tab, err
 	}
-	k.publish(tab.Service, tab, o.Version)
+	mgr.publish(tab.Service, tab, o.Version)
 	return tab, nil
 }
 
-// bootstrap makes sure that the service has a table, and that every server of
-// the settings has a row in it.
-func (k *Manager) bootstrap(ctx context.Context, svc ident.Service, b *book) error {
-	for pause := firstPause; ctx.Err() == nil; pause = min(2*pause, lastPause) {
-		done, err := k.complete(ctx, svc, b)
+// bootstrap makes sure that the service has a table with a row for every server of
+// the settings.
+func (mgr *Manager) bootstrap(ctx context.Context, svc ident.Service, ts *tableState) error {
+	for pause := minRetryDelay; ctx.Err() == nil; pause = min(2*pause, maxRetryDelay) {
+		done, err := mgr.completeTable(ctx, svc, ts)
 		if done {
 			return nil
 		}
 		if err != nil && kinds.Of(err) != kinds.Conflict {
-			k.Log.Debug("bootstrap of a table", "service", svc, "err", err)
+			mgr.Log.Debug("cannot bootstrap ownership table", "service", svc, "err", err)
 		}
 		group.Sleep(ctx, pause)
 	}
 	return nil
 }
 
-func (k *Manager) complete(ctx context.Context, svc ident.Service, b *book) (bool, error) {
-	ctx, cancel := context.WithTimeout(ctx, 10*k.Times.StoreTimeout)
+// completeTable makes one attempt at bootstrap and reports whether the table is
+// complete.
+func (mgr *Manager) completeTable(ctx context.Context, svc ident.Service, ts *tableState) (bool, error) {
+	ctx, cancel := context.WithTimeout(ctx, 10*mgr.Times.StoreTimeout)
 	defer cancel()
-	o, err := k.Store.Get(ctx, tableObject(svc))
+	o, err := mgr.Store.Get(ctx, tableObject(svc))
 	if kinds.Of(err) == kinds.NotFound {
-		tab, err := FirstTable(b.svc)
+		tab, err := FirstTable(ts.svc)
 		if err != nil {
 			return false, err
 		}
-		return k.offer(ctx, svc, tab, 0)
+		return mgr.putTable(ctx, svc, tab, 0)
 	}
 	if err != nil {
 		return false, err
 	}
-	tab, err := k.seen(o)
+	tab, err := mgr.publishRead(o)
 	if err != nil {
 		return false, err
 	}
-	next, changed := join(tab, b.svc)
+	next, changed := addServers(tab, ts.svc)
 	if !changed {
 		return true, nil
 	}
-	return k.offer(ctx, svc, next, o.Version)
+	return mgr.putTable(ctx, svc, next, o.Version)
 }
 
-func (k *Manager) offer(ctx context.Context, svc ident.Service, tab table.Table, old object.Version) (bool, error) {
+func (mgr *Manager) putTable(ctx context.Context, svc ident.Service, tab table.Table, old object.Version) (bool, error) {
 	raw, err := tab.Encode()
 	if err != nil {
 		return false, err
 	}
-	v, err := k.Store.Put(ctx, tableObject(svc), raw, old)
+	v, err := mgr.Store.Put(ctx, tableObject(svc), raw, old)
 	if err != nil {
 		return false, err
 	}
-	k.publish(svc, tab, v)
+	mgr.publish(svc, tab, v)
 	return true, nil
 }
 
-// FirstTable is a service's first table: equal shares, in turn, so that
-// neighbouring slices lie on different servers.
+// FirstTable returns a service's first table: the slices are given to the servers in
+// turn, so that shares are equal and neighbouring slices are on different servers.
 func FirstTable(svc *state.Service) (table.Table, error) {
 	names := make([]ident.Server, len(svc.Servers))
 	for i, s := range svc.Servers {
@@ -181,8 +184,8 @@
 	return tab.WithAssigned(moves...)
 }
 
-// join adds the servers of the settings that the table does not know.
-func join(tab table.Table, svc *state.Service) (table.Table, bool) {
+// addServers adds the servers of the settings that the table does not contain.
+func addServers(tab table.Table, svc *state.Service) (table.Table, bool) {
 	changed := false
 	for _, s := range svc.Servers {
 		if _, known := tab.Row(s.Name); known {
