--- a/internal/edge/daemon/wire.go
+++ b/internal/edge/daemon/wire.go
@@ -208,7 +208,7 @@
 func newNews(lc fx.Lifecycle, cfg config.Config, a hands, k *leases.Manager) *syncer.Syncer {
 	n := syncer.New(syncer.Options{
 		Self:  gossip.Peer{VM: cfg.VM, Centre: cfg.Centre},
-		Store: a.Store, Book: &a.State.Rules, Peers: mail{a.Peers, link.Gossip}, Tables: k.Table, Standbys: k.ApplyStandby,
+		Store: a.Store, Rules: &a.State.Rules, Peers: mail{a.Peers, link.Gossip}, Tables: k.Table, Standbys: k.ApplyStandby,
 		Loads:   func(rows []gossip.LoadRow) { weigh(a.State, rows) },
 		Confirm: mail{a.Peers, link.Rules},
 		Timeout: cfg.Platform.Timeout.Duration, Log: a.Log,
--- a/internal/edge/syncer/store.go
+++ b/internal/edge/syncer/store.go
@@ -14,173 +14,173 @@
 	"hawthornfield.org/hawthornfield/internal/rules/revs"
 )
 
-// Pauses of following the store.
+// Periods of calls to the store.
 const (
-	look       = 500 * time.Millisecond // between reads that prove that it answers
-	firstPause = 100 * time.Millisecond // after a failed call
-	lastPause  = 2 * time.Second
+	probePeriod   = 500 * time.Millisecond // between reads that check whether it answers
+	minRetryDelay = 100 * time.Millisecond // after a failed call, doubled each time
+	maxRetryDelay = 2 * time.Second
 )
 
-// probes proves, on a VM that watches, that the store answers: a watch that
-// waits in silence proves nothing.
-func (n *Syncer) probes(ctx context.Context) error {
+// probeLoop checks, on a VM that watches, that the store answers: a pending watch
+// shows nothing about that.
+func (s *Syncer) probeLoop(ctx context.Context) error {
 	for ctx.Err() == nil {
-		if n.watching.Load() {
-			n.probe(ctx)
+		if s.watching.Load() {
+			s.probe(ctx)
 		}
-		group.Sleep(ctx, look)
+		group.Sleep(ctx, probePeriod)
 	}
 	return nil
 }
 
-func (n *Syncer) probe(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, n.Timeout)
+func (s *Syncer) probe(ctx context.Context) {
+	ctx, cancel := context.WithTimeout(ctx, s.Timeout)
 	defer cancel()
-	asked := time.Now() // the answer says nothing of what came after
-	o, err := n.Store.Get(ctx, revs.Current)
+	asked := time.Now() // the answer says nothing about what happened later
+	o, err := s.Store.Get(ctx, revs.Current)
 	switch kinds.Of(err) {
 	case kinds.None:
-		n.onRules(o)
-		n.gossip.Send(gossip.StoreMsg{Asked: asked})
+		s.onRules(o)
+		s.gossip.Send(gossip.StoreMsg{Asked: asked})
 	case kinds.NotFound:
-		n.gossip.Send(gossip.StoreMsg{Asked: asked})
+		s.gossip.Send(gossip.StoreMsg{Asked: asked})
 	}
 }
 
-// onRules takes the rules as read from the store. The same version is handed on
-// once: most reads only prove that the store answers.
-func (n *Syncer) onRules(o object.Object) {
-	if o.Name != revs.Current || n.seen.Swap(uint64(o.Version)) == uint64(o.Version) {
+// onRules takes the rules as read from the store. Each version is passed on once:
+// most reads only check that the store answers.
+func (s *Syncer) onRules(o object.Object) {
+	if o.Name != revs.Current || s.rulesVersion.Swap(uint64(o.Version)) == uint64(o.Version) {
 		return
 	}
-	n.rules.Send(revs.LoadedMsg{Raw: o.Value})
+	s.rules.Send(revs.LoadedMsg{Raw: o.Value})
 	rec, err := revs.Decode(o.Value)
 	if err != nil {
-		return // rules/force reports it
+		return // rules/revs reports the error
 	}
-	n.gossip.Send(gossip.ValueMsg{Name: o.Name, Rev: rec.Rev, Raw: o.Value})
+	s.gossip.Send(gossip.ValueMsg{Name: o.Name, Rev: rec.Rev, Raw: o.Value})
 }
 
-func (n *Syncer) onTable(o object.Object) {
-	tab, err := decode(o.Name, o.Value)
+func (s *Syncer) onTable(o object.Object) {
+	tab, err := decodeTable(o.Name, o.Value)
 	if err != nil {
-		n.Log.Error("ownership table", "name", o.Name, "err", err)
+		s.Log.Error("cannot decode ownership table", "name", o.Name, "err", err)
 		return
 	}
-	n.tables(tab, o.Version)
-	n.gossip.Send(gossip.ValueMsg{Name: o.Name, Rev: tab.Rev, Raw: o.Value})
+	s.passTable(tab, o.Version)
+	s.gossip.Send(gossip.ValueMsg{Name: o.Name, Rev: tab.Rev, Raw: o.Value})
 }
 
-// PublishTable passes on a table that this VM wrote itself, or read.
-func (n *Syncer) PublishTable(tab table.Table) {
+// PublishTable passes on a table that this VM wrote or read.
+func (s *Syncer) PublishTable(tab table.Table) {
 	raw, err := tab.Encode()
 	if err != nil {
-		n.Log.Error("ownership table", "service", tab.Service, "err", err)
+		s.Log.Error("cannot encode ownership table", "service", tab.Service, "err", err)
 		return
 	}
-	n.gossip.Send(gossip.ValueMsg{Name: tablePrefix + string(tab.Service), Rev: tab.Rev, Raw: raw})
+	s.gossip.Send(gossip.ValueMsg{Name: tablePrefix + string(tab.Service), Rev: tab.Rev, Raw: raw})
 }
 
-// Notify lets VMs hear of a revision of a table as soon as this VM holds it. The
-// others hear of it by the trees.
-func (n *Syncer) Notify(svc ident.Service, rev ident.Revision, to []ident.VM) {
-	n.gossip.Send(gossip.NotifyMsg{Name: tablePrefix + string(svc), Rev: rev, To: to})
+// Notify tells VMs directly about a revision of a table as soon as this VM holds it.
+// All others learn of it through the gossip trees.
+func (s *Syncer) Notify(svc ident.Service, rev ident.Revision, to []ident.VM) {
+	s.gossip.Send(gossip.NotifyMsg{Name: tablePrefix + string(svc), Rev: rev, To: to})
 }
 
-// decode reads a table and checks that it stands under its own name: a table in
-// another's place would send a service's requests to another's servers.
-func decode(name string, raw []byte) (table.Table, error) {
+// decodeTable decodes a table and checks that it carries its own name: a table under
+// another service's name would send that service's requests to the wrong servers.
+func decodeTable(name string, raw []byte) (table.Table, error) {
 	tab, err := table.Decode(raw)
 	if err == nil && tablePrefix+string(tab.Service) != name {
-		err = kinds.New(kinds.Malformed, "a table of "+string(tab.Service)+" under the name "+name)
+		err = kinds.New(kinds.Malformed, "table of "+string(tab.Service)+" under the name "+name)
 	}
 	return tab, err
 }
 
-// follower watches the store while it is switched on.
-type follower struct {
-	n *Syncer
+// storeWatcher watches the store while it is switched on.
+type storeWatcher struct {
+	syncer *Syncer
 
-	mu   sync.Mutex
-	on   *group.Group
-	shut bool
+	mu      sync.Mutex
+	running *group.Group
+	closed  bool
 }
 
-// set switches watching on or off. It does not wait.
-func (f *follower) set(on bool) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	if f.shut || on == (f.on != nil) {
+// set switches watching on or off, without blocking.
+func (w *storeWatcher) set(on bool) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	if w.closed || on == (w.running != nil) {
 		return
 	}
 	if !on {
-		old := f.on
-		f.on = nil
-		f.n.effect.Go(func(context.Context) error { return old.Close() })
+		old := w.running
+		w.running = nil
+		w.syncer.effects.Go(func(context.Context) error { return old.Close() })
 		return
 	}
-	f.on = &group.Group{}
-	f.on.Go(func(ctx context.Context) error { return f.n.watch(ctx, revs.Current, f.n.onRules) })
-	f.on.Go(func(ctx context.Context) error { return f.n.watch(ctx, tablePrefix, f.n.onTable) })
+	w.running = &group.Group{}
+	w.running.Go(func(ctx context.Context) error { return w.syncer.watch(ctx, revs.Current, w.syncer.onRules) })
+	w.running.Go(func(ctx context.Context) error { return w.syncer.watch(ctx, tablePrefix, w.syncer.onTable) })
 }
 
 // Close switches watching off for good and waits.
-func (f *follower) Close() error {
-	f.mu.Lock()
-	old := f.on
-	f.on, f.shut = nil, true
-	f.mu.Unlock()
+func (w *storeWatcher) Close() error {
+	w.mu.Lock()
+	old := w.running
+	w.running, w.closed = nil, true
+	w.mu.Unlock()
 	if old == nil {
 		return nil
 	}
 	return old.Close()
 }
 
-// watch follows the objects under a prefix through outages of the store.
-func (n *Syncer) watch(ctx context.Context, prefix string, news func(object.Object)) error {
+// watch follows the objects under a prefix, through outages of the store.
+func (s *Syncer) watch(ctx context.Context, prefix string, handle func(object.Object)) error {
 	var at object.Cursor
-	listed, pause := false, firstPause
+	listed, pause := false, minRetryDelay
 	for ctx.Err() == nil {
 		var err error
 		if listed {
-			at, err = n.follow(ctx, prefix, at, news)
+			at, err = s.awaitChanges(ctx, prefix, at, handle)
 		} else {
-			at, err = n.list(ctx, prefix, news)
+			at, err = s.list(ctx, prefix, handle)
 		}
 		switch {
 		case err == nil:
-			listed, pause = true, firstPause
+			listed, pause = true, minRetryDelay
 			continue
 		case kinds.Of(err) == kinds.NotFound:
 			listed = false // the cursor is too old
 		}
 		group.Sleep(ctx, pause)
-		pause = min(2*pause, lastPause)
+		pause = min(2*pause, maxRetryDelay)
 	}
 	return nil
 }
 
-func (n *Syncer) list(ctx context.Context, prefix string, news func(object.Object)) (object.Cursor, error) {
-	ctx, cancel := context.WithTimeout(ctx, n.Timeout)
+func (s *Syncer) list(ctx context.Context, prefix string, handle func(object.Object)) (object.Cursor, error) {
+	ctx, cancel := context.WithTimeout(ctx, s.Timeout)
 	defer cancel()
-	all, at, err := n.Store.List(ctx, prefix)
+	all, at, err := s.Store.List(ctx, prefix)
 	if err != nil {
 		return 0, err
 	}
 	for _, o := range all {
-		news(o)
+		handle(o)
 	}
 	return at, nil
 }
 
-func (n *Syncer) follow(ctx context.Context, prefix string, at object.Cursor, news func(object.Object)) (object.Cursor, error) {
-	changes, next, err := n.Store.Watch(ctx, prefix, at)
+func (s *Syncer) awaitChanges(ctx context.Context, prefix string, at object.Cursor, handle func(object.Object)) (object.Cursor, error) {
+	changes, next, err := s.Store.Watch(ctx, prefix, at)
 	if err != nil {
 		return at, err
 	}
 	for _, c := range changes {
 		if c.Version != 0 {
-			news(c.Object)
+			handle(c.Object)
 		}
 	}
 	return next, nil
