--- a/internal/edge/monit/servers.go
+++ b/internal/edge/monit/servers.go
@@ -16,38 +16,38 @@
 	"hawthornfield.org/hawthornfield/internal/plat/vmlist"
 )
 
-// home is a backend server and its service.
-type home struct {
+// serverEntry is a backend server and its service.
+type serverEntry struct {
 	svc *state.Service
 	srv config.Server
 }
 
-// serverState is what is known of a backend server.
+// serverState is what is known about a backend server.
 type serverState struct {
-	is   chart.State
-	cold bool
+	state chart.State
+	cold  bool
 }
 
-// out reports whether the server gets no new work. One that is joining does: a
-// VM that has just started knows every server as joining, and one that comes
-// back after a freeze is given its load in steps by the gate.
-func (s serverState) out() bool {
-	return s.is == detect.Draining || s.is == detect.Frozen || s.is == detect.Gone
+// excluded reports whether the server gets no new work. A joining server does get
+// work: a VM that has just started considers every server as joining, and the gate
+// increases the load of a server that recovers from a freeze in steps.
+func (s serverState) excluded() bool {
+	return s.state == detect.Draining || s.state == detect.Frozen || s.state == detect.Gone
 }
 
-// serverRows lists the backend servers of the settings. The platform's list
-// counts for those that it shows under the same name.
-func (w *Monitor) serverRows(list []vmlist.VM) []detect.Listed[ident.Server] {
-	said := map[ident.Server]vmlist.State{}
+// listServers lists the backend servers of the settings, with the state that the
+// platform's list gives to those that it shows under the same name.
+func (m *Monitor) listServers(list []vmlist.VM) []detect.Listed[ident.Server] {
+	listed := map[ident.Server]vmlist.State{}
 	for _, vm := range list {
-		said[ident.Server(vm.ID)] = vm.State
+		listed[ident.Server(vm.ID)] = vm.State
 	}
-	rows := make([]detect.Listed[ident.Server], 0, len(w.homes))
-	for name, h := range w.homes {
+	rows := make([]detect.Listed[ident.Server], 0, len(m.entries))
+	for name, e := range m.entries {
 		row := detect.Listed[ident.Server]{
-			ID: name, Group: h.svc.Name, Centre: h.srv.Centre, Addr: h.srv.Control, State: vmlist.Live,
+			ID: name, Group: e.svc.Name, Centre: e.srv.Centre, Addr: e.srv.Control, State: vmlist.Live,
 		}
-		if s, ok := said[name]; ok {
+		if s, ok := listed[name]; ok {
 			row.State = s
 		}
 		rows = append(rows, row)
@@ -55,129 +55,130 @@
 	return rows
 }
 
-// runServers carries out what the roster of backend servers asks for.
-func (w *Monitor) runServers(_ context.Context, cmd loop.Cmd, send func(loop.Msg)) {
+// runServers carries out the commands of the roster of backend servers.
+func (m *Monitor) runServers(_ context.Context, cmd loop.Cmd, send func(loop.Msg)) {
 	switch cmd := cmd.(type) {
 	case detect.ProbeCmd[ident.Server]:
-		w.effect.Go(func(ctx context.Context) error {
-			send(w.probe(ctx, cmd.ID))
+		m.effects.Go(func(ctx context.Context) error {
+			send(m.probe(ctx, cmd.ID))
 			return nil
 		})
 	case detect.ViewCmd[ident.Server]:
-		w.say(func(s *holds) { s.servers, s.odd = cmd.Frozen, cmd.Suspect })
+		m.changeView(func(v *ownView) { v.frozenServers, v.suspectServers = cmd.Frozen, cmd.Suspect })
 	case detect.ChangeCmd[ident.Server]:
-		w.Log.Info("backend server", "id", cmd.ID, "from", cmd.From, "to", cmd.To, "why", cmd.Reason)
-		w.effect.Go(func(context.Context) error {
-			w.serverChanged(cmd.ID, cmd.To)
+		m.Log.Info("backend server changed state", "id", cmd.ID, "from", cmd.From, "to", cmd.To, "why", cmd.Reason)
+		m.effects.Go(func(context.Context) error {
+			m.onServerChange(cmd.ID, cmd.To)
 			return nil
 		})
 	}
 }
 
-// probe asks a server for its own word.
-func (w *Monitor) probe(ctx context.Context, id ident.Server) loop.Msg {
-	ctx, cancel := context.WithTimeout(ctx, probeWait)
+// probe asks a server for its status.
+func (m *Monitor) probe(ctx context.Context, id ident.Server) loop.Msg {
+	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
 	asked := time.Now()
-	word, err := w.Control.Status(ctx, w.homes[id].srv.Control)
+	status, err := m.Control.Status(ctx, m.entries[id].srv.Control)
 	if err != nil {
 		return detect.ProbeMsg[ident.Server]{ID: id, Failed: true}
 	}
-	w.noteWord(id, word, time.Since(asked))
-	return detect.ProbeMsg[ident.Server]{ID: id, Health: word.Health}
+	m.onStatus(id, status, time.Since(asked))
+	return detect.ProbeMsg[ident.Server]{ID: id, Health: status.Health}
 }
 
-// noteWord tells gates and peers of a server's own word, which was at most took
-// on its way.
-func (w *Monitor) noteWord(id ident.Server, word server.Status, took time.Duration) {
-	w.warmth(id, word.Health)
-	age := word.Age + took
-	w.homes[id].svc.Gate.Report(id, word.Busy+word.Queue, age)
-	w.mu.Lock()
-	w.rows[id] = gossip.LoadRow{Server: id, Slots: word.Slots, Busy: word.Busy, Queue: word.Queue, Age: age}
-	w.mu.Unlock()
+// onStatus passes a server's status to the gate and keeps it for the peers. The answer
+// took at most the duration took to arrive, which adds to the age of the status.
+func (m *Monitor) onStatus(id ident.Server, status server.Status, took time.Duration) {
+	m.setCold(id, status.Health)
+	age := status.Age + took
+	m.entries[id].svc.Gate.Report(id, status.Busy+status.Queue, age)
+	m.mu.Lock()
+	m.loads[id] = gossip.LoadRow{Server: id, Slots: status.Slots, Busy: status.Busy, Queue: status.Queue, Age: age}
+	m.mu.Unlock()
 }
 
-// warmth notes a server's word on being cold, which is no state of the roster.
-func (w *Monitor) warmth(id ident.Server, h server.Health) {
-	w.mu.Lock()
-	s := w.is[id]
+// setCold notes whether a server reports itself cold, which the roster does not track.
+func (m *Monitor) setCold(id ident.Server, h server.Health) {
+	m.mu.Lock()
+	s := m.states[id]
 	changed := s.cold != h.Cold
 	s.cold = h.Cold
-	w.is[id] = s
-	w.mu.Unlock()
+	m.states[id] = s
+	m.mu.Unlock()
 	if changed {
-		w.tellGate(w.homes[id].svc)
+		m.updateGate(m.entries[id].svc)
 	}
 }
 
-func (w *Monitor) serverChanged(id ident.Server, to chart.State) {
-	h := w.homes[id]
-	w.mu.Lock()
-	s := w.is[id]
-	was := s.is
-	s.is = to
-	w.is[id] = s
-	w.mu.Unlock()
-	w.Leases.SetAlive(id, !s.out())
-	h.svc.SetUnresponsive(id, to == detect.Frozen || to == detect.Gone)
+// onServerChange passes a server's new state to the lessors and the gate.
+func (m *Monitor) onServerChange(id ident.Server, to chart.State) {
+	e := m.entries[id]
+	m.mu.Lock()
+	s := m.states[id]
+	was := s.state
+	s.state = to
+	m.states[id] = s
+	m.mu.Unlock()
+	m.Leases.SetAlive(id, !s.excluded())
+	e.svc.SetUnresponsive(id, to == detect.Frozen || to == detect.Gone)
 	if (to == detect.Draining) != (was == detect.Draining) {
-		w.Leases.Drain(h.svc.Name, id, to == detect.Draining)
+		m.Leases.Drain(e.svc.Name, id, to == detect.Draining)
 	}
 	if to == detect.Gone {
-		w.Leases.ServerGone(h.svc.Name, id)
+		m.Leases.ServerGone(e.svc.Name, id)
 	}
-	w.tellGate(h.svc)
+	m.updateGate(e.svc)
 }
 
-// tellGate describes a service's servers to its gate. A server of a service
-// divided by key that is going out still serves its keys until they have moved.
-func (w *Monitor) tellGate(svc *state.Service) {
-	w.mu.Lock()
+// updateGate describes a service's servers to its gate. An excluded server of a
+// divided service still serves its keys until they have moved.
+func (m *Monitor) updateGate(svc *state.Service) {
+	m.mu.Lock()
 	all := make([]gate.ServerInfo, len(svc.Servers))
 	for i, srv := range svc.Servers {
-		s := w.is[srv.Name]
+		s := m.states[srv.Name]
 		all[i] = gate.ServerInfo{
 			Name: srv.Name, Centre: srv.Centre, Slots: srv.Slots, Conns: srv.Conns,
-			Cold: s.cold, Drain: s.out() && !svc.Divided(),
+			Cold: s.cold, Drain: s.excluded() && !svc.Divided(),
 		}
 	}
-	w.mu.Unlock()
+	m.mu.Unlock()
 	svc.Gate.SetServers(all)
 }
 
-// tellCalls passes on what callers received from each server since the last
-// time.
-func (w *Monitor) tellCalls(context.Context) {
-	for name, h := range w.homes {
-		if good, bad := h.svc.TakeAttempts(name); good+bad > 0 {
-			w.servers.Send(detect.CallsMsg[ident.Server]{ID: name, Succeeded: good, Failed: bad})
+// reportCalls passes to the roster how many of callers' requests each server answered
+// and failed since the last time.
+func (m *Monitor) reportCalls(context.Context) {
+	for name, e := range m.entries {
+		if succeeded, failed := e.svc.TakeAttempts(name); succeeded+failed > 0 {
+			m.servers.Send(detect.CallsMsg[ident.Server]{ID: name, Succeeded: succeeded, Failed: failed})
 		}
 	}
 }
 
-// Answered notes that a server answered an order, and its own word if the answer
-// had one, which is as good as a probe's.
-func (w *Monitor) Answered(id ident.Server, word *server.Status, took time.Duration) {
-	if w.servers == nil {
+// Answered notes that a server answered an order. A status in the answer is as good as
+// that of a probe.
+func (m *Monitor) Answered(id ident.Server, status *server.Status, took time.Duration) {
+	if m.servers == nil {
 		return
 	}
-	if word == nil {
-		w.servers.Send(detect.HeartbeatMsg[ident.Server]{ID: id})
+	if status == nil {
+		m.servers.Send(detect.HeartbeatMsg[ident.Server]{ID: id})
 		return
 	}
-	w.noteWord(id, *word, took)
-	w.servers.Send(detect.HealthMsg[ident.Server]{ID: id, Health: word.Health})
+	m.onStatus(id, *status, took)
+	m.servers.Send(detect.HealthMsg[ident.Server]{ID: id, Health: status.Health})
 }
 
-// tellLoads passes on to peers what this VM read of the servers that it probes.
-func (w *Monitor) tellLoads(context.Context) {
+// publishLoads sends peers the loads that this VM read since the last time.
+func (m *Monitor) publishLoads(context.Context) {
 	var rows []gossip.LoadRow
-	w.mu.Lock()
-	for name, r := range w.rows {
+	m.mu.Lock()
+	for name, r := range m.loads {
 		rows = append(rows, r)
-		delete(w.rows, name)
+		delete(m.loads, name)
 	}
-	w.mu.Unlock()
-	w.Syncer.Report(rows)
+	m.mu.Unlock()
+	m.Syncer.Report(rows)
 }
--- a/internal/edge/monit/views_test.go
+++ b/internal/edge/monit/views_test.go
@@ -10,20 +10,20 @@
 	"hawthornfield.org/hawthornfield/internal/plat/vmlist"
 )
 
-// A VM and a backend server bear one name. What is said of the one must not be
-// counted against the other, or a frozen server would take a seat's holder down.
+// A VM and a backend server have the same name. Views about one must not count against
+// the other, or a frozen server would take the authority from a lessor's holder.
 func TestAVMAndAServerOfOneNameAreKeptApart(t *testing.T) {
-	var k known
-	k.addServer("twin")
-	k.addServer("other")
-	k.setVMs([]vmlist.VM{{ID: "twin"}, {ID: "vm-2"}})
-	odd := members(serverSort, []ident.Server{"twin"})
-	bad := members(vmSort, []ident.VM{"twin"})
+	var ids memberIDs
+	ids.addServer("twin")
+	ids.addServer("other")
+	ids.setVMs([]vmlist.VM{{ID: "twin"}, {ID: "vm-2"}})
+	odd := members(serverKind, []ident.Server{"twin"})
+	bad := members(vmKind, []ident.VM{"twin"})
 	cmd := gossip.ViewsCmd{
-		Views:   []gossip.PeerView{{From: "vm-2", Frozen: append(bad, gossip.MemberOf(serverSort, "unknown"))}},
+		Views:   []gossip.PeerView{{From: "vm-2", Frozen: append(bad, gossip.MemberOf(serverKind, "unknown"))}},
 		Suspect: odd,
 	}
-	vms, servers := viewsOf(k.vms, cmd), viewsOf(k.servers, cmd)
+	vms, servers := viewsOf(ids.vms, cmd), viewsOf(ids.servers, cmd)
 	assert.DeepEqual(t, vms.Views[0].Frozen, []ident.VM{"twin"})
 	assert.Equal(t, len(vms.Suspect), 0)
 	assert.DeepEqual(t, servers.Suspect, []ident.Server{"twin"})
--- a/internal/edge/monit/vms.go
+++ b/internal/edge/monit/vms.go
@@ -13,107 +13,108 @@
 	"hawthornfield.org/hawthornfield/internal/plat/server"
 )
 
-// note is what wardens send each other: a ping or its answer.
-type note struct {
+// pingMsg is what monitors of entry VMs send each other: a ping or its answer.
+type pingMsg struct {
 	Ping bool `cbor:"1,keyasint,omitempty"`
 	Pong bool `cbor:"2,keyasint,omitempty"`
 }
 
-// Heard notes that a peer was heard, by whatever it sent.
-func (w *Monitor) Heard(from ident.VM) {
-	w.mu.Lock()
-	w.heard[from] = time.Now()
-	w.mu.Unlock()
-	w.vms.Send(detect.HeartbeatMsg[ident.VM]{ID: from})
+// Heard notes that any message arrived from a peer.
+func (m *Monitor) Heard(from ident.VM) {
+	m.mu.Lock()
+	m.lastHeard[from] = time.Now()
+	m.mu.Unlock()
+	m.vms.Send(detect.HeartbeatMsg[ident.VM]{ID: from})
 }
 
-// Handle takes a note of a peer, whom its certificate names.
-func (w *Monitor) Handle(from ident.VM, body []byte) error {
-	n, err := open(body)
+// Handle takes a ping or its answer from a peer. The caller passes as sender the VM
+// that the peer's certificate names.
+func (m *Monitor) Handle(from ident.VM, body []byte) error {
+	msg, err := decodePing(body)
 	if err != nil {
 		return err
 	}
-	if n.Ping {
-		w.cast(from, note{Pong: true})
+	if msg.Ping {
+		m.cast(from, pingMsg{Pong: true})
 	}
 	return nil
 }
 
-// open decodes a note. It fails with kind Malformed unless the note is either a
-// ping or an answer.
-func open(body []byte) (note, error) {
-	var n note
-	if err := wire.Decode(body, &n); err != nil {
-		return note{}, err
+// decodePing decodes a ping or an answer. It fails with kind Malformed unless the
+// message is exactly one of them.
+func decodePing(body []byte) (pingMsg, error) {
+	var msg pingMsg
+	if err := wire.Decode(body, &msg); err != nil {
+		return pingMsg{}, err
 	}
-	if n.Ping == n.Pong {
-		return note{}, kinds.New(kinds.Malformed, "a note without sense")
+	if msg.Ping == msg.Pong {
+		return pingMsg{}, kinds.New(kinds.Malformed, "message is not exactly one of ping and answer")
 	}
-	return n, nil
+	return msg, nil
 }
 
-func (w *Monitor) cast(to ident.VM, n note) {
-	b, err := wire.Encode(n)
+func (m *Monitor) cast(to ident.VM, msg pingMsg) {
+	b, err := wire.Encode(msg)
 	if err != nil {
-		w.Log.Error("note to a peer", "err", err)
+		m.Log.Error("cannot encode ping", "err", err)
 		return
 	}
-	w.Peers.Cast(to, b)
+	m.Peers.Cast(to, b)
 }
 
-// runVMs carries out what the roster of entry VMs asks for.
-func (w *Monitor) runVMs(_ context.Context, cmd loop.Cmd, _ func(loop.Msg)) {
+// runVMs carries out the commands of the roster of entry VMs.
+func (m *Monitor) runVMs(_ context.Context, cmd loop.Cmd, _ func(loop.Msg)) {
 	switch cmd := cmd.(type) {
 	case detect.ProbeCmd[ident.VM]:
-		w.ping(cmd.ID)
+		m.ping(cmd.ID)
 	case detect.ViewCmd[ident.VM]:
-		w.say(func(s *holds) { s.vms = cmd.Frozen })
+		m.changeView(func(v *ownView) { v.frozenVMs = cmd.Frozen })
 	case detect.ChangeCmd[ident.VM]:
-		w.Log.Info("entry VM", "id", cmd.ID, "from", cmd.From, "to", cmd.To, "why", cmd.Reason)
-		w.vmChanged(cmd)
+		m.Log.Info("entry VM changed state", "id", cmd.ID, "from", cmd.From, "to", cmd.To, "why", cmd.Reason)
+		m.onVMChange(cmd)
 	}
 }
 
-// ping asks a VM for a sign of life. An answer, like anything else that is heard
-// from it meanwhile, is one; silence is a witness of a freeze.
-func (w *Monitor) ping(id ident.VM) {
+// ping sends a VM a ping. Any message from it within probeTimeout counts as an answer;
+// silence is reported to the roster as evidence of a freeze.
+func (m *Monitor) ping(id ident.VM) {
 	asked := time.Now()
-	w.cast(id, note{Ping: true})
-	w.effect.Go(func(ctx context.Context) error {
-		group.Sleep(ctx, probeWait)
-		w.mu.Lock()
-		quiet := w.heard[id].Before(asked)
-		w.mu.Unlock()
-		w.vms.Send(detect.ProbeMsg[ident.VM]{ID: id, Failed: quiet, Health: server.Health{Ready: !quiet}})
+	m.cast(id, pingMsg{Ping: true})
+	m.effects.Go(func(ctx context.Context) error {
+		group.Sleep(ctx, probeTimeout)
+		m.mu.Lock()
+		quiet := m.lastHeard[id].Before(asked)
+		m.mu.Unlock()
+		m.vms.Send(detect.ProbeMsg[ident.VM]{ID: id, Failed: quiet, Health: server.Health{Ready: !quiet}})
 		return nil
 	})
 }
 
-func (w *Monitor) vmChanged(cmd detect.ChangeCmd[ident.VM]) {
-	w.mu.Lock()
+func (m *Monitor) onVMChange(cmd detect.ChangeCmd[ident.VM]) {
+	m.mu.Lock()
 	if cmd.To == detect.Frozen {
-		w.frozen[cmd.ID] = true
+		m.frozen[cmd.ID] = true
 	} else {
-		delete(w.frozen, cmd.ID)
+		delete(m.frozen, cmd.ID)
 	}
-	w.mu.Unlock()
-	w.effect.Go(func(ctx context.Context) error {
-		w.changed()
-		w.tellSuspects(ctx)
+	m.mu.Unlock()
+	m.effects.Go(func(ctx context.Context) error {
+		m.applyList()
+		m.repeatSuspects(ctx)
 		return nil
 	})
 }
 
-// tellSuspects reminds the seats of the VMs that look frozen: a suspicion
-// counts for a few seconds only.
-func (w *Monitor) tellSuspects(context.Context) {
-	w.mu.Lock()
+// repeatSuspects tells the lessors again which VMs look frozen: a suspicion expires
+// after a few seconds.
+func (m *Monitor) repeatSuspects(context.Context) {
+	m.mu.Lock()
 	var all []ident.VM
-	for vm := range w.frozen {
+	for vm := range m.frozen {
 		all = append(all, vm)
 	}
-	w.mu.Unlock()
+	m.mu.Unlock()
 	for _, vm := range all {
-		w.Leases.Suspect(vm)
+		m.Leases.Suspect(vm)
 	}
 }
