--- a/internal/edge/daemon/cancel.go
+++ b/internal/edge/daemon/cancel.go
@@ -11,14 +11,16 @@
 	"hawthornfield.org/hawthornfield/internal/plat/server"
 )
 
-// cancelRing bounds the cancellations that wait to be sent. They save work and
-// nothing depends on them: a server that misses one finishes for nobody.
-const cancelRing = 256
+// maxPendingCancels limits the cancellations that wait to be sent; the oldest are
+// dropped. Cancelling only saves work: a server that misses a cancellation completes a
+// request that nobody waits for.
+const maxPendingCancels = 256
 
-// cancelWait is how long one cancellation may take.
-const cancelWait = 500 * time.Millisecond
+// cancelTimeout is how long sending one cancellation may take.
+const cancelTimeout = 500 * time.Millisecond
 
-type abandoned struct {
+// cancellation is a request that is no longer needed and the server that may run it.
+type cancellation struct {
 	svc ident.Service
 	srv ident.Server
 	id  ident.Request
@@ -28,12 +30,12 @@
 type canceler struct {
 	state   *state.State
 	control server.Control
-	ring    *ring.Ring[abandoned]
+	ring    *ring.Ring[cancellation]
 	group   group.Group
 }
 
 func newCanceler(s *state.State, control server.Control) *canceler {
-	c := &canceler{state: s, control: control, ring: ring.New[abandoned](cancelRing, ring.DropOld)}
+	c := &canceler{state: s, control: control, ring: ring.New[cancellation](maxPendingCancels, ring.DropOld)}
 	c.group.Go(c.run)
 	return c
 }
@@ -43,29 +45,29 @@
 
 // Cancel queues a cancellation and returns at once.
 func (c *canceler) Cancel(svc ident.Service, srv ident.Server, id ident.Request) {
-	c.ring.Push(context.Background(), abandoned{svc, srv, id})
+	c.ring.Push(context.Background(), cancellation{svc, srv, id})
 }
 
 func (c *canceler) run(ctx context.Context) error {
 	for {
-		a, ok := c.ring.Pop(ctx)
+		req, ok := c.ring.Pop(ctx)
 		if !ok {
 			return nil
 		}
-		c.send(ctx, a)
+		c.send(ctx, req)
 	}
 }
 
-func (c *canceler) send(ctx context.Context, a abandoned) {
-	svc, ok := c.state.Service(a.svc)
+func (c *canceler) send(ctx context.Context, req cancellation) {
+	svc, ok := c.state.Service(req.svc)
 	if !ok {
 		return
 	}
-	ctx, cancel := context.WithTimeout(ctx, cancelWait)
+	ctx, cancel := context.WithTimeout(ctx, cancelTimeout)
 	defer cancel()
 	for _, s := range svc.Servers {
-		if s.Name == a.srv {
-			_ = c.control.Cancel(ctx, s.Control, a.id) // see cancelRing
+		if s.Name == req.srv {
+			_ = c.control.Cancel(ctx, s.Control, req.id) // best effort; see maxPendingCancels
 		}
 	}
 }
--- a/internal/edge/daemon/daemon_test.go
+++ b/internal/edge/daemon/daemon_test.go
@@ -39,21 +39,21 @@
 then = { service = "ledger", once = "store", durable = "journal" }
 `
 
-// site is a platform, backend servers and entry VMs on loopback.
-type site struct {
-	t       *testing.T
-	api     *objapi.API
-	at      netip.AddrPort
-	origins map[ident.Server]*origin.Origin
-	svcs    []config.Service
-	ca      *certs.Authority
-	lease   config.Lease // of the VMs that are started; zero: the defaults
-	vms     []*Daemon
+// cluster is a platform, backend servers and entry VMs on loopback.
+type cluster struct {
+	t        *testing.T
+	api      *objapi.API
+	apiAddr  netip.AddrPort
+	origins  map[ident.Server]*origin.Origin
+	services []config.Service
+	ca       *certs.Authority
+	lease    config.Lease // settings of VMs that are started; zero means the defaults
+	daemons  []*Daemon
 }
 
-// longLease is three times the default. A test whose promise does not depend on
-// the lease's length uses it, so that a busy machine, which pauses every process
-// at once, is not taken for the fault that the test causes.
+// longLease is three times the default. Tests whose outcome does not depend on the
+// length of the lease use it, so that a busy machine, which pauses every process at
+// once, does not look like the fault that the test causes.
 var longLease = config.Lease{
 	TTL:            config.SpanOf(3 * config.DefaultTTL),
 	Renew:          config.SpanOf(3 * config.DefaultRenew),
@@ -61,81 +61,81 @@
 	SilenceTimeout: config.SpanOf(3 * config.DefaultSilenceTimeout),
 }
 
-func newSite(t *testing.T) *site {
-	s := &site{t: t, api: objapi.New(), origins: map[ident.Server]*origin.Origin{}}
-	srv := httptest.NewServer(s.api.Handler())
+func newCluster(t *testing.T) *cluster {
+	c := &cluster{t: t, api: objapi.New(), origins: map[ident.Server]*origin.Origin{}}
+	srv := httptest.NewServer(c.api.Handler())
 	t.Cleanup(srv.Close)
-	s.at = netip.MustParseAddrPort(strings.TrimPrefix(srv.URL, "http://"))
+	c.apiAddr = netip.MustParseAddrPort(strings.TrimPrefix(srv.URL, "http://"))
 	var err error
-	s.ca, err = certs.NewAuthority(time.Hour)
+	c.ca, err = certs.NewAuthority(time.Hour)
 	assert.NilError(t, err)
-	s.svcs = []config.Service{
-		{Name: "lookup", Divided: true, Slices: 64, Servers: s.servers("lookup", true, 3)},
-		{Name: "ledger", Servers: s.servers("ledger", false, 2)},
+	c.services = []config.Service{
+		{Name: "lookup", Divided: true, Slices: 64, Servers: c.startServers("lookup", true, 3)},
+		{Name: "ledger", Servers: c.startServers("ledger", false, 2)},
 	}
-	s.accept(rules)
-	return s
+	c.saveRules(rules)
+	return c
 }
 
-func (s *site) servers(svc ident.Service, keyed bool, n int) []config.Server {
+func (c *cluster) startServers(svc ident.Service, keyed bool, n int) []config.Server {
 	var all []config.Server
 	for i := range n {
 		name := ident.Server(fmt.Sprintf("%s-%d", svc, i))
 		o := origin.New(origin.Config{Service: svc, Server: name, Keyed: keyed, Slices: 64, Slots: 4, Queue: 4, Conns: 100})
 		at, err := o.Start()
-		assert.NilError(s.t, err)
-		s.t.Cleanup(func() { assert.NilError(s.t, o.Close()) })
-		s.origins[name] = o
+		assert.NilError(c.t, err)
+		c.t.Cleanup(func() { assert.NilError(c.t, o.Close()) })
+		c.origins[name] = o
 		all = append(all, config.Server{Name: name, Data: at, Control: at, Centre: "south", Slots: 4, Conns: 100})
 	}
 	return all
 }
 
-func (s *site) accept(text string) {
+func (c *cluster) saveRules(text string) {
 	f, err := match.Parse([]byte(text))
-	assert.NilError(s.t, err)
-	_, err = save.Save(s.t.Context(), objcli.New(s.at), func(cur *revs.Record) (*revs.Record, error) {
+	assert.NilError(c.t, err)
+	_, err = save.Save(c.t.Context(), objcli.New(c.apiAddr), func(cur *revs.Record) (*revs.Record, error) {
 		var seen ident.Revision
 		if cur != nil {
 			seen = cur.Rev
 		}
 		return revs.Replace(cur, revs.Edit{Seen: seen, Author: "test", Token: "t", At: time.Now()}, f.Rules)
 	})
-	assert.NilError(s.t, err)
+	assert.NilError(c.t, err)
 }
 
-// start opens one more entry VM and tells the platform's list.
-func (s *site) start(centre ident.Centre) *Daemon {
-	name := ident.VM(fmt.Sprintf("vm-%d", len(s.vms)))
-	pem, err := s.ca.Issue(name, netip.MustParseAddr("127.0.0.1"))
-	assert.NilError(s.t, err)
+// startVM starts an entry VM and adds it to the platform's list.
+func (c *cluster) startVM(centre ident.Centre) *Daemon {
+	name := ident.VM(fmt.Sprintf("vm-%d", len(c.daemons)))
+	pem, err := c.ca.Issue(name, netip.MustParseAddr("127.0.0.1"))
+	assert.NilError(c.t, err)
 	cfg := config.Config{
-		VM: name, Centre: centre, Services: s.svcs,
-		Platform: config.Platform{Objects: s.at}, Lease: s.lease,
+		VM: name, Centre: centre, Services: c.services,
+		Platform: config.Platform{Objects: c.apiAddr}, Lease: c.lease,
 	}
 	d, err := New(cfg, WithPEM(pem), WithShutdownDelay(10*time.Millisecond), WithLog(slog.New(slog.DiscardHandler)))
-	assert.NilError(s.t, err)
-	assert.NilError(s.t, d.Start(s.t.Context()))
-	s.t.Cleanup(func() { assert.NilError(s.t, d.Close()) })
-	s.api.SetVM(vmlist.VM{ID: name, Addr: d.Peers(), Centre: centre, State: vmlist.Live})
-	s.vms = append(s.vms, d)
+	assert.NilError(c.t, err)
+	assert.NilError(c.t, d.Start(c.t.Context()))
+	c.t.Cleanup(func() { assert.NilError(c.t, d.Close()) })
+	c.api.SetVM(vmlist.VM{ID: name, Addr: d.Peers(), Centre: centre, State: vmlist.Live})
+	c.daemons = append(c.daemons, d)
 	return d
 }
 
-// untilMost is many times what the slowest wait takes on a busy machine, and below
-// the time after which a whole package counts as hung without a word on which wait.
-const untilMost = 90 * time.Second
+// waitTimeout is many times the longest wait on a busy machine, and below the time
+// after which go test ends the whole package without naming the wait.
+const waitTimeout = 90 * time.Second
 
-// until waits for something that has no event to wait for.
-func until(t *testing.T, what string, ok func() bool) {
+// waitUntil polls for a condition that no event reports.
+func waitUntil(t *testing.T, what string, cond func() bool) {
 	t.Helper()
-	for end := time.Now().Add(untilMost); time.Now().Before(end) && t.Context().Err() == nil; {
-		if ok() {
+	for end := time.Now().Add(waitTimeout); time.Now().Before(end) && t.Context().Err() == nil; {
+		if cond() {
 			return
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
-	t.Fatal("never: " + what)
+	t.Fatal("timed out waiting: " + what)
 }
 
 func send(t *testing.T, d *Daemon, method, path, id string) (int, string) {
@@ -156,8 +156,8 @@
 	return resp.StatusCode, string(b)
 }
 
-// serves reports whether every one of some keys is served through a VM.
-func serves(t *testing.T, d *Daemon) func() bool {
+// servesAllKeys reports whether a VM serves 20 keys.
+func servesAllKeys(t *testing.T, d *Daemon) func() bool {
 	return func() bool {
 		for i := range 20 {
 			if code, _ := send(t, d, "GET", fmt.Sprintf("/scales/s%d", i), ""); code != http.StatusOK {
@@ -169,89 +169,89 @@
 }
 
 func TestRequestsGoThroughSeveralEntryVMsToTheOneOwner(t *testing.T) {
-	s := newSite(t)
-	for _, c := range []ident.Centre{"north", "south", "west"} {
-		s.start(c)
+	c := newCluster(t)
+	for _, centre := range []ident.Centre{"north", "south", "west"} {
+		c.startVM(centre)
 	}
-	for _, d := range s.vms {
-		until(t, "ready", func() bool { return d.Ready() == nil })
-		until(t, "all keys served", serves(t, d))
+	for _, d := range c.daemons {
+		waitUntil(t, "ready", func() bool { return d.Ready() == nil })
+		waitUntil(t, "all keys served", servesAllKeys(t, d))
 	}
-	_, first := send(t, s.vms[0], "GET", "/scales/north", "a")
-	_, second := send(t, s.vms[1], "GET", "/scales/north", "a")
+	_, first := send(t, c.daemons[0], "GET", "/scales/north", "a")
+	_, second := send(t, c.daemons[1], "GET", "/scales/north", "a")
 	assert.Equal(t, first, second)
-	seats := 0
-	for _, d := range s.vms {
-		seats += len(d.Keeper().Held())
+	lessors := 0
+	for _, d := range c.daemons {
+		lessors += len(d.Leases().Held())
 	}
-	assert.Equal(t, seats, 3)
+	assert.Equal(t, lessors, 3)
 
-	held, err := save.Await(t.Context(), objcli.New(s.at), 1)
+	held, err := save.Await(t.Context(), objcli.New(c.apiAddr), 1)
 	assert.NilError(t, err)
 	assert.Assert(t, 2*held.Confirmed > held.Live)
 
-	code, _ := send(t, s.vms[0], "POST", "/receipts/north", "load-1")
+	code, _ := send(t, c.daemons[0], "POST", "/receipts/north", "load-1")
 	assert.Equal(t, code, http.StatusOK)
-	code, _ = send(t, s.vms[1], "POST", "/receipts/north", "load-1")
+	code, _ = send(t, c.daemons[1], "POST", "/receipts/north", "load-1")
 	assert.Equal(t, code, http.StatusConflict)
-	ran := s.origins["ledger-0"].Record.Count("load-1") + s.origins["ledger-1"].Record.Count("load-1")
+	ran := c.origins["ledger-0"].Record.Count("load-1") + c.origins["ledger-1"].Record.Count("load-1")
 	assert.Equal(t, ran, 1)
 
 	for _, page := range []string{"/ready", "/live", "/status", "/metrics"} {
-		resp, err := http.Get("http://" + s.vms[0].Operators().String() + page)
+		resp, err := http.Get("http://" + c.daemons[0].Operators().String() + page)
 		assert.NilError(t, err)
 		resp.Body.Close()
 		assert.Equal(t, resp.StatusCode, http.StatusOK, page)
 	}
 }
 
-// The platform's store goes away for a long time while everything else works.
-// Owners keep their leases without it, so callers notice nothing; a VM that
-// starts meanwhile gets rules and tables from its peers and serves as well. A
-// receipt whose rule demands a record is refused, and truly did not run.
+// The platform's store is down for a long time while everything else works. Owners keep
+// their leases without it, so callers must notice nothing; a VM that starts meanwhile
+// gets rules and tables from its peers and must serve as well. A receipt whose rule
+// demands a record must be refused and must not run.
 func TestAStoreOutageStopsNoLookups(t *testing.T) {
-	outage := 6 * time.Second // beyond a lease, and beyond what a VM alone may go on
+	outage := 6 * time.Second // longer than a lease, and than an isolated VM may go on serving
 	if testing.Short() {
 		outage = 3 * time.Second
 	}
-	s := newSite(t)
-	s.lease = longLease
-	for _, c := range []ident.Centre{"north", "west"} {
-		s.start(c)
+	c := newCluster(t)
+	c.lease = longLease
+	for _, centre := range []ident.Centre{"north", "west"} {
+		c.startVM(centre)
 	}
-	for _, d := range s.vms {
-		until(t, "all keys served", serves(t, d))
+	for _, d := range c.daemons {
+		waitUntil(t, "all keys served", servesAllKeys(t, d))
 	}
-	s.api.Outage(true)
+	c.api.Outage(true)
 	ends := time.Now().Add(outage)
-	late := s.start("north")
-	until(t, "the new VM is ready", func() bool { return late.Ready() == nil })
+	late := c.startVM("north")
+	waitUntil(t, "the new VM is ready", func() bool { return late.Ready() == nil })
 	for time.Now().Before(ends) {
-		for _, d := range s.vms {
-			assert.Assert(t, serves(t, d)(), "a lookup failed during the outage")
+		for _, d := range c.daemons {
+			assert.Assert(t, servesAllKeys(t, d)(), "a lookup failed during the outage")
 		}
 	}
-	code, _ := send(t, s.vms[0], "POST", "/receipts/north", "load-2")
+	code, _ := send(t, c.daemons[0], "POST", "/receipts/north", "load-2")
 	assert.Equal(t, code, http.StatusServiceUnavailable)
-	assert.Equal(t, s.origins["ledger-0"].Record.Count("load-2")+s.origins["ledger-1"].Record.Count("load-2"), 0)
-	s.api.Outage(false)
+	assert.Equal(t, c.origins["ledger-0"].Record.Count("load-2")+c.origins["ledger-1"].Record.Count("load-2"), 0)
+	c.api.Outage(false)
 }
 
-// ran counts the runs of a request over all backend servers.
-func (s *site) ran(id ident.Request) int {
+// runs counts the runs of a request over all backend servers.
+func (c *cluster) runs(id ident.Request) int {
 	n := 0
-	for _, o := range s.origins {
+	for _, o := range c.origins {
 		n += o.Record.Count(id)
 	}
 	return n
 }
 
-// An entry VM is told to stop while a request is on its way. The request must
-// end whole; the connection is refused only to those who come later.
+// An entry VM is stopped while a request is in flight. The request must complete; only
+// later connections are refused.
 func TestShutdownCutsOffNothingInFlight(t *testing.T) {
-	s := newSite(t)
-	d := s.start("north")
-	until(t, "all keys served", serves(t, d))
+	c := newCluster(t)
+	d := c.startVM("north")
+	waitUntil(t, "all keys served", servesAllKeys(t, d))
 	var g group.Group
 	g.Go(func(context.Context) error {
 		code, body := send(t, d, "GET", "/scales/north?work=300ms&size=100000", "slow")
@@ -259,33 +259,32 @@
 		assert.Equal(t, len(body), 100000)
 		return nil
 	})
-	until(t, "running on its server", func() bool { return s.ran("slow") == 1 })
+	waitUntil(t, "running on its server", func() bool { return c.runs("slow") == 1 })
 	assert.NilError(t, d.Close())
 	assert.NilError(t, g.Wait())
 	code, _ := send(t, d, "GET", "/scales/north", "later")
 	assert.Equal(t, code, 0)
 }
 
-// A backend server is frozen in the middle of its work and does not come back.
-// Its keys have no owner until its lease has run out; then another server takes
-// them, and callers who waited get their answers. When the server wakes, it no
-// longer serves them.
+// A backend server freezes while it serves. Its keys have no owner until its lease has
+// expired; then another server must take them over and waiting callers get their
+// answers. When the server wakes up, it must not serve these keys.
 func TestALostOwnersKeysAreServedByAnother(t *testing.T) {
-	s := newSite(t)
-	for _, c := range []ident.Centre{"north", "west"} {
-		s.start(c)
+	c := newCluster(t)
+	for _, centre := range []ident.Centre{"north", "west"} {
+		c.startVM(centre)
 	}
-	for _, d := range s.vms {
-		until(t, "all keys served", serves(t, d))
+	for _, d := range c.daemons {
+		waitUntil(t, "all keys served", servesAllKeys(t, d))
 	}
-	lost := s.origins["lookup-1"]
+	lost := c.origins["lookup-1"]
 	before := len(lost.Record.All())
 	lost.Freeze(true)
 	start := time.Now()
-	until(t, "all keys served again", serves(t, s.vms[0]))
+	waitUntil(t, "all keys served again", servesAllKeys(t, c.daemons[0]))
 	t.Logf("all keys served again after %v", time.Since(start))
 	lost.Freeze(false)
-	until(t, "all keys served through the other VM", serves(t, s.vms[1]))
+	waitUntil(t, "all keys served through the other VM", servesAllKeys(t, c.daemons[1]))
 	for _, r := range lost.Record.All()[before:] {
 		assert.Assert(t, r.At.Before(start.Add(time.Second)), "ran %v as owner after it had lost %s", r.At.Sub(start), r.Key)
 	}
--- a/internal/edge/daemon/fault_test.go
+++ b/internal/edge/daemon/fault_test.go
@@ -21,9 +21,9 @@
 	"hawthornfield.org/hawthornfield/internal/rules/revs"
 )
 
-// steady asks for every key through a VM until stop is closed, and notes the
-// first answer that was not good.
-func steady(t *testing.T, g *group.Group, d *Daemon, stop <-chan struct{}) {
+// sendSteadily sends requests for one key through a VM until stop is closed, and ends
+// with an error at the first that fails.
+func sendSteadily(t *testing.T, g *group.Group, d *Daemon, stop <-chan struct{}) {
 	g.Go(func(context.Context) error {
 		for {
 			select {
@@ -38,13 +38,13 @@
 	})
 }
 
-// deputised reports whether the seat of each of the three lookup servers has a
+// allHaveDeputies reports whether the lessor of each of the three lookup servers has a
 // holder and a deputy.
-func (s *site) deputised() bool {
+func (c *cluster) allHaveDeputies() bool {
 	n := 0
-	for _, d := range s.vms {
-		for _, seat := range d.Status().Seats {
-			if seat.Authority == "holding" && seat.Deputy != "" {
+	for _, d := range c.daemons {
+		for _, lessor := range d.Status().Lessors {
+			if lessor.Authority == "holding" && lessor.Deputy != "" {
 				n++
 			}
 		}
@@ -52,80 +52,79 @@
 	return n == 3
 }
 
-// An entry VM that holds seats is replaced during the day. The servers whose
-// authority it held must not lose their leases meanwhile, or every replacement
-// would be a second of blank screens.
-func TestAVMThatLeavesHandsItsSeatsOver(t *testing.T) {
-	s := newSite(t)
-	for _, c := range []ident.Centre{"north", "west", "east"} {
-		s.start(c)
+// An entry VM that holds lessors is replaced. Without a handover its servers would lose
+// their leases, and no key of theirs would be served for about a second.
+func TestALeavingVMHandsItsLessorsOver(t *testing.T) {
+	c := newCluster(t)
+	for _, centre := range []ident.Centre{"north", "west", "east"} {
+		c.startVM(centre)
 	}
-	for _, d := range s.vms {
-		until(t, "all keys served", serves(t, d))
+	for _, d := range c.daemons {
+		waitUntil(t, "all keys served", servesAllKeys(t, d))
 	}
-	until(t, "every seat has a deputy", s.deputised)
-	leaver, others := s.vms[0], s.vms[1:]
-	for i, d := range s.vms {
-		if len(d.Keeper().Held()) > len(leaver.Keeper().Held()) {
+	waitUntil(t, "every lessor has a deputy", c.allHaveDeputies)
+	leaver, others := c.daemons[0], c.daemons[1:]
+	for i, d := range c.daemons {
+		if len(d.Leases().Held()) > len(leaver.Leases().Held()) {
 			leaver = d
-			others = append(append([]*Daemon{}, s.vms[:i]...), s.vms[i+1:]...)
+			others = append(append([]*Daemon{}, c.daemons[:i]...), c.daemons[i+1:]...)
 		}
 	}
-	assert.Assert(t, len(leaver.Keeper().Held()) > 0)
+	assert.Assert(t, len(leaver.Leases().Held()) > 0)
 	var g group.Group
 	stop := make(chan struct{})
 	for _, d := range others {
-		steady(t, &g, d, stop)
+		sendSteadily(t, &g, d, stop)
 	}
-	me := vmlist.VM{ID: leaver.cfg.VM, Addr: leaver.Peers(), Centre: leaver.cfg.Centre, State: vmlist.Leaving}
-	s.api.SetVM(me)
+	vm := vmlist.VM{ID: leaver.cfg.VM, Addr: leaver.Peers(), Centre: leaver.cfg.Centre, State: vmlist.Leaving}
+	c.api.SetVM(vm)
 	time.Sleep(1200 * time.Millisecond) // the list is read once a second
 	assert.NilError(t, leaver.Close())
-	me.State = vmlist.Gone
-	s.api.SetVM(me)
+	vm.State = vmlist.Gone
+	c.api.SetVM(vm)
 	time.Sleep(2 * time.Second) // several leases long
 	close(stop)
 	assert.NilError(t, g.Wait())
 	held := 0
 	for _, d := range others {
-		held += len(d.Keeper().Held())
+		held += len(d.Leases().Held())
 	}
 	assert.Equal(t, held, 3)
 }
 
-// A backend server says that it will leave. Its keys go to others while it
-// still serves them, so that nobody notices; afterwards it owns nothing.
-func TestADrainedServersKeysLeaveUnnoticed(t *testing.T) {
-	s := newSite(t)
-	for _, c := range []ident.Centre{"north", "west"} {
-		s.start(c)
+// A backend server announces that it will leave. Its keys must move to other servers
+// without a failed request, and afterwards it owns nothing.
+func TestADrainedServersKeysMoveWithoutFailures(t *testing.T) {
+	c := newCluster(t)
+	for _, centre := range []ident.Centre{"north", "west"} {
+		c.startVM(centre)
 	}
-	for _, d := range s.vms {
-		until(t, "all keys served", serves(t, d))
+	for _, d := range c.daemons {
+		waitUntil(t, "all keys served", servesAllKeys(t, d))
 	}
 	var g group.Group
 	stop := make(chan struct{})
-	for _, d := range s.vms {
-		steady(t, &g, d, stop)
+	for _, d := range c.daemons {
+		sendSteadily(t, &g, d, stop)
 	}
-	s.origins["lookup-0"].Drain()
+	c.origins["lookup-0"].Drain()
 	start := time.Now()
-	svc, _ := s.vms[0].State().Service("lookup")
-	until(t, "nothing left to the drained server", func() bool {
+	svc, _ := c.daemons[0].State().Service("lookup")
+	waitUntil(t, "nothing left to the drained server", func() bool {
 		return svc.View().Table().SetOf("lookup-0").Empty()
 	})
 	t.Logf("drained after %v", time.Since(start))
 	close(stop)
 	assert.NilError(t, g.Wait())
-	assert.Assert(t, serves(t, s.vms[1])())
+	assert.Assert(t, servesAllKeys(t, c.daemons[1])())
 }
 
-// A caller sends headers of several megabytes, to either listener. They must not
-// be held in memory, and the next caller must not notice.
-func TestOversizedHeadersAreRefusedAtBothDoors(t *testing.T) {
-	s := newSite(t)
-	d := s.start("north")
-	until(t, "all keys served", serves(t, d))
+// A caller sends headers of several megabytes to either listener. They must not be held
+// in memory, and the next request must be served.
+func TestOversizedHeadersAreRefusedAtBothListeners(t *testing.T) {
+	c := newCluster(t)
+	d := c.startVM("north")
+	waitUntil(t, "all keys served", servesAllKeys(t, d))
 	for _, at := range []netip.AddrPort{d.Callers(), d.Operators()} {
 		r, err := http.NewRequestWithContext(t.Context(), http.MethodGet, "http://"+at.String()+"/status", nil)
 		assert.NilError(t, err)
@@ -137,18 +136,17 @@
 			assert.NilError(t, resp.Body.Close())
 		}
 	}
-	assert.Assert(t, serves(t, d)())
+	assert.Assert(t, servesAllKeys(t, d)())
 }
 
-// During an update of the fleet a newer version of the program writes rules and
-// a table that this one does not understand. It must neither guess, nor fall
-// over, nor lose what it had: it goes on under the rules it knows, for as long
-// as it may.
+// During an update of the fleet a newer version of the program writes rules and a table
+// that this one cannot decode. It must not guess, fail or lose what it had, and goes on
+// with the rules that it knows for as long as it may.
 func TestObjectsOfANewerVersionChangeNothing(t *testing.T) {
-	s := newSite(t)
-	d := s.start("north")
-	until(t, "all keys served", serves(t, d))
-	store := objcli.New(s.at)
+	c := newCluster(t)
+	d := c.startVM("north")
+	waitUntil(t, "all keys served", servesAllKeys(t, d))
+	store := objcli.New(c.apiAddr)
 	newer, err := wire.Encode(map[string]any{"v": 99, "form": 99, "rev": 1000})
 	assert.NilError(t, err)
 	rev := d.State().Rules.Current().Rev
@@ -161,15 +159,15 @@
 	time.Sleep(time.Second) // long enough to be read
 	assert.Equal(t, d.State().Rules.Current().Rev, rev)
 	assert.Equal(t, svc.View().Rev(), table)
-	assert.Assert(t, serves(t, d)())
+	assert.Assert(t, servesAllKeys(t, d)())
 }
 
-// A peer of another version, or one with a fault, sends what makes no sense.
-// It is refused as a whole and changes nothing.
+// A faulty peer, or one of another version, sends malformed messages. They must be
+// refused and change nothing.
 func TestBadPeerMessagesChangeNothing(t *testing.T) {
-	s := newSite(t)
-	d := s.start("north")
-	until(t, "all keys served", serves(t, d))
+	c := newCluster(t)
+	d := c.startVM("north")
+	waitUntil(t, "all keys served", servesAllKeys(t, d))
 	p := d.parts.Peers
 	two, err := wire.Encode(map[any]any{"svc": "lookup", "srv": "lookup-0", 2: map[int]any{1: 9}, "yield": map[string]any{"below": 9}})
 	assert.NilError(t, err)
@@ -178,7 +176,7 @@
 	for _, body := range [][]byte{nil, {}, {0xff}, []byte("hello"), two, none, make([]byte, link.MaxFrame)} {
 		for _, k := range []link.Kind{link.Lessor, link.Gossip, link.Heartbeat, 0, 99} {
 			p.mu.RLock()
-			take := p.takers[k]
+			take := p.handlers[k]
 			p.mu.RUnlock()
 			if take != nil {
 				assert.Assert(t, take("vm-9", body) != nil, "kind %d took %q", k, body[:min(len(body), 20)])
@@ -186,5 +184,5 @@
 			p.handle("vm-9", k, body)
 		}
 	}
-	assert.Assert(t, serves(t, d)())
+	assert.Assert(t, servesAllKeys(t, d)())
 }
--- a/internal/edge/daemon/audit.go
+++ b/internal/edge/daemon/journal.go
@@ -16,19 +16,19 @@
 func newJournal(lc fx.Lifecycle, cfg config.Config, store object.Store, log *slog.Logger) *ledger.Journal {
 	j := ledger.Open(store, ledger.LogPath(cfg.VM), ledger.WithLog(log),
 		ledger.WithLimits(ledger.LimitsFrom(cfg.Journal, cfg.Platform.Timeout.Duration)))
-	closes(lc, j)
+	closeOnStop(lc, j)
 	return j
 }
 
-func newSieve(lc fx.Lifecycle, j *ledger.Journal) *ledger.Filter {
-	s := ledger.NewFilter(j)
-	closes(lc, s)
-	return s
+func newFilter(lc fx.Lifecycle, j *ledger.Journal) *ledger.Filter {
+	f := ledger.NewFilter(j)
+	closeOnStop(lc, f)
+	return f
 }
 
-// histories are the ownership histories of the services divided by key. Every
-// VM that moves keys writes them, so that who owned a key at a time can be read
-// in one place however many VMs there were.
+// histories are the ownership histories of the services that are divided by key, one
+// journal for each service. Every VM that moves keys writes to it, so that the owner
+// of a key at any time can be read in one place, however many VMs there were.
 type histories map[ident.Service]*ledger.Journal
 
 func newHistories(lc fx.Lifecycle, cfg config.Config, store object.Store, log *slog.Logger) histories {
@@ -39,20 +39,20 @@
 		}
 		all[svc.Name] = ledger.Open(store, ledger.OwnPath(svc.Name), ledger.WithLog(log),
 			ledger.WithLimits(ledger.LimitsFrom(cfg.Journal, cfg.Platform.Timeout.Duration)))
-		closes(lc, all[svc.Name])
+		closeOnStop(lc, all[svc.Name])
 	}
 	return all
 }
 
-// Append keeps a move in its service's history.
+// Append writes a move to the history of its service.
 func (h histories) Append(d record.Decision) {
 	if j, ok := h[d.Service]; ok && d.Action == record.Place {
 		j.Append(d)
 	}
 }
 
-func newRecord(lc fx.Lifecycle, cfg config.Config, o *options, j *ledger.Filter, h histories, m *rebal.Rebalancer) *record.Writer {
-	opts := []record.Option{record.WithRing(cfg.Journal.Ring), record.WithSink(j), record.WithSink(h), record.WithSink(m)}
+func newRecorder(lc fx.Lifecycle, cfg config.Config, o *options, filter *ledger.Filter, h histories, reb *rebal.Rebalancer) *record.Writer {
+	opts := []record.Option{record.WithRing(cfg.Journal.Ring), record.WithSink(filter), record.WithSink(h), record.WithSink(reb)}
 	for _, s := range o.sinks {
 		opts = append(opts, record.WithSink(s))
 	}
@@ -60,6 +60,6 @@
 		opts = append(opts, record.WithoutLines())
 	}
 	w := record.New(cfg.VM, o.log, opts...)
-	closes(lc, w)
+	closeOnStop(lc, w)
 	return w
 }
--- a/internal/edge/daemon/audit_test.go
+++ b/internal/edge/daemon/journal_test.go
@@ -15,17 +15,17 @@
 	"hawthornfield.org/hawthornfield/internal/plat/objcli"
 )
 
-// A server is lost, its keys move, and afterwards every entry VM is shut down.
-// An auditor still finds each receipt, and every slice that moved once.
+// A server is lost, its keys move, and afterwards every entry VM is shut down. An
+// auditor must still find each receipt, and every moved slice exactly once.
 func TestDecisionsOutliveTheVMs(t *testing.T) {
-	s := newSite(t)
-	d := s.start("north")
-	until(t, "all keys served", serves(t, d))
+	c := newCluster(t)
+	d := c.startVM("north")
+	waitUntil(t, "all keys served", servesAllKeys(t, d))
 	code, _ := send(t, d, "POST", "/receipts/north", "load-1")
 	assert.Equal(t, code, http.StatusOK)
 	gone := ident.Server("lookup-0")
-	assert.NilError(t, s.origins[gone].Close())
-	until(t, "no slice left with the lost server", func() bool {
+	assert.NilError(t, c.origins[gone].Close())
+	waitUntil(t, "no slice left with the lost server", func() bool {
 		svc, _ := d.State().Service("lookup")
 		for x := range svc.Slices {
 			if svc.View().Table().OwnerOf(ident.Slice(x)) == gone {
@@ -36,7 +36,7 @@
 	})
 	assert.NilError(t, d.Close())
 
-	r, err := report.Run(t.Context(), objcli.New(s.at), report.Query{Server: gone, Action: record.Place})
+	r, err := report.Run(t.Context(), objcli.New(c.apiAddr), report.Query{Server: gone, Action: record.Place})
 	assert.NilError(t, err)
 	moved := map[ident.Slice]int{}
 	for _, row := range r.Rows {
@@ -47,21 +47,21 @@
 	for slice, n := range moved {
 		assert.Equal(t, n, 1, "slice %d", slice)
 	}
-	r, err = report.Run(t.Context(), objcli.New(s.at), report.Query{ID: "load-1"})
+	r, err = report.Run(t.Context(), objcli.New(c.apiAddr), report.Query{ID: "load-1"})
 	assert.NilError(t, err)
 	assert.Equal(t, len(r.Rows), 1)
 	assert.Equal(t, r.Rows[0].Ran, kinds.RanYes)
 	assert.Equal(t, r.Rows[0].Rule, "receipts")
 }
 
-// Operators keep of lookups only what failed. An auditor who asks afterwards, with
-// every entry VM gone, finds each receipt, and reads how many lookups were left
-// out under which rule instead of finding nothing.
-func TestWhatARuleLeavesOutIsCountedToTheEnd(t *testing.T) {
-	s := newSite(t)
-	s.accept(strings.Replace(rules, "idempotent = true", `keep = "submissions", idempotent = true`, 1))
-	d := s.start("north")
-	until(t, "all keys served", serves(t, d))
+// A rule keeps only submissions in the journal, so lookups that succeed are left out.
+// After every entry VM is gone, an auditor must find each receipt, and how many lookups
+// were left out under which rule instead of nothing.
+func TestDecisionsLeftOutByARuleAreCounted(t *testing.T) {
+	c := newCluster(t)
+	c.saveRules(strings.Replace(rules, "idempotent = true", `keep = "submissions", idempotent = true`, 1))
+	d := c.startVM("north")
+	waitUntil(t, "all keys served", servesAllKeys(t, d))
 	const lookups = 30
 	before := d.Status().Skipped
 	for i := range lookups {
@@ -72,11 +72,11 @@
 	assert.Equal(t, code, http.StatusOK)
 	code, _ = send(t, d, "POST", "/scales/s1", "weighing-1")
 	assert.Equal(t, code, http.StatusOK)
-	until(t, "all counted", func() bool { return d.Status().Skipped >= before+lookups })
+	waitUntil(t, "all counted", func() bool { return d.Status().Skipped >= before+lookups })
 	skipped := d.Status().Skipped
 	assert.NilError(t, d.Close())
 
-	r, err := report.Run(t.Context(), objcli.New(s.at), report.Query{Action: record.Route})
+	r, err := report.Run(t.Context(), objcli.New(c.apiAddr), report.Query{Action: record.Route})
 	assert.NilError(t, err)
 	kept := map[ident.Request]string{}
 	for _, row := range r.Rows {
--- a/internal/edge/daemon/peers.go
+++ b/internal/edge/daemon/peers.go
@@ -21,33 +21,33 @@
 	"hawthornfield.org/hawthornfield/internal/plat/vmlist"
 )
 
-// reloadEvery is how often the files of keys and certificates are read again.
-const reloadEvery = 5 * time.Second
+// reloadPeriod is how often the files of keys and certificates are read again.
+const reloadPeriod = 5 * time.Second
 
-// peers is the exchange with other entry VMs. Without keys in the settings
-// there is none, and the VM works alone.
+// peers are the links to other entry VMs. Without keys in the settings there are none,
+// and the VM works alone.
 type peers struct {
 	node  atomic.Pointer[link.Node] // nil before the start, and without keys
 	group group.Group
 	log   *slog.Logger
 
-	heard  atomic.Pointer[func(ident.VM)] // told of everything that arrives
-	mu     sync.RWMutex
-	takers map[link.Kind]taker
+	onMessage atomic.Pointer[func(ident.VM)] // called with the sender of each message
+	mu        sync.RWMutex
+	handlers  map[link.Kind]handler
 }
 
-// taker takes the messages of one kind.
-type taker func(from ident.VM, body []byte) error
+// handler handles the messages of one kind.
+type handler func(from ident.VM, body []byte) error
 
-// on says who takes the messages of a kind.
-func (p *peers) on(k link.Kind, t taker) {
+// setHandler sets the handler of a kind of message.
+func (p *peers) setHandler(kind link.Kind, h handler) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.takers[k] = t
+	p.handlers[kind] = h
 }
 
 func newPeers(lc fx.Lifecycle, cfg config.Config, o *options, log *slog.Logger) (*peers, error) {
-	p := &peers{log: log, takers: map[link.Kind]taker{}}
+	p := &peers{log: log, handlers: map[link.Kind]handler{}}
 	pem, err := credentials(cfg.Certs, o)
 	if err != nil || pem == nil {
 		return p, err
@@ -59,7 +59,7 @@
 	lc.Append(fx.Hook{
 		OnStart: func(context.Context) error {
 			node, err := link.New(link.Options{
-				Self: cfg.VM, Addr: cfg.Listen.Peers, Certs: store, Handle: p.handle, Log: log, WrapPacketConn: o.packets,
+				Self: cfg.VM, Addr: cfg.Listen.Peers, Certs: store, Handle: p.handle, Log: log, WrapPacketConn: o.wrapPackets,
 			})
 			if err != nil {
 				return err
@@ -93,54 +93,54 @@
 	return node.Listening()
 }
 
-// handle takes a message of a peer. One that makes no sense is logged and
-// changes nothing.
-func (p *peers) handle(from ident.VM, k link.Kind, body []byte) {
-	if heard := p.heard.Load(); heard != nil {
-		(*heard)(from)
+// handle passes a message of a peer to its handler. A message that cannot be handled is
+// logged and changes nothing.
+func (p *peers) handle(from ident.VM, kind link.Kind, body []byte) {
+	if onMessage := p.onMessage.Load(); onMessage != nil {
+		(*onMessage)(from)
 	}
 	p.mu.RLock()
-	take := p.takers[k]
+	handle := p.handlers[kind]
 	p.mu.RUnlock()
 	err := kinds.New(kinds.Malformed, "unknown kind of message")
-	if take != nil {
-		err = take(from, body)
+	if handle != nil {
+		err = handle(from, body)
 	}
 	if err != nil {
-		p.log.Warn("peer message", "vm", from, "kind", k, "err", err)
+		p.log.Warn("cannot handle peer message", "vm", from, "kind", kind, "err", err)
 	}
 }
 
-// mail sends messages of one kind.
-type mail struct {
+// kindSender sends messages of one kind.
+type kindSender struct {
 	*peers
 	kind link.Kind
 }
 
 // Send sends a message that should arrive.
-func (m mail) Send(to ident.VM, body []byte) {
-	if node := m.node.Load(); node != nil {
-		node.Send(to, m.kind, body)
+func (s kindSender) Send(to ident.VM, body []byte) {
+	if node := s.node.Load(); node != nil {
+		node.Send(to, s.kind, body)
 	}
 }
 
-// Cast sends a message that is stale when it is late. One that does not fit a
-// datagram goes with the others.
-func (m mail) Cast(to ident.VM, body []byte) {
-	node := m.node.Load()
+// Cast sends a message that is useless when it is late, as a datagram if it fits into
+// one.
+func (s kindSender) Cast(to ident.VM, body []byte) {
+	node := s.node.Load()
 	switch {
 	case node == nil:
 	case len(body) > link.MaxDatagram:
-		node.Send(to, m.kind, body)
+		node.Send(to, s.kind, body)
 	default:
-		node.SendDatagram(to, m.kind, body)
+		node.SendDatagram(to, s.kind, body)
 	}
 }
 
-// set connects to the VMs of the list that are not gone. One that leaves may
-// still hold seats: cut off, it could not be asked to yield them, and its
-// successors would wait for its term before they move a key.
-func (p *peers) set(list []vmlist.VM) {
+// setVMs connects to the VMs of the list that are not gone. A VM that is leaving may
+// still hold lessors: if it were disconnected, it could not be asked to yield them, and
+// its successors would wait for its term to end before they could move a key.
+func (p *peers) setVMs(list []vmlist.VM) {
 	node := p.node.Load()
 	if node == nil {
 		return
@@ -162,6 +162,7 @@
 	return node.Connected()
 }
 
+// credentials returns the keys and certificates, nil if there are none.
 func credentials(c config.Certs, o *options) (*certs.PEM, error) {
 	if o.pem != nil {
 		return o.pem, nil
@@ -172,7 +173,8 @@
 	return readPEM(c)
 }
 
-// readPEM reads each part from its file, or takes it as it stands.
+// readPEM reads each part from its file, or takes it from the settings if it is there
+// in PEM form.
 func readPEM(c config.Certs) (*certs.PEM, error) {
 	var p certs.PEM
 	for _, part := range []struct {
@@ -192,10 +194,10 @@
 	return &p, nil
 }
 
-// reload looks at the files again and again.
+// reload reads the files again every reloadPeriod.
 func (p *peers) reload(ctx context.Context, c config.Certs, store *certs.Store, last certs.PEM) error {
 	for ctx.Err() == nil {
-		group.Sleep(ctx, reloadEvery)
+		group.Sleep(ctx, reloadPeriod)
 		now, err := p.reloadOnce(c, store, last)
 		if err != nil {
 			p.log.Warn("keys and certificates not reloaded", "err", err)
@@ -205,12 +207,12 @@
 	return nil
 }
 
-// reloadOnce puts changed files in force and returns what is in force then.
-// Files that do not fit together, as in the moment between replacing one and
-// the other, change nothing and are tried again.
+// reloadOnce loads the files if they changed and returns what is in use then. Files that
+// do not match each other, as between replacing one and the next, change nothing and
+// are tried again.
 func (p *peers) reloadOnce(c config.Certs, store *certs.Store, last certs.PEM) (certs.PEM, error) {
 	now, err := readPEM(c)
-	if err != nil || same(*now, last) {
+	if err != nil || samePEM(*now, last) {
 		return last, err
 	}
 	if err := store.Load(*now); err != nil {
@@ -220,6 +222,6 @@
 	return *now, nil
 }
 
-func same(a, b certs.PEM) bool {
+func samePEM(a, b certs.PEM) bool {
 	return string(a.Cert) == string(b.Cert) && string(a.Key) == string(b.Key) && string(a.CA) == string(b.CA)
 }
--- a/internal/edge/daemon/peers_test.go
+++ b/internal/edge/daemon/peers_test.go
@@ -14,9 +14,9 @@
 	"hawthornfield.org/hawthornfield/internal/peer/certs"
 )
 
-// An operator replaces the files of keys and certificates one after the other
-// while the process runs. In between they do not fit together; the old ones
-// stay in force until all are there, and no restart is needed.
+// An operator replaces the files of keys and certificates one after the other. In
+// between they do not match; the old ones must stay in use until all are replaced, and
+// no restart is needed.
 func TestKeysAreReloadedFromTheirFiles(t *testing.T) {
 	dir := t.TempDir()
 	c := config.Certs{Cert: filepath.Join(dir, "cert"), Key: filepath.Join(dir, "key"), CA: filepath.Join(dir, "ca")}
--- a/internal/edge/daemon/wire.go
+++ b/internal/edge/daemon/wiring.go
@@ -30,13 +30,13 @@
 	"hawthornfield.org/hawthornfield/internal/plat/vmlist"
 )
 
-// provided lists the parts. fx stops them in the reverse of the order in which
-// they are made, which follows from who needs whom: the callers' door closes
-// first, the journal among the last.
-func provided() []any {
+// constructors lists the constructors of all parts. fx stops the parts in the reverse
+// of the order in which it builds them, which follows from their dependencies: the
+// callers' listener stops first, the journal among the last.
+func constructors() []any {
 	return []any{
-		newLog, newStore, newVMs, newControl, newMeter, newJournal, newSieve, newHistories, newRecord, newClaims,
-		newState, newMover, newRelay, newPeers, newKeeper, newNews, newWarden, newFront, newDoors,
+		newLog, newStore, newVMs, newControl, newMeter, newJournal, newFilter, newHistories, newRecorder, newClaims,
+		newState, newRebalancer, newRelay, newPeers, newLeases, newSyncer, newMonitor, newFront, newListeners,
 	}
 }
 
@@ -61,26 +61,26 @@
 		return o.control
 	}
 	c := &srvcli.Client{}
-	closes(lc, c)
+	closeOnStop(lc, c)
 	return c
 }
 
 // closer is a part that is closed when the daemon stops.
 type closer interface{ Close() error }
 
-func closes(lc fx.Lifecycle, c closer) {
+func closeOnStop(lc fx.Lifecycle, c closer) {
 	lc.Append(fx.Hook{OnStop: func(context.Context) error { return c.Close() }})
 }
 
 func newMeter(lc fx.Lifecycle, cfg config.Config) *meter.Meter {
 	m := meter.New(cfg.VM)
-	closes(lc, m)
+	closeOnStop(lc, m)
 	return m
 }
 
 func newClaims(lc fx.Lifecycle, cfg config.Config, store object.Store, log *slog.Logger) *dedup.Guard {
 	g := dedup.New(store, cfg.VM, log)
-	closes(lc, g)
+	closeOnStop(lc, g)
 	return g
 }
 
@@ -88,23 +88,23 @@
 	s := state.New(cfg.Services)
 	for name, svc := range s.Services() {
 		svc.Gate = gate.New(gate.Config{Service: name, Queue: cfg.Limit.Queue, MaxHeld: cfg.Limit.Queue, Deadline: cfg.Limit.Request.Duration})
-		svc.Gate.SetServers(infos(svc))
-		closes(lc, svc.Gate)
+		svc.Gate.SetServers(serverInfos(svc))
+		closeOnStop(lc, svc.Gate)
 	}
 	return s
 }
 
 func newRelay(lc fx.Lifecycle, cfg config.Config) *relay.Relay {
 	r := relay.New(relay.Config{Dial: cfg.Limit.Dial.Duration, Idle: cfg.Limit.Idle.Duration})
-	closes(lc, r)
+	closeOnStop(lc, r)
 	return r
 }
 
-// leaveWait is how long handing over the seats may take.
-const leaveWait = 3 * time.Second
+// leaveTimeout is how long handing over the lessors may take.
+const leaveTimeout = 3 * time.Second
 
-// hands are the parts that the keeper works with.
-type hands struct {
+// commonParts are the parts that the lessors, the syncer and the monitor use.
+type commonParts struct {
 	fx.In
 	State   *state.State
 	Store   object.Store
@@ -114,42 +114,42 @@
 	Log     *slog.Logger
 }
 
-func newMover(cfg config.Config, s *state.State, log *slog.Logger) *rebal.Rebalancer {
+func newRebalancer(cfg config.Config, s *state.State, log *slog.Logger) *rebal.Rebalancer {
 	return rebal.New(cfg.VM, s, log)
 }
 
-func newKeeper(lc fx.Lifecycle, cfg config.Config, o *options, a hands, m *rebal.Rebalancer) (*leases.Manager, error) {
-	times := timesOf(cfg.Lease)
+func newLeases(lc fx.Lifecycle, cfg config.Config, o *options, p commonParts, reb *rebal.Rebalancer) (*leases.Manager, error) {
+	times := leaseTimes(cfg.Lease)
 	if err := times.Check(); err != nil {
 		return nil, err
 	}
-	plan := o.plan
+	plan := o.planner
 	if plan == nil {
-		plan = m.Plan
+		plan = reb.Plan
 	}
-	k := leases.New(leases.Options{
-		VM: cfg.VM, State: a.State, Store: a.Store, Control: a.Control, Peers: mail{a.Peers, link.Lessor}, Times: times,
-		Plan: plan, Record: a.Record, Log: a.Log,
+	mgr := leases.New(leases.Options{
+		VM: cfg.VM, State: p.State, Store: p.Store, Control: p.Control, Peers: kindSender{p.Peers, link.Lessor}, Times: times,
+		Plan: plan, Record: p.Record, Log: p.Log,
 	})
-	a.Peers.on(link.Lessor, k.Handle)
+	p.Peers.setHandler(link.Lessor, mgr.Handle)
 	lc.Append(fx.Hook{OnStop: func(ctx context.Context) error {
-		ctx, cancel := context.WithTimeout(ctx, leaveWait)
+		ctx, cancel := context.WithTimeout(ctx, leaveTimeout)
 		defer cancel()
-		k.Leave(ctx)
-		return k.Close()
+		mgr.Leave(ctx)
+		return mgr.Close()
 	}})
 	lc.Append(fx.Hook{
 		OnStart: func(context.Context) error {
-			m.Start(rebal.Deps{Lessors: k, Peers: mail{a.Peers, link.Load}, Accepting: k.Accepting})
-			a.Peers.on(link.Load, m.Handle)
+			reb.Start(rebal.Deps{Lessors: mgr, Peers: kindSender{p.Peers, link.Load}, Accepting: mgr.Accepting})
+			p.Peers.setHandler(link.Load, reb.Handle)
 			return nil
 		},
-		OnStop: func(context.Context) error { return m.Close() },
+		OnStop: func(context.Context) error { return reb.Close() },
 	})
-	return k, nil
+	return mgr, nil
 }
 
-func timesOf(l config.Lease) lease.Times {
+func leaseTimes(l config.Lease) lease.Times {
 	const perMille = 1000
 	t := lease.Default()
 	t.TTL, t.Renew, t.Heartbeat = l.TTL.Duration, l.Renew.Duration, l.Heartbeat.Duration
@@ -158,9 +158,8 @@
 	return t
 }
 
-// infos describes a service's servers to its gate before anything is known of
-// them.
-func infos(svc *state.Service) []gate.ServerInfo {
+// serverInfos describes a service's servers to its gate before their state is known.
+func serverInfos(svc *state.Service) []gate.ServerInfo {
 	all := make([]gate.ServerInfo, len(svc.Servers))
 	for i, s := range svc.Servers {
 		all[i] = gate.ServerInfo{Name: s.Name, Centre: s.Centre, Slots: s.Slots, Conns: s.Conns}
@@ -168,61 +167,61 @@
 	return all
 }
 
-// surroundings are the parts that the warden looks at and talks to.
-type surroundings struct {
+// monitorParts are the further parts that the monitor uses.
+type monitorParts struct {
 	fx.In
-	VMs     vmlist.Lister
-	Keeper  *leases.Manager
-	News    *syncer.Syncer
-	Relay   *relay.Relay
-	Journal *ledger.Journal
-	Mover   *rebal.Rebalancer
-}
-
-func newWarden(lc fx.Lifecycle, cfg config.Config, h hands, a surroundings) *monit.Monitor {
-	w := monit.New(monit.Options{
-		VM: cfg.VM, Centre: cfg.Centre, Addr: h.Peers.addr, State: h.State, VMs: a.VMs, Control: h.Control,
-		Leases: a.Keeper, Syncer: a.News, Relay: a.Relay, Peers: mail{h.Peers, link.Heartbeat},
+	VMs        vmlist.Lister
+	Leases     *leases.Manager
+	Syncer     *syncer.Syncer
+	Relay      *relay.Relay
+	Journal    *ledger.Journal
+	Rebalancer *rebal.Rebalancer
+}
+
+func newMonitor(lc fx.Lifecycle, cfg config.Config, p commonParts, mp monitorParts) *monit.Monitor {
+	m := monit.New(monit.Options{
+		VM: cfg.VM, Centre: cfg.Centre, Addr: p.Peers.addr, State: p.State, VMs: mp.VMs, Control: p.Control,
+		Leases: mp.Leases, Syncer: mp.Syncer, Relay: mp.Relay, Peers: kindSender{p.Peers, link.Heartbeat},
 		Listed: func(list []vmlist.VM, live int) {
-			h.Peers.set(list)
-			a.Journal.SetVMCount(live)
-			a.Mover.SetVMs(list)
+			p.Peers.setVMs(list)
+			mp.Journal.SetVMCount(live)
+			mp.Rebalancer.SetVMs(list)
 		},
-		Timeout: cfg.Platform.Timeout.Duration, Log: h.Log,
+		Timeout: cfg.Platform.Timeout.Duration, Log: p.Log,
 	})
 	lc.Append(fx.Hook{
 		OnStart: func(context.Context) error {
-			w.Start()
-			h.Peers.on(link.Heartbeat, w.Handle)
-			h.Peers.heard.Store(new(w.Heard))
-			a.Keeper.OnAnswer(w.Answered)
-			a.News.OnViews(w.Views)
-			a.News.OnList(w.ReadList)
+			m.Start()
+			p.Peers.setHandler(link.Heartbeat, m.Handle)
+			p.Peers.onMessage.Store(new(m.Heard))
+			mp.Leases.OnAnswer(m.Answered)
+			mp.Syncer.OnViews(m.Views)
+			mp.Syncer.OnList(m.ReadList)
 			return nil
 		},
-		OnStop: func(context.Context) error { return w.Close() },
+		OnStop: func(context.Context) error { return m.Close() },
 	})
-	return w
+	return m
 }
 
-func newNews(lc fx.Lifecycle, cfg config.Config, a hands, k *leases.Manager) *syncer.Syncer {
-	n := syncer.New(syncer.Options{
+func newSyncer(lc fx.Lifecycle, cfg config.Config, p commonParts, mgr *leases.Manager) *syncer.Syncer {
+	s := syncer.New(syncer.Options{
 		Self:  gossip.Peer{VM: cfg.VM, Centre: cfg.Centre},
-		Store: a.Store, Rules: &a.State.Rules, Peers: mail{a.Peers, link.Gossip}, Tables: k.Table, Standbys: k.ApplyStandby,
-		Loads:   func(rows []gossip.LoadRow) { weigh(a.State, rows) },
-		Confirm: mail{a.Peers, link.Rules},
-		Timeout: cfg.Platform.Timeout.Duration, Log: a.Log,
+		Store: p.Store, Rules: &p.State.Rules, Peers: kindSender{p.Peers, link.Gossip}, Tables: mgr.Table, Standbys: mgr.ApplyStandby,
+		Loads:   func(rows []gossip.LoadRow) { reportLoads(p.State, rows) },
+		Confirm: kindSender{p.Peers, link.Rules},
+		Timeout: cfg.Platform.Timeout.Duration, Log: p.Log,
 	})
-	a.Peers.on(link.Gossip, n.Handle)
-	a.Peers.on(link.Rules, n.HandleConfirm)
-	k.OnTable(leases.TableHooks{Newer: n.PublishTable, Moved: n.Notify, Standby: n.PublishStandby})
-	closes(lc, n)
-	return n
+	p.Peers.setHandler(link.Gossip, s.Handle)
+	p.Peers.setHandler(link.Rules, s.HandleConfirm)
+	mgr.OnTable(leases.TableHooks{Newer: s.PublishTable, Moved: s.Notify, Standby: s.PublishStandby})
+	closeOnStop(lc, s)
+	return s
 }
 
-// weigh hands loads that peers read to the gates. They only tip the choice
-// between servers that look alike.
-func weigh(s *state.State, rows []gossip.LoadRow) {
+// reportLoads passes loads that peers read to the gates. There they only decide between
+// servers that look alike.
+func reportLoads(s *state.State, rows []gossip.LoadRow) {
 	for _, r := range rows {
 		for _, svc := range s.Services() {
 			if _, ok := svc.Addr(r.Server); ok {
