--- a/internal/edge/perf/path.go
+++ b/internal/edge/perf/path.go
@@ -23,20 +23,19 @@
 	"hawthornfield.org/hawthornfield/internal/rules/revs"
 )
 
-// Path is the request path of one entry VM alone: from the handler to the bytes
-// written to a backend server's connection and back, without network, callers'
-// HTTP server or stand-ins. What it allocates is the path's own, net/http's
-// client included.
+// Path is the request path of one entry VM alone: from the handler to the bytes written
+// to a backend server's connection and back, without network, HTTP server or backend
+// servers. Its allocations are those of the path, including net/http's client.
 type Path struct {
 	front   *front.Front
 	handler http.Handler
 	gate    *gate.Gate
 	request *http.Request
-	answer  sink
+	answer  discardWriter
 }
 
-// NewPath makes a path with 200 rules, of which the last one matches, and one
-// backend server that answers at once.
+// NewPath returns a path with 200 rules, of which the last one matches, and one backend
+// server that answers at once.
 func NewPath() (*Path, error) {
 	at := netip.MustParseAddrPort("10.0.0.1:80")
 	st := state.New([]config.Service{{
@@ -46,7 +45,7 @@
 	svc, _ := st.Service("lookup")
 	svc.Gate = gate.New(gate.Config{Service: "lookup"})
 	svc.Gate.SetServers([]gate.ServerInfo{{Name: "lookup-1", Slots: slots, Conns: conns}})
-	if err := ownAll(svc); err != nil {
+	if err := assignAll(svc); err != nil {
 		return nil, err
 	}
 	set, err := match.Compile(ruleList(DefaultRules))
@@ -58,11 +57,11 @@
 	f := &front.Front{
 		VM: "vm-1", State: st, Limit: config.Config{}.Fill().Limit,
 		Relay: relay.New(relay.Config{Open: func(context.Context, netip.AddrPort) (net.Conn, error) {
-			return newCanned(), nil
+			return newCannedConn(), nil
 		}}),
 	}
 	f.Start()
-	p := &Path{front: f, handler: f.Handler(), gate: svc.Gate, answer: sink{header: http.Header{}}}
+	p := &Path{front: f, handler: f.Handler(), gate: svc.Gate, answer: discardWriter{header: http.Header{}}}
 	p.request = &http.Request{
 		Method: http.MethodGet, Host: "x", URL: &url.URL{Path: "/scales/north"}, Proto: "HTTP/1.1",
 		ProtoMajor: 1, ProtoMinor: 1, RemoteAddr: "10.0.0.9:1",
@@ -71,7 +70,7 @@
 	return p, nil
 }
 
-func ownAll(svc *state.Service) error {
+func assignAll(svc *state.Service) error {
 	tab, err := table.New("lookup", slices, "lookup-1")
 	if err != nil {
 		return err
@@ -87,7 +86,7 @@
 	return nil
 }
 
-// Close ends the path.
+// Close closes the parts of the path.
 func (p *Path) Close() error {
 	err := p.front.Relay.Close()
 	if e := p.gate.Close(); err == nil {
@@ -99,8 +98,8 @@
 	return err
 }
 
-// Once takes one request along the path. It fails with kind Internal when the
-// answer is not the expected one.
+// Once sends one request along the path. It fails with kind Internal if the answer is
+// not the expected one.
 func (p *Path) Once() error {
 	p.answer.reset()
 	p.handler.ServeHTTP(&p.answer, p.request)
@@ -110,7 +109,8 @@
 	return nil
 }
 
-// Allocs returns the allocations and the time of one request, as means over n.
+// Allocs returns the mean number and bytes of allocations of one request and its mean
+// time, over n requests.
 func (p *Path) Allocs(n int) (allocs, bytes float64, took time.Duration, err error) {
 	for range 100 {
 		if err := p.Once(); err != nil {
@@ -132,27 +132,27 @@
 	return allocs, bytes, took, nil
 }
 
-// sink takes an answer and keeps nothing of it.
-type sink struct {
+// discardWriter is a response writer that counts the body's bytes and discards them.
+type discardWriter struct {
 	header http.Header
 	code   int
 	n      int
 }
 
-func (s *sink) reset() {
-	clear(s.header)
-	s.code, s.n = 0, 0
+func (w *discardWriter) reset() {
+	clear(w.header)
+	w.code, w.n = 0, 0
 }
 
 // Header returns the answer's header.
-func (s *sink) Header() http.Header { return s.header }
+func (w *discardWriter) Header() http.Header { return w.header }
 
-// WriteHeader notes the status.
-func (s *sink) WriteHeader(code int) { s.code = code }
+// WriteHeader stores the status.
+func (w *discardWriter) WriteHeader(code int) { w.code = code }
 
 // Write counts the bytes.
-func (s *sink) Write(b []byte) (int, error) {
-	s.n += len(b)
+func (w *discardWriter) Write(b []byte) (int, error) {
+	w.n += len(b)
 	return len(b), nil
 }
 
@@ -163,67 +163,67 @@
 	headEnd      = []byte("\r\n\r\n")
 )
 
-// canned is a connection to a backend server that answers every request with
-// the same bytes and allocates nothing.
-type canned struct {
+// cannedConn is a connection to a backend server that answers every request with the
+// same bytes and allocates nothing.
+type cannedConn struct {
 	mu     sync.Mutex
-	more   *sync.Cond
-	left   []byte
+	ready  *sync.Cond
+	unread []byte
 	closed bool
 }
 
-func newCanned() *canned {
-	c := &canned{}
-	c.more = sync.NewCond(&c.mu)
+func newCannedConn() *cannedConn {
+	c := &cannedConn{}
+	c.ready = sync.NewCond(&c.mu)
 	return c
 }
 
-// Write takes a request; when its header ends, the answer is ready.
-func (c *canned) Write(b []byte) (int, error) {
+// Write takes part of a request; at the end of its header the answer becomes readable.
+func (c *cannedConn) Write(b []byte) (int, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if bytes.HasSuffix(b, headEnd) {
-		c.left = cannedAnswer
-		c.more.Signal()
+		c.unread = cannedAnswer
+		c.ready.Signal()
 	}
 	return len(b), nil
 }
 
-// Read hands out the answer.
-func (c *canned) Read(b []byte) (int, error) {
+// Read returns the answer, and blocks until there is one.
+func (c *cannedConn) Read(b []byte) (int, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for len(c.left) == 0 {
+	for len(c.unread) == 0 {
 		if c.closed {
 			return 0, net.ErrClosed
 		}
-		c.more.Wait()
+		c.ready.Wait()
 	}
-	n := copy(b, c.left)
-	c.left = c.left[n:]
+	n := copy(b, c.unread)
+	c.unread = c.unread[n:]
 	return n, nil
 }
 
 // Close wakes a waiting Read.
-func (c *canned) Close() error {
+func (c *cannedConn) Close() error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.closed = true
-	c.more.Broadcast()
+	c.ready.Broadcast()
 	return nil
 }
 
-// LocalAddr returns no particular address.
-func (c *canned) LocalAddr() net.Addr { return &net.TCPAddr{} }
+// LocalAddr returns an empty address.
+func (c *cannedConn) LocalAddr() net.Addr { return &net.TCPAddr{} }
 
-// RemoteAddr returns no particular address.
-func (c *canned) RemoteAddr() net.Addr { return &net.TCPAddr{} }
+// RemoteAddr returns an empty address.
+func (c *cannedConn) RemoteAddr() net.Addr { return &net.TCPAddr{} }
 
-// SetDeadline does nothing: the answer is always there.
-func (c *canned) SetDeadline(time.Time) error { return nil }
+// SetDeadline does nothing: no read has to time out.
+func (c *cannedConn) SetDeadline(time.Time) error { return nil }
 
 // SetReadDeadline does nothing.
-func (c *canned) SetReadDeadline(time.Time) error { return nil }
+func (c *cannedConn) SetReadDeadline(time.Time) error { return nil }
 
 // SetWriteDeadline does nothing.
-func (c *canned) SetWriteDeadline(time.Time) error { return nil }
+func (c *cannedConn) SetWriteDeadline(time.Time) error { return nil }
