--- a/internal/edge/leases/fleet_test.go
+++ b/internal/edge/leases/fleet_test.go
@@ -158,8 +158,8 @@
 }
 
 func (c fleetControl) Grant(ctx context.Context, to netip.AddrPort, o server.Order) (server.Reply, error) {
-	return c.call(ctx, to, func(h *fakeServer) server.Reply {
-		r := h.apply(o, false)
+	return c.call(ctx, to, func(s *fakeServer) server.Reply {
+		r := s.apply(o, false)
 		if r.Done && o.Full && !c.f.lostAt.IsZero() {
 			for _, x := range o.Slices {
 				if _, ok := c.f.served[x]; !ok {
@@ -172,20 +172,20 @@
 }
 
 func (c fleetControl) Revoke(ctx context.Context, to netip.AddrPort, o server.Order) (server.Reply, error) {
-	return c.call(ctx, to, func(h *fakeServer) server.Reply { return h.apply(o, true) })
+	return c.call(ctx, to, func(s *fakeServer) server.Reply { return s.apply(o, true) })
 }
 
 func (c fleetControl) Read(ctx context.Context, to netip.AddrPort, _ ident.Service, _ ident.Server) (server.Reply, error) {
-	return c.call(ctx, to, func(h *fakeServer) server.Reply { return h.reply(true, "") })
+	return c.call(ctx, to, func(s *fakeServer) server.Reply { return s.reply(true, "") })
 }
 
 func (c fleetControl) call(ctx context.Context, to netip.AddrPort, do func(*fakeServer) server.Reply) (server.Reply, error) {
 	time.Sleep(c.f.randDelay(time.Millisecond, 2*time.Millisecond))
 	c.f.mu.Lock()
-	h := c.f.byAddr[to]
-	if !h.dead {
+	s := c.f.byAddr[to]
+	if !s.dead {
 		defer c.f.mu.Unlock()
-		return do(h), nil
+		return do(s), nil
 	}
 	c.f.mu.Unlock()
 	<-ctx.Done()
