--- a/internal/edge/leases/manager.go
+++ b/internal/edge/leases/manager.go
@@ -71,8 +71,8 @@
 // Manager runs the lessors of one VM. Create one with New.
 type Manager struct {
 	Options
-	group   group.Group
-	effects group.Group
+	group   group.Group // periodic work
+	effects group.Group // calls that commands started
 
 	onAnswer atomic.Pointer[Answered]
 	hooks    atomic.Pointer[TableHooks]
--- a/internal/edge/monit/monitor.go
+++ b/internal/edge/monit/monitor.go
@@ -64,10 +64,10 @@
 // Monitor watches entry VMs and backend servers. Create one with New, then Start it.
 type Monitor struct {
 	Options
-	group   group.Group
-	effects group.Group
-	vms     *loop.Loop // roster of entry VMs
-	servers *loop.Loop // roster of backend servers
+	group   group.Group // periodic work
+	effects group.Group // calls that commands started
+	vms     *loop.Loop  // roster of entry VMs
+	servers *loop.Loop  // roster of backend servers
 	entries map[ident.Server]serverEntry
 
 	listMu sync.Mutex // held while the list is read
--- a/internal/edge/syncer/syncer.go
+++ b/internal/edge/syncer/syncer.go
@@ -53,8 +53,8 @@
 // Syncer synchronises one VM with the store and its peers. Create one with New.
 type Syncer struct {
 	Options
-	group   group.Group
-	effects group.Group
+	group   group.Group // periodic work
+	effects group.Group // calls that commands started
 	rules   *loop.Loop
 	gossip  *loop.Loop
 	quorum  *loop.Loop
