--- a/internal/node/gossip/bench_test.go
+++ b/internal/node/gossip/bench_test.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// BenchmarkSecond is what one VM decides in a second at a fleet of that size,
-// without encoding: ten ticks, three pulses with what watchers collected, which
-// are answered, and two probes.
+// BenchmarkSecond measures the decisions of one VM in a second at each fleet size,
+// without encoding: ten ticks, three heartbeats with merged views, which are
+// answered, and two probes.
 func BenchmarkSecond(b *testing.B) {
 	for _, n := range []int{10, 50, 200, 520} {
 		b.Run("vms="+strconv.Itoa(n), func(b *testing.B) {
@@ -24,12 +24,12 @@
 				}
 				for i := range 3 {
 					p := &Heartbeat{
-						Root: m.order[i], Seq: uint64(now.UnixMilli()), Sum: m.sum, Turn: i, List: m.list().sum,
-						Ask: true, Back: 1000, View: &View{Responders: []byte{byHoles}},
+						Root: m.order[i], Seq: uint64(now.UnixMilli()), Sum: m.sum, TreeIndex: i, PeerList: m.currentList().sum,
+						Ask: true, ViewAge: 1000, View: &View{Responders: []byte{encodedHoles}},
 					}
 					m.Update(now, PacketMsg{From: m.order[i], Packet: Packet{Heartbeat: p}})
 				}
-				for i := range probes {
+				for i := range probesPerPeriod {
 					m.Update(now, PacketMsg{From: m.order[i], Packet: Packet{Probe: &Probe{Sum: m.sum, Rows: []LoadRow{{Server: "s1", Age: time.Second}}}}})
 				}
 			}
--- a/internal/node/gossip/gossip_test.go
+++ b/internal/node/gossip/gossip_test.go
@@ -24,7 +24,7 @@
 	return out
 }
 
-func body(rev int) []byte {
+func valueBody(rev int) []byte {
 	b := make([]byte, 600)
 	for i := range b {
 		b[i] = byte(i * 31 / 7)
@@ -36,76 +36,76 @@
 }
 
 func headOf(rev int) Head {
-	return Head{Name: "rules", Rev: ident.Revision(rev), Sum: digest.Of(body(rev))}
+	return Head{Name: "rules", Rev: ident.Revision(rev), Sum: digest.Of(valueBody(rev))}
 }
 
-// net carries packets between models by hand.
-type net struct {
+// network carries packets between models; the test decides which and when.
+type network struct {
 	now   time.Time
 	nodes map[ident.VM]*Model
-	wire  []sent
+	wire  []sentPacket
 	cmds  map[ident.VM][]loop.Cmd
 }
 
-type sent struct {
+type sentPacket struct {
 	from ident.VM
 	SendCmd
 }
 
-func newNet(n int) *net {
-	x := &net{now: t0, nodes: map[ident.VM]*Model{}, cmds: map[ident.VM][]loop.Cmd{}}
+func newNet(n int) *network {
+	x := &network{now: t0, nodes: map[ident.VM]*Model{}, cmds: map[ident.VM][]loop.Cmd{}}
 	peers := peersOf(n)
 	for _, p := range peers {
 		x.nodes[p.VM] = New(t0, p)
 	}
 	for _, p := range peers {
-		x.tell(p.VM, PeersMsg{Live: peers})
+		x.update(p.VM, PeersMsg{Live: peers})
 	}
 	return x
 }
 
-func (x *net) tell(vm ident.VM, msg loop.Msg) {
+func (x *network) update(vm ident.VM, msg loop.Msg) {
 	_, cmds := x.nodes[vm].Update(x.now, msg)
 	for _, c := range cmds {
 		if s, ok := c.(SendCmd); ok {
-			x.wire = append(x.wire, sent{from: vm, SendCmd: s})
+			x.wire = append(x.wire, sentPacket{from: vm, SendCmd: s})
 			continue
 		}
 		x.cmds[vm] = append(x.cmds[vm], c)
 	}
 }
 
-// deliver hands over packet i.
-func (x *net) deliver(i int, keep bool) {
+// deliver delivers packet i, and keeps it for another delivery if keep is set.
+func (x *network) deliver(i int, keep bool) {
 	s := x.wire[i]
 	if !keep {
 		x.wire = append(x.wire[:i:i], x.wire[i+1:]...)
 	}
 	if x.nodes[s.To] != nil {
-		x.tell(s.To, PacketMsg{From: s.from, Packet: s.Packet})
+		x.update(s.To, PacketMsg{From: s.from, Packet: s.Packet})
 	}
 }
 
-func (x *net) flush() {
+func (x *network) flush() {
 	for len(x.wire) > 0 {
 		x.deliver(0, false)
 	}
 }
 
-// run lets time pass in ticks and delivers everything.
-func (x *net) run(d time.Duration) {
+// run advances the time in ticks and delivers all packets.
+func (x *network) run(d time.Duration) {
 	for end := x.now.Add(d); x.now.Before(end); {
 		x.now = x.now.Add(TickInterval)
 		for i := range len(x.nodes) + 4 {
 			if vm := ident.VM("vm" + strconv.Itoa(i)); x.nodes[vm] != nil {
-				x.tell(vm, TickMsg{})
+				x.update(vm, TickMsg{})
 			}
 		}
 		x.flush()
 	}
 }
 
-func (x *net) watchers() (n int) {
+func (x *network) watchers() (n int) {
 	for _, m := range x.nodes {
 		if m.Watches() {
 			n++
@@ -114,8 +114,8 @@
 	return n
 }
 
-// A watcher's VM is lost and the list of VMs still shows it. Another steps in,
-// and only one: if all did, the store would be flooded just when a fault makes
+// A watcher is lost while the list of VMs still shows it. Exactly one other VM
+// must take over: if all did, they would flood the store just when a fault makes
 // its answers slow.
 func TestOneVMReplacesALostWatcher(t *testing.T) {
 	for n := 5; n <= 24; n++ {
@@ -137,7 +137,7 @@
 	}
 }
 
-func TestWatchersStandInDifferentCentres(t *testing.T) {
+func TestWatchersAreInDifferentCentres(t *testing.T) {
 	peers := peersOf(40)
 	centre := map[ident.VM]ident.Centre{}
 	for _, p := range peers {
@@ -151,7 +151,7 @@
 }
 
 // Every VM must be in each tree once, and have children in at most one of the
-// trees of the first roots: otherwise one lost VM would cut others off twice.
+// watchers' trees: otherwise one lost VM would cut others off in two trees.
 func TestTreesReachAllAndShareNoInnerVM(t *testing.T) {
 	for _, n := range []int{1, 2, 5, 10, 50, 200, 520} {
 		order := watchOrder(peersOf(n))
@@ -179,9 +179,9 @@
 	}
 }
 
-// A VM that does not watch the store moves a key just after an outage, when the
-// watchers still wait before their next look. The next owner's VM must hear of it
-// at once: nobody serves the key until then.
+// A VM that does not watch the store moves a key just after an outage, while the
+// watchers still wait before their next read. The next owner's VM must learn of it
+// at once, since nobody serves the key until then.
 func TestAWritersValueDoesNotWaitForTheWatchers(t *testing.T) {
 	x := newNet(12)
 	x.run(2 * time.Second)
@@ -192,137 +192,136 @@
 		}
 	}
 	x.now = x.now.Add(TickInterval / 2)
-	x.tell(writer, ValueMsg{Name: "table/lookup", Rev: 7, Raw: body(1)})
-	x.tell(writer, NotifyMsg{Name: "table/lookup", To: []ident.VM{next}})
+	x.update(writer, ValueMsg{Name: "table/lookup", Rev: 7, Raw: valueBody(1)})
+	x.update(writer, NotifyMsg{Name: "table/lookup", To: []ident.VM{next}})
 	x.flush()
 	h, _ := x.nodes[next].Head("table/lookup")
 	assert.Equal(t, h.Rev, ident.Revision(7))
-	x.run(gap + 2*TickInterval)
+	x.run(minHeartbeatGap + 2*TickInterval)
 	for vm, m := range x.nodes {
 		h, _ := m.Head("table/lookup")
 		assert.Equal(t, h.Rev, ident.Revision(7), "%s", vm)
 	}
 }
 
-// Another VM wrote the table for the one that moves a key, and the mover is told
-// so before the table itself reaches it. The next owner's VM must not be told of
-// the table before, and then of nothing.
-func TestWhoIsToldHearsOfTheRevisionThatIsMeant(t *testing.T) {
+// A VM that moves a key is notified of a table revision that another VM wrote,
+// before the table arrives. The next owner's VM must get that revision, not an
+// announcement of the older one and then nothing.
+func TestNotifiedVMGetsTheRequestedRevision(t *testing.T) {
 	x := newNet(6)
 	x.run(time.Second)
-	x.tell("vm0", ValueMsg{Name: "table/lookup", Rev: 6, Raw: body(1)})
+	x.update("vm0", ValueMsg{Name: "table/lookup", Rev: 6, Raw: valueBody(1)})
 	x.flush()
-	x.tell("vm0", NotifyMsg{Name: "table/lookup", Rev: 7, To: []ident.VM{"vm3"}})
+	x.update("vm0", NotifyMsg{Name: "table/lookup", Rev: 7, To: []ident.VM{"vm3"}})
 	assert.Equal(t, len(x.wire), 0)
-	x.tell("vm0", ValueMsg{Name: "table/lookup", Rev: 7, Raw: body(2)})
+	x.update("vm0", ValueMsg{Name: "table/lookup", Rev: 7, Raw: valueBody(2)})
 	x.flush()
 	h, _ := x.nodes["vm3"].Head("table/lookup")
 	assert.Equal(t, h.Rev, ident.Revision(7))
-	assert.Equal(t, len(x.nodes["vm0"].owed), 0)
+	assert.Equal(t, len(x.nodes["vm0"].pendingNotify), 0)
 }
 
-// A VM starts while the store is down. It gets the newest rules from its peers,
-// whole, and checks them against the digest that was announced.
+// A VM starts while the store is down. It must get the newest rules from its peers
+// as a whole value, verified by the announced digest.
 func TestANewVMGetsTheNewestFromPeersDuringAnOutage(t *testing.T) {
 	x := newNet(6)
 	for i := 1; i <= 3; i++ {
-		x.tell("vm0", ValueMsg{Name: "rules", Rev: ident.Revision(i), Raw: body(i)})
+		x.update("vm0", ValueMsg{Name: "rules", Rev: ident.Revision(i), Raw: valueBody(i)})
 		x.run(2 * time.Second)
 	}
 	fresh := Peer{VM: "vm6", Centre: "dc1"}
 	x.nodes["vm6"] = New(x.now, fresh)
-	x.tell("vm6", PeersMsg{Live: append(peersOf(6), fresh)})
+	x.update("vm6", PeersMsg{Live: append(peersOf(6), fresh)})
 	x.flush()
 	h, ok := x.nodes["vm6"].Head("rules")
 	assert.Assert(t, ok)
 	assert.Equal(t, h, headOf(3))
 }
 
-// A peer answers with other bytes than it announced, by a fault of its memory or
-// its program. The receiver keeps what it has, asks for the whole value, and
-// then asks somebody else.
-func TestAValueThatDoesNotFitItsDigestIsRefused(t *testing.T) {
+// A faulty peer answers with other bytes than it announced. The receiver must keep
+// its value, request the whole value, and then ask another VM.
+func TestAValueThatDoesNotMatchItsDigestIsRefused(t *testing.T) {
 	x := newNet(3)
 	x.run(time.Second)
-	x.tell("vm0", ValueMsg{Name: "rules", Rev: 1, Raw: body(1)})
+	x.update("vm0", ValueMsg{Name: "rules", Rev: 1, Raw: valueBody(1)})
 	x.run(3 * time.Second)
 	m := x.nodes["vm1"]
 	assert.Equal(t, m.values["rules"].Rev, ident.Revision(1))
 	h := headOf(2)
-	x.tell("vm1", PacketMsg{From: "vm2", Packet: Packet{Heads: &Heads{List: []Head{h}, Part: true}}})
-	assert.Equal(t, x.wire[0].Packet.Want.Have, ident.Revision(1))
+	x.update("vm1", PacketMsg{From: "vm2", Packet: Packet{Heads: &Heads{List: []Head{h}, Part: true}}})
+	assert.Equal(t, x.wire[0].Packet.Request.Have, ident.Revision(1))
 	x.wire = nil
-	x.tell("vm1", PacketMsg{From: "vm2", Packet: Packet{Value: &Value{Head: h, Base: 1, Diffs: [][]byte{{1}}}}})
-	assert.Equal(t, x.wire[0].Packet.Want.Have, ident.Revision(0))
+	x.update("vm1", PacketMsg{From: "vm2", Packet: Packet{Value: &Value{Head: h, Base: 1, Diffs: [][]byte{{1}}}}})
+	assert.Equal(t, x.wire[0].Packet.Request.Have, ident.Revision(0))
 	x.wire = nil
-	x.tell("vm1", PacketMsg{From: "vm2", Packet: Packet{Value: &Value{Head: h, Raw: body(9)}}})
+	x.update("vm1", PacketMsg{From: "vm2", Packet: Packet{Value: &Value{Head: h, Raw: valueBody(9)}}})
 	assert.Equal(t, m.values["rules"].Rev, ident.Revision(1))
-	x.now = x.now.Add(again)
-	x.tell("vm1", TickMsg{})
+	x.now = x.now.Add(fetchRetry)
+	x.update("vm1", TickMsg{})
 	asked := ident.VM("")
 	for _, s := range x.wire {
-		if s.Packet.Want != nil {
+		if s.Packet.Request != nil {
 			asked = s.To
 		}
 	}
 	assert.Equal(t, asked, ident.VM("vm0"))
 }
 
-// A faulty peer announces a revision that does not exist. The VM asks around for
-// a while and stops; a true revision below it still arrives meanwhile.
+// A faulty peer announces a revision that does not exist. The VM must stop asking
+// for it after a while, and still take a real revision below it meanwhile.
 func TestARevisionThatNobodyHasIsGivenUp(t *testing.T) {
 	x := newNet(4)
 	x.run(time.Second)
-	x.tell("vm0", ValueMsg{Name: "rules", Rev: 1, Raw: body(1)})
+	x.update("vm0", ValueMsg{Name: "rules", Rev: 1, Raw: valueBody(1)})
 	x.run(2 * time.Second)
 	h := headOf(9)
-	x.tell("vm1", PacketMsg{From: "vm2", Packet: Packet{Heads: &Heads{List: []Head{h}, Part: true}}})
-	x.tell("vm0", ValueMsg{Name: "rules", Rev: 2, Raw: body(2)})
+	x.update("vm1", PacketMsg{From: "vm2", Packet: Packet{Heads: &Heads{List: []Head{h}, Part: true}}})
+	x.update("vm0", ValueMsg{Name: "rules", Rev: 2, Raw: valueBody(2)})
 	x.run(3 * time.Second)
 	got, _ := x.nodes["vm1"].Head("rules")
 	assert.Equal(t, got, headOf(2))
-	x.run(giveUp)
+	x.run(fetchTimeout)
 	assert.Equal(t, len(x.nodes["vm1"].fetches), 0)
 	assert.Equal(t, len(x.nodes["vm1"].waiting), 0)
 }
 
-// Pulses are held back while a link is cut and all arrive when it heals, or a
+// Heartbeats are held back while a link is cut and arrive when it recovers, or a
 // paused process sends an old one. They must not make old news of the store look
 // fresh, or the receiver would go on answering under rules that have changed.
-func TestADelayedPulseIsNotFreshNews(t *testing.T) {
+func TestADelayedHeartbeatIsNotFreshNews(t *testing.T) {
 	m := New(t0, peersOf(2)[1])
 	m.Update(t0, PeersMsg{Live: peersOf(2)})
 	seq := uint64(t0.UnixMilli())
-	pulse := func(at time.Duration) Packet {
+	heartbeat := func(at time.Duration) Packet {
 		return Packet{Heartbeat: &Heartbeat{Root: "vm0", Seq: seq + uint64(at/time.Millisecond), Sum: m.sum}}
 	}
-	m.Update(t0.Add(2*time.Millisecond), PacketMsg{From: "vm0", Packet: pulse(0)})
+	m.Update(t0.Add(2*time.Millisecond), PacketMsg{From: "vm0", Packet: heartbeat(0)})
 	assert.Equal(t, m.storeAt, t0.Add(2*time.Millisecond))
-	m.Update(t0.Add(9*time.Second), PacketMsg{From: "vm0", Packet: pulse(2 * time.Second)})
+	m.Update(t0.Add(9*time.Second), PacketMsg{From: "vm0", Packet: heartbeat(2 * time.Second)})
 	assert.Assert(t, m.storeAt.Before(t0.Add(2100*time.Millisecond)), "%v", m.storeAt.Sub(t0))
-	s := m.sight(t0.Add(9 * time.Second)).(ContactCmd)
+	s := m.contact(t0.Add(9 * time.Second)).(ContactCmd)
 	assert.Assert(t, !s.Store)
-	m.Update(t0.Add(10*time.Second), PacketMsg{From: "vm0", Packet: pulse(9998 * time.Millisecond)})
-	assert.Assert(t, m.sight(t0.Add(10*time.Second)).(ContactCmd).Store)
+	m.Update(t0.Add(10*time.Second), PacketMsg{From: "vm0", Packet: heartbeat(9998 * time.Millisecond)})
+	assert.Assert(t, m.contact(t0.Add(10*time.Second)).(ContactCmd).Store)
 }
 
-// A watcher is paused between the store's answer and the moment it handles it.
-// The answer is as old as the question, and so is what it tells the others.
-func TestAnAnswerOfTheStoreIsAsOldAsItsQuestion(t *testing.T) {
+// A watcher is paused between the store's answer and its handling. The answer must
+// count from the time of the call, also in what the watcher reports to others.
+func TestAStoreAnswerCountsFromTheTimeOfTheCall(t *testing.T) {
 	m := New(t0, peersOf(1)[0])
 	now := t0.Add(10 * time.Second)
 	m.Update(now, StoreMsg{Asked: t0})
-	assert.Assert(t, !m.sight(now).(ContactCmd).Store)
+	assert.Assert(t, !m.contact(now).(ContactCmd).Store)
 	assert.Equal(t, m.storeAge(now), 10*time.Second)
 	m.Update(now, StoreMsg{Asked: now.Add(-time.Second)})
-	s := m.sight(now).(ContactCmd)
+	s := m.contact(now).(ContactCmd)
 	assert.Assert(t, s.Store)
 	assert.Assert(t, s.At.Equal(now.Add(-time.Second)))
 }
 
-// A VM hears a few others but neither the store nor most VMs; the pulse of its
-// small group counts few, and that is what it must report.
-func TestAMinorityKnowsThatItIsOne(t *testing.T) {
+// A VM hears a few VMs, but neither the store nor a majority. The heartbeats of
+// its small group count few VMs, and it must report no more than these.
+func TestAMinorityReportsFewHeardVMs(t *testing.T) {
 	x := newNet(9)
 	x.run(2 * time.Second)
 	for i := 3; i < 9; i++ {
@@ -345,16 +344,16 @@
 	}
 }
 
-// Two VMs each hold something newer than the other, after a cut between them.
-// One comparison brings both up to date, and the exchange then ends.
-func TestAProbeHelpsBothSides(t *testing.T) {
+// After a cut between two VMs, each holds a value that is newer than the other's.
+// One comparison must bring both up to date, and the exchange must then end.
+func TestAProbeUpdatesBothSides(t *testing.T) {
 	x := newNet(2)
 	x.flush()
-	x.tell("vm0", ValueMsg{Name: "rules", Rev: 1, Raw: body(1)})
-	x.tell("vm1", ValueMsg{Name: "table/a", Rev: 1, Raw: body(2)})
-	x.tell("vm0", ValueMsg{Name: "table/b", Rev: 1, Raw: body(3)})
+	x.update("vm0", ValueMsg{Name: "rules", Rev: 1, Raw: valueBody(1)})
+	x.update("vm1", ValueMsg{Name: "table/a", Rev: 1, Raw: valueBody(2)})
+	x.update("vm0", ValueMsg{Name: "table/b", Rev: 1, Raw: valueBody(3)})
 	assert.Equal(t, len(x.wire), 0)
-	x.tell("vm0", PacketMsg{From: "vm1", Packet: Packet{Probe: &Probe{Sum: x.nodes["vm1"].sum}}})
+	x.update("vm0", PacketMsg{From: "vm1", Packet: Packet{Probe: &Probe{Sum: x.nodes["vm1"].sum}}})
 	for range 20 {
 		if len(x.wire) > 0 {
 			x.deliver(0, false)
@@ -365,21 +364,21 @@
 	assert.Equal(t, len(x.nodes["vm0"].values), 3)
 }
 
-func TestLoadRowsTravelWithTheirAge(t *testing.T) {
+func TestLoadRowsKeepTheirAge(t *testing.T) {
 	x := newNet(4)
-	x.tell("vm2", ReportMsg{Rows: []LoadRow{{Server: "s1", Slots: 4, Busy: 3}}})
+	x.update("vm2", ReportMsg{Rows: []LoadRow{{Server: "s1", Slots: 4, Busy: 3}}})
 	x.run(2500 * time.Millisecond)
 	r := x.nodes["vm1"].rows["s1"]
 	assert.Equal(t, r.Busy, 3)
 	assert.Assert(t, r.at.Equal(t0), "%v", r.at.Sub(t0))
-	x.tell("vm1", PacketMsg{From: "vm3", Packet: Packet{Probe: &Probe{Rows: []LoadRow{{Server: "s1", Busy: 9, Age: time.Minute}}}}})
+	x.update("vm1", PacketMsg{From: "vm3", Packet: Packet{Probe: &Probe{Rows: []LoadRow{{Server: "s1", Busy: 9, Age: time.Minute}}}}})
 	assert.Equal(t, x.nodes["vm1"].rows["s1"].Busy, 3)
 }
 
-// Packets are lost, doubled and overtaken while revisions follow each other and
-// are read by different watchers at different times. What a VM holds is always
-// the content of a true revision, its revision only rises, and once packets
-// arrive again all VMs hold the newest.
+// Packets are lost, duplicated and reordered while revisions follow each other and
+// different watchers read them at different times. Each VM must always hold the
+// content of a real revision, its revision must only rise, and once packets arrive
+// again all VMs must hold the newest.
 func TestRevisionsOnlyRiseAndAllVMsAgreeInTheEnd(t *testing.T) {
 	seeds.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(2, 6).Draw(t, "vms")
@@ -391,13 +390,13 @@
 			switch what := rapid.IntRange(0, 9).Draw(t, "what"); {
 			case what == 0:
 				rev++
-				x.tell(vm, ValueMsg{Name: "rules", Rev: ident.Revision(rev), Raw: body(rev)})
+				x.update(vm, ValueMsg{Name: "rules", Rev: ident.Revision(rev), Raw: valueBody(rev)})
 			case what == 1 && rev > 0:
 				old := rapid.IntRange(1, rev).Draw(t, "old")
-				x.tell(vm, ValueMsg{Name: "rules", Rev: ident.Revision(old), Raw: body(old)})
+				x.update(vm, ValueMsg{Name: "rules", Rev: ident.Revision(old), Raw: valueBody(old)})
 			case what <= 3:
 				x.now = x.now.Add(TickInterval)
-				x.tell(vm, TickMsg{})
+				x.update(vm, TickMsg{})
 			case what == 4 && len(x.wire) > 0:
 				i := rapid.IntRange(0, len(x.wire)-1).Draw(t, "lost")
 				x.wire = append(x.wire[:i:i], x.wire[i+1:]...)
--- a/internal/node/gossip/packet.go
+++ b/internal/node/gossip/packet.go
@@ -10,18 +10,18 @@
 	"hawthornfield.org/hawthornfield/internal/core/wire"
 )
 
-// Packet is what one entry VM sends to another: exactly one of the parts.
+// Packet is what one entry VM sends to another. Exactly one field is set.
 type Packet struct {
 	Heartbeat *Heartbeat `cbor:"1,keyasint,omitempty"`
 	Ack       *Ack       `cbor:"2,keyasint,omitempty"`
 	Probe     *Probe     `cbor:"3,keyasint,omitempty"`
 	Heads     *Heads     `cbor:"4,keyasint,omitempty"`
-	Want      *Want      `cbor:"5,keyasint,omitempty"`
+	Request   *Request   `cbor:"5,keyasint,omitempty"`
 	Value     *Value     `cbor:"6,keyasint,omitempty"`
 	News      *News      `cbor:"7,keyasint,omitempty"`
 }
 
-// Head names one revision of one value.
+// Head identifies one revision of a named value.
 type Head struct {
 	Name string         `cbor:"name"`
 	Rev  ident.Revision `cbor:"rev"`
@@ -35,23 +35,24 @@
 	Seq   uint64        `cbor:"2,keyasint"` // milliseconds on the root's clock
 	Sum   digest.Sum    `cbor:"3,keyasint"` // over all heads that the root holds
 	Age   time.Duration `cbor:"4,keyasint"` // since the root last heard the store
-	Heard int           `cbor:"5,keyasint"` // VMs that answered the pulse before
+	Heard int           `cbor:"5,keyasint"` // VMs that answered an earlier heartbeat
 	Heads []Head        `cbor:"6,keyasint,omitempty"`
-	// Ask wants an answer up the tree. View is what the answers to the pulse Back
-	// milliseconds ago said, with what was heard since.
-	Ask  bool   `cbor:"7,keyasint,omitempty"`
-	Back uint64 `cbor:"8,keyasint,omitempty"`
-	View *View  `cbor:"9,keyasint,omitempty"`
-	// List and Turn say how the tree is laid; see newTree.
-	List uint32 `cbor:"10,keyasint,omitempty"`
-	Turn int    `cbor:"11,keyasint,omitempty"`
-	// Read names the platform's list as the root read it Old milliseconds ago.
-	Read uint32 `cbor:"12,keyasint,omitempty"`
-	Old  int64  `cbor:"13,keyasint,omitempty"`
-}
-
-// Ack goes up the tree and counts the VMs that a pulse reached, with what they
-// say.
+	// Ask requests an Ack up the tree. View merges what the answers to the
+	// heartbeat ViewAge milliseconds ago said with the news since then.
+	Ask     bool   `cbor:"7,keyasint,omitempty"`
+	ViewAge uint64 `cbor:"8,keyasint,omitempty"`
+	View    *View  `cbor:"9,keyasint,omitempty"`
+	// PeerList and TreeIndex determine the tree; see newTree.
+	PeerList  uint32 `cbor:"10,keyasint,omitempty"`
+	TreeIndex int    `cbor:"11,keyasint,omitempty"`
+	// ListRead is the sum of the platform's list that the root read ListAge
+	// milliseconds ago.
+	ListRead uint32 `cbor:"12,keyasint,omitempty"`
+	ListAge  int64  `cbor:"13,keyasint,omitempty"`
+}
+
+// Ack goes up the tree in answer to a heartbeat. It counts the VMs of a subtree
+// that the heartbeat reached and merges their views.
 type Ack struct {
 	Root ident.VM `cbor:"1,keyasint"`
 	Seq  uint64   `cbor:"2,keyasint"`
@@ -59,28 +60,31 @@
 	View *View    `cbor:"4,keyasint,omitempty"`
 }
 
-// Probe compares two VMs outside the trees and carries load rows. A receiver
-// whose Sum differs answers with its Heads.
+// Probe compares the state of two VMs outside the trees and carries load rows. A
+// receiver whose Sum differs answers with its Heads.
 type Probe struct {
 	Sum  digest.Sum `cbor:"1,keyasint"`
 	Rows []LoadRow  `cbor:"2,keyasint,omitempty"`
 }
 
-// Heads lists the revisions that the sender holds: all, or a part of them that
-// needs no answer.
+// Heads lists heads that the sender holds: all of them, or only some if Part is
+// set. The receiver of a partial list does not answer with the heads that it
+// misses in it.
 type Heads struct {
 	List []Head `cbor:"list"`
 	Part bool   `cbor:"part,omitempty"`
 }
 
-// Want asks for a value; Have is the revision that the sender holds.
-type Want struct {
+// Request asks for a value. Have is the revision that the sender holds, 0 for
+// none.
+type Request struct {
 	Name string         `cbor:"name"`
 	Have ident.Revision `cbor:"have"`
-	Sum  digest.Sum     `cbor:"sum"` // of what it holds
+	Sum  digest.Sum     `cbor:"sum"` // of the value that the sender holds
 }
 
-// Value brings a value: as differences that follow on Base, or whole.
+// Value delivers a value: whole in Raw, or as differences to be applied in order
+// to revision Base.
 type Value struct {
 	Head  Head           `cbor:"head"`
 	Base  ident.Revision `cbor:"base,omitempty"`
@@ -88,20 +92,20 @@
 	Raw   []byte         `cbor:"raw,omitempty"`
 }
 
-// LoadRow is one backend server's load as the VM that holds its seat read it. Its
-// age travels in whole milliseconds, rounded up: a row never looks newer than it
-// is.
+// LoadRow is the load of one backend server, read by the VM that holds its seat.
+// On the wire Age is in whole milliseconds, rounded up, so that a row never looks
+// newer than it is.
 type LoadRow struct {
 	Server ident.Server
 	Slots  int
 	Busy   int
 	Queue  int
-	Age    time.Duration // since it was read
+	Age    time.Duration // since the load was read
 }
 
-// rowForm is a row on its way. Rows are most of what VMs tell each other while
-// all is well, so they carry no names of fields.
-type rowForm struct {
+// wireRow is the wire form of a LoadRow. Rows are most of the traffic in normal
+// operation, so they are encoded as arrays without field names.
+type wireRow struct {
 	_      struct{} `cbor:",toarray"`
 	Server ident.Server
 	Slots  int
@@ -113,53 +117,56 @@
 // MarshalCBOR implements the codec's interface.
 func (r LoadRow) MarshalCBOR() ([]byte, error) {
 	age := (r.Age + time.Millisecond - 1) / time.Millisecond
-	return wire.Encode(rowForm{Server: r.Server, Slots: r.Slots, Busy: r.Busy, Queue: r.Queue, Age: int64(age)})
+	return wire.Encode(wireRow{Server: r.Server, Slots: r.Slots, Busy: r.Busy, Queue: r.Queue, Age: int64(age)})
 }
 
 // UnmarshalCBOR implements the codec's interface.
 func (r *LoadRow) UnmarshalCBOR(b []byte) error {
-	var f rowForm
+	var f wireRow
 	if err := wire.Decode(b, &f); err != nil {
 		return err
 	}
-	if f.Age < 0 || f.Age > int64(forever/time.Millisecond) {
+	if f.Age < 0 || f.Age > int64(neverHeard/time.Millisecond) {
 		return kinds.New(kinds.Malformed, "age of a load row")
 	}
 	*r = LoadRow{Server: f.Server, Slots: f.Slots, Busy: f.Busy, Queue: f.Queue, Age: time.Duration(f.Age) * time.Millisecond}
 	return nil
 }
 
-// Bounds on what is accepted from a peer.
+// Limits on what is accepted from a peer.
 const (
 	maxHeads = 256 // in one packet
 	maxName  = 256 // bytes
+	// load rows in one probe
 	maxRows  = 64
-	maxValue = 1 << 20
+	maxValue = 1 << 20 // bytes
+	// differences in one Value
 	maxDiffs = 16
 )
 
-// Encode renders the packet.
+// Encode returns the wire form of the packet.
 func (p Packet) Encode() ([]byte, error) { return wire.Encode(p) }
 
-// DecodePacket reads a packet. It fails with kind Malformed on anything that an
-// honest peer does not send.
+// DecodePacket decodes a packet. It fails with kind Malformed on anything that a
+// correct peer does not send, except for excess or invalid heads, which it drops.
 func DecodePacket(b []byte) (Packet, error) {
 	var p Packet
 	if err := wire.Decode(b, &p); err != nil {
 		return Packet{}, err
 	}
 	if p.parts() == 1 {
-		p.skim()
+		p.dropInvalidHeads()
 	}
-	if p.parts() != 1 || !p.sane() {
+	if p.parts() != 1 || !p.valid() {
 		return Packet{}, kinds.New(kinds.Malformed, "peer packet")
 	}
 	return p, nil
 }
 
+// parts returns the number of fields that are set.
 func (p Packet) parts() int {
 	n := 0
-	for _, has := range []bool{p.Heartbeat != nil, p.Ack != nil, p.Probe != nil, p.Heads != nil, p.Want != nil, p.Value != nil, p.News != nil} {
+	for _, has := range []bool{p.Heartbeat != nil, p.Ack != nil, p.Probe != nil, p.Heads != nil, p.Request != nil, p.Value != nil, p.News != nil} {
 		if has {
 			n++
 		}
@@ -167,47 +174,48 @@
 	return n
 }
 
-func (p Packet) sane() bool {
+func (p Packet) valid() bool {
 	switch {
 	case p.Heartbeat != nil:
-		return p.Heartbeat.Age >= 0 && p.Heartbeat.Turn >= 0 && p.Heartbeat.Turn < Watchers && p.Heartbeat.Old >= 0 && p.Heartbeat.Heard >= 0 && (p.Heartbeat.View == nil || saneView(p.Heartbeat.View))
+		return p.Heartbeat.Age >= 0 && p.Heartbeat.TreeIndex >= 0 && p.Heartbeat.TreeIndex < Watchers && p.Heartbeat.ListAge >= 0 && p.Heartbeat.Heard >= 0 && (p.Heartbeat.View == nil || validView(p.Heartbeat.View))
 	case p.Ack != nil:
-		return p.Ack.N >= 0 && (p.Ack.View == nil || saneView(p.Ack.View))
+		return p.Ack.N >= 0 && (p.Ack.View == nil || validView(p.Ack.View))
 	case p.News != nil:
-		return saneView(&p.News.View)
+		return validView(&p.News.View)
 	case p.Probe != nil:
-		return saneRows(p.Probe.Rows)
+		return validRows(p.Probe.Rows)
 	case p.Heads != nil:
 		return true
-	case p.Want != nil:
-		return saneName(p.Want.Name)
+	case p.Request != nil:
+		return validName(p.Request.Name)
 	default:
-		g := p.Value
-		return saneName(g.Head.Name) && len(g.Raw) <= maxValue && len(g.Diffs) <= maxDiffs
+		v := p.Value
+		return validName(v.Head.Name) && len(v.Raw) <= maxValue && len(v.Diffs) <= maxDiffs
 	}
 }
 
-func saneName(s string) bool { return s != "" && len(s) <= maxName }
+func validName(s string) bool { return s != "" && len(s) <= maxName }
 
-// skim leaves out heads that no honest peer sends, and those beyond the bound. One
-// among many must not keep a VM from hearing of all others, the rules among them.
-func (p Packet) skim() {
+// dropInvalidHeads drops heads with an invalid name, and those beyond maxHeads.
+// One invalid head must not keep a VM from learning of all the others, the rules
+// among them.
+func (p Packet) dropInvalidHeads() {
 	switch {
 	case p.Heartbeat != nil:
-		p.Heartbeat.Heads = saneHeads(p.Heartbeat.Heads)
+		p.Heartbeat.Heads = validHeads(p.Heartbeat.Heads)
 	case p.Heads != nil:
-		p.Heads.List = saneHeads(p.Heads.List)
+		p.Heads.List = validHeads(p.Heads.List)
 	}
 }
 
-func saneHeads(list []Head) []Head {
-	list = slices.DeleteFunc(list, func(h Head) bool { return !saneName(h.Name) })
+func validHeads(list []Head) []Head {
+	list = slices.DeleteFunc(list, func(h Head) bool { return !validName(h.Name) })
 	return list[:min(len(list), maxHeads)]
 }
 
-func saneRows(rows []LoadRow) bool {
+func validRows(rows []LoadRow) bool {
 	for _, r := range rows {
-		if !saneName(string(r.Server)) || r.Age < 0 {
+		if !validName(string(r.Server)) || r.Age < 0 {
 			return false
 		}
 	}
--- a/internal/node/gossip/value.go
+++ b/internal/node/gossip/value.go
@@ -12,64 +12,65 @@
 	"hawthornfield.org/hawthornfield/internal/node/delta"
 )
 
-// value is one replicated value, with the differences that led to it.
+// value is one replicated value with the differences between its last revisions.
 type value struct {
 	Head
 	raw   []byte
-	steps []step
+	diffs []revDiff
 }
 
-// step is the difference between two successive revisions that were held here.
-type step struct {
+// revDiff is the difference from revision base to the next one that was held here.
+type revDiff struct {
 	base Head
 	diff []byte
 }
 
-// keepSteps bounds how far a peer may lag and still be helped by differences.
-const keepSteps = 8
+// maxRevDiffs limits how many revisions a peer may be behind and still be brought
+// up to date by differences.
+const maxRevDiffs = 8
 
-// put replaces the value, remembering how it differs from the last one.
-func (v *value) put(h Head, raw []byte) {
+// update replaces the value and keeps the difference from the last revision.
+func (v *value) update(h Head, raw []byte) {
 	if v.Rev != 0 {
 		if d := delta.Diff(v.raw, raw); len(d) < len(raw)/2 {
-			v.steps = append(v.steps, step{base: v.Head, diff: d})
+			v.diffs = append(v.diffs, revDiff{base: v.Head, diff: d})
 		} else {
-			v.steps = nil
+			v.diffs = nil
 		}
 	}
-	if n := len(v.steps); n > keepSteps {
-		v.steps = slices.Delete(v.steps, 0, n-keepSteps)
+	if n := len(v.diffs); n > maxRevDiffs {
+		v.diffs = slices.Delete(v.diffs, 0, n-maxRevDiffs)
 	}
 	v.Head, v.raw = h, raw
 }
 
-// give answers a Want by differences if the asker's revision is still known
-// here, and by the whole value otherwise.
-func (v *value) give(w *Want) *Value {
-	g := &Value{Head: v.Head}
-	i := slices.IndexFunc(v.steps, func(s step) bool { return s.base.Rev == w.Have && s.base.Sum == w.Sum })
+// reply answers a request with differences if the requester's revision is still
+// known here, and with the whole value otherwise.
+func (v *value) reply(req *Request) *Value {
+	got := &Value{Head: v.Head}
+	i := slices.IndexFunc(v.diffs, func(s revDiff) bool { return s.base.Rev == req.Have && s.base.Sum == req.Sum })
 	if i < 0 {
-		g.Raw = v.raw
-		return g
+		got.Raw = v.raw
+		return got
 	}
-	g.Base = w.Have
-	for _, s := range v.steps[i:] {
-		g.Diffs = append(g.Diffs, s.diff)
+	got.Base = req.Have
+	for _, s := range v.diffs[i:] {
+		got.Diffs = append(got.Diffs, s.diff)
 	}
-	return g
+	return got
 }
 
-// open builds and verifies the value that a Give brings. It returns nil when
-// the differences do not fit what is held, or the digest is not the announced
-// one: a peer's fault must not become ours.
-func (v *value) open(g *Value) []byte {
-	raw := g.Raw
-	if g.Base != 0 {
-		if g.Base != v.Rev {
+// decode builds and verifies the value that a peer sent. It returns nil if the
+// differences do not fit the value held here, or if the digest is not the
+// announced one, so that a fault of a peer is not taken over.
+func (v *value) decode(got *Value) []byte {
+	raw := got.Raw
+	if got.Base != 0 {
+		if got.Base != v.Rev {
 			return nil
 		}
 		raw = v.raw
-		for _, d := range g.Diffs {
+		for _, d := range got.Diffs {
 			next, err := delta.Apply(raw, d)
 			if err != nil {
 				return nil
@@ -77,22 +78,22 @@
 			raw = next
 		}
 	}
-	if digest.Of(raw) != g.Head.Sum {
+	if digest.Of(raw) != got.Head.Sum {
 		return nil
 	}
 	return raw
 }
 
-// fetch is a value that is being asked for.
+// fetch is a value that is being requested, last from VM from at askedAt.
 type fetch struct {
 	Head
-	from  ident.VM
-	since time.Time
-	at    time.Time
-	full  bool // differences did not fit: ask for the whole value
+	from      ident.VM
+	startedAt time.Time
+	askedAt   time.Time
+	whole     bool // differences did not fit: request the whole value
 }
 
-// heads lists what is held, in name order.
+// heads returns all heads that are held, sorted by name.
 func (m *Model) heads() []Head {
 	list := make([]Head, 0, len(m.values))
 	for _, name := range slices.Sorted(maps.Keys(m.values)) {
@@ -101,7 +102,8 @@
 	return list
 }
 
-// refreshSum keeps the digest over all heads, which pulses and probes carry.
+// refreshSum recomputes the digest over all heads, which heartbeats and probes
+// carry.
 func (m *Model) refreshSum() {
 	raw, err := wire.Encode(m.heads())
 	if err == nil {
@@ -109,8 +111,8 @@
 	}
 }
 
-// held takes a verified value in and answers the peers that wait for it.
-func (m *Model) held(now time.Time, from ident.VM, h Head, raw []byte) []loop.Cmd {
+// setValue stores a verified value and answers the peers that wait for it.
+func (m *Model) setValue(now time.Time, from ident.VM, h Head, raw []byte) []loop.Cmd {
 	v := m.values[h.Name]
 	if v == nil {
 		v = &value{}
@@ -119,23 +121,24 @@
 	if h.Rev <= v.Rev {
 		return nil
 	}
-	v.put(h, raw)
+	v.update(h, raw)
 	m.refreshSum()
-	m.fresh[h.Name] = now
+	m.changedAt[h.Name] = now
 	if f, ok := m.fetches[h.Name]; ok && f.Rev <= h.Rev {
 		delete(m.fetches, h.Name)
 	}
 	cmds := []loop.Cmd{ValueCmd{From: from, Head: h, Raw: raw}}
 	waiting := m.waiting[h.Name]
 	for _, vm := range slices.Sorted(maps.Keys(waiting)) {
-		cmds = append(cmds, SendCmd{To: vm, Packet: Packet{Value: v.give(waiting[vm])}})
+		cmds = append(cmds, SendCmd{To: vm, Packet: Packet{Value: v.reply(waiting[vm])}})
 	}
 	delete(m.waiting, h.Name)
-	return append(cmds, m.payOwed(h)...)
+	return append(cmds, m.sendPendingNotify(h)...)
 }
 
-// learn compares a head with what is held and asks for what is newer.
-func (m *Model) learn(now time.Time, from ident.VM, h Head) []loop.Cmd {
+// onHead compares an announced head with the value held here and requests the
+// value if it is newer.
+func (m *Model) onHead(now time.Time, from ident.VM, h Head) []loop.Cmd {
 	if v := m.values[h.Name]; v != nil && h.Rev <= v.Rev {
 		return nil
 	}
@@ -143,51 +146,51 @@
 	if ok && h.Rev <= f.Rev || !ok && len(m.fetches) >= maxHeads {
 		return nil
 	}
-	m.fetches[h.Name] = &fetch{Head: h, from: from, since: now, at: now}
-	return []loop.Cmd{HeadCmd{From: from, Head: h}, m.want(m.fetches[h.Name])}
+	m.fetches[h.Name] = &fetch{Head: h, from: from, startedAt: now, askedAt: now}
+	return []loop.Cmd{HeadCmd{From: from, Head: h}, m.requestValue(m.fetches[h.Name])}
 }
 
-func (m *Model) want(f *fetch) loop.Cmd {
-	w := &Want{Name: f.Name}
-	if v := m.values[f.Name]; v != nil && !f.full {
-		w.Have, w.Sum = v.Rev, v.Sum
+func (m *Model) requestValue(f *fetch) loop.Cmd {
+	req := &Request{Name: f.Name}
+	if v := m.values[f.Name]; v != nil && !f.whole {
+		req.Have, req.Sum = v.Rev, v.Sum
 	}
-	return SendCmd{To: f.from, Packet: Packet{Want: w}}
+	return SendCmd{To: f.from, Packet: Packet{Request: req}}
 }
 
-// onWant answers at once, or when the value arrives here: pulses run ahead of
-// values, so a child asks before its parent holds the value.
-func (m *Model) onWant(from ident.VM, w *Want) []loop.Cmd {
-	v := m.values[w.Name]
-	f := m.fetches[w.Name]
-	if f != nil && f.Rev > w.Have {
-		if m.waiting[w.Name] == nil {
-			m.waiting[w.Name] = map[ident.VM]*Want{}
+// onRequest answers at once, or when the value arrives here: heartbeats are faster
+// than values, so a child requests a value before its parent holds it.
+func (m *Model) onRequest(from ident.VM, req *Request) []loop.Cmd {
+	v := m.values[req.Name]
+	f := m.fetches[req.Name]
+	if f != nil && f.Rev > req.Have {
+		if m.waiting[req.Name] == nil {
+			m.waiting[req.Name] = map[ident.VM]*Request{}
 		}
-		m.waiting[w.Name][from] = w
+		m.waiting[req.Name][from] = req
 		return nil
 	}
-	if v == nil || v.Rev <= w.Have {
+	if v == nil || v.Rev <= req.Have {
 		return nil
 	}
-	return []loop.Cmd{SendCmd{To: from, Packet: Packet{Value: v.give(w)}}}
+	return []loop.Cmd{SendCmd{To: from, Packet: Packet{Value: v.reply(req)}}}
 }
 
-func (m *Model) onGive(now time.Time, from ident.VM, g *Value) []loop.Cmd {
-	v := m.values[g.Head.Name]
+func (m *Model) onValue(now time.Time, from ident.VM, got *Value) []loop.Cmd {
+	v := m.values[got.Head.Name]
 	if v == nil {
 		v = &value{}
 	}
-	if g.Head.Rev <= v.Rev {
+	if got.Head.Rev <= v.Rev {
 		return nil
 	}
-	if raw := v.open(g); raw != nil {
-		return m.held(now, from, g.Head, raw)
+	if raw := v.decode(got); raw != nil {
+		return m.setValue(now, from, got.Head, raw)
 	}
-	f := m.fetches[g.Head.Name]
-	if f == nil || f.full {
+	f := m.fetches[got.Head.Name]
+	if f == nil || f.whole {
 		return nil
 	}
-	f.full, f.from, f.at = true, from, now
-	return []loop.Cmd{m.want(f)}
+	f.whole, f.from, f.askedAt = true, from, now
+	return []loop.Cmd{m.requestValue(f)}
 }
--- a/internal/node/gossip/view.go
+++ b/internal/node/gossip/view.go
@@ -12,63 +12,68 @@
 	"hawthornfield.org/hawthornfield/internal/core/loop"
 )
 
-// Views go through the trees. Sent from each VM to each other, they are n-1
-// packets a second for each of n VMs, of which nearly all say "nothing to
-// report"; beyond some thirty VMs they no longer fit the 5 KB/s, and every VM has
-// to probe every server itself.
+// Views are what VMs report of each other's and of the servers' health. They are
+// merged along the trees. Sent from each VM to each other, they would be n-1
+// packets a second for each of n VMs, nearly all of them empty; beyond some thirty
+// VMs they would exceed the 5 KB/s, and every VM would have to probe every server
+// itself.
 //
-// So each VM answers a watcher's pulse up the tree, and an inner VM joins the
-// answers below it into one. What a watcher has collected rides on its next pulse
-// to all: who answered, and what is out of order. A VM that has something new to
-// say does not wait for the pulse: it goes up at once, joined with others at each
-// step, and the watcher sends a pulse for it.
+// So each VM answers a watcher's heartbeat up the tree, and an inner VM merges the
+// answers of its subtree. The watcher sends the result to all with its next
+// heartbeat: who answered, and which members are suspect. News is not delayed
+// until the next heartbeat: it goes up the tree at once, merged at each step, and
+// the watcher sends a heartbeat for it.
 //
-// A VM counts as heard when two watchers say that it answered them. The trees
-// share no inner VM, so one that lies or is lost spoils one watcher's word.
+// A VM counts as heard when two watchers report that it answered them. The trees
+// share no inner VM, so one VM that lies or is lost falsifies the report of one
+// watcher only.
 
-// Member names a member of a roster by four bytes; 0 names none. Two members
-// that share a name cost a probe more, or one of the two witnesses of a freeze.
+// Member is a 4-byte hash that identifies an entry VM or a backend server; 0
+// identifies none. A collision costs an additional probe, or one of the two
+// witnesses that a freeze needs.
 type Member uint32
 
-// MemberOf names a member; sort keeps entry VMs and backend servers apart.
-func MemberOf(sort, name string) Member {
-	return Member(max(1, uint32(xxhash.Sum64String(sort+"\x00"+name))))
+// MemberOf returns the identifier of a member; kind keeps entry VMs and backend
+// servers apart.
+func MemberOf(kind, name string) Member {
+	return Member(max(1, uint32(xxhash.Sum64String(kind+"\x00"+name))))
 }
 
-// Claim tells which VMs hold a member to look frozen: two of them at most, which
-// is as many as a receiver can tell apart from itself and from none.
+// Claim lists VMs to which member Of looks frozen, maxClaimants at most: two are
+// enough for a receiver to find one other than itself.
 type Claim struct {
 	_  struct{} `cbor:",toarray"`
 	Of Member
 	By []ident.VM
 }
 
-// View is what the VMs below one VM of a tree say, or all of them.
+// View is what one VM, the VMs in a subtree, or all VMs report.
 type View struct {
-	List       uint32   `cbor:"1,keyasint,omitempty"` // of VMs that Here counts by; 0: the pulse's
-	Responders []byte   `cbor:"2,keyasint,omitempty"` // who answered; see set
-	Odd        []Member `cbor:"3,keyasint,omitempty"` // who is to be looked at more closely
-	Bad        []Claim  `cbor:"4,keyasint,omitempty"` // who looks frozen
+	List       uint32   `cbor:"1,keyasint,omitempty"` // sum of the peer list that Responders refers to; 0: the heartbeat's
+	Responders []byte   `cbor:"2,keyasint,omitempty"` // VMs that answered; see vmSet
+	Suspects   []Member `cbor:"3,keyasint,omitempty"` // members to be probed by every VM
+	Claims     []Claim  `cbor:"4,keyasint,omitempty"` // members that look frozen
 }
 
-// News is a view that does not wait for the next pulse. It goes up the tree.
+// News is a view that goes up the tree without waiting for the next heartbeat.
 type News struct {
 	Root ident.VM `cbor:"1,keyasint"`
 	View View     `cbor:"2,keyasint"`
 }
 
-// ViewMsg tells what this VM holds of others, in place of what it said before.
+// ViewMsg replaces this VM's own view: the members that it suspects, and those
+// that look frozen to it.
 type ViewMsg struct {
 	Suspect []Member
 	Frozen  []Member
 }
 
-// ViewsCmd hands out the views of the VMs that are heard now. Send each on as
-// that VM's own.
+// ViewsCmd delivers the views of the VMs that are heard now. Each is to be handled
+// as if that VM had sent it.
 type ViewsCmd struct {
 	Views   []PeerView
-	Suspect []Member   // as any VM finds
-	Missing []ident.VM // whom enough watchers no longer hear
+	Suspect []Member   // members that any VM suspects
+	Missing []ident.VM // VMs that at least minConfirmations watchers no longer hear
 }
 
 // PeerView is one VM's view.
@@ -78,270 +83,276 @@
 }
 
 const (
-	// claimants of a member are passed on; see Claim.
-	claimants = 2
-	// vouchers are the watchers that must have heard a VM.
-	vouchers = 2
-	// wordFor is how long a watcher's word counts: a pulse may be late by half a
-	// period. lateWord is when a pulse was held back too long for its word to
-	// count at all.
-	wordFor  = Period + Period/2
-	lateWord = Period / 2
-	// maxOdd bounds the members of one view: a data centre's servers and VMs at
-	// the size that is designed for. What is beyond it is said a pulse later, or
-	// found by each VM's own probes when that silence is noticed.
-	maxOdd = 1024
-	// newsFor is how long news is repeated by a watcher: until a count that was
-	// begun after it can have ended.
-	newsFor = 2 * time.Second
+	// maxClaimants is the number of VMs that a Claim lists.
+	maxClaimants = 2
+	// minConfirmations is the number of watchers that must agree that a VM
+	// answers, or that it does not.
+	minConfirmations = 2
+	// viewFresh is how long a watcher's view is valid: a heartbeat may be late by
+	// half a period.
+	viewFresh = Period + Period/2
+	// maxViewDelay is the delay of a heartbeat from which its view is ignored.
+	maxViewDelay = Period / 2
+	// maxSuspects limits the members in one view: the servers and VMs of a data
+	// centre at the largest size designed for. The rest is reported with a later
+	// heartbeat, or found by each VM's own probes once that silence is noticed.
+	maxSuspects = 1024
+	// newsRepeat is how long a watcher repeats news: until a count that started
+	// after it must have ended.
+	newsRepeat = 2 * time.Second
 )
 
-// said is a view that is being put together.
-type said struct {
-	list *peerList // that here counts by; nil: of this view nothing is known
-	here set
-	odd  map[Member]bool
-	bad  map[Member][]ident.VM
+// mergedView is a view that is being merged or was decoded.
+type mergedView struct {
+	list       *peerList // that responders refers to; nil: the responders are not known
+	responders vmSet
+	suspects   map[Member]bool
+	claims     map[Member][]ident.VM
 }
 
-func (s *said) empty() bool { return len(s.odd) == 0 && len(s.bad) == 0 }
+func (s *mergedView) empty() bool { return len(s.suspects) == 0 && len(s.claims) == 0 }
 
-func (s *said) addOdd(id Member) {
-	if len(s.odd) >= maxOdd || id == 0 {
+func (s *mergedView) addSuspect(id Member) {
+	if len(s.suspects) >= maxSuspects || id == 0 {
 		return
 	}
-	if s.odd == nil {
-		s.odd = map[Member]bool{}
+	if s.suspects == nil {
+		s.suspects = map[Member]bool{}
 	}
-	s.odd[id] = true
+	s.suspects[id] = true
 }
 
-func (s *said) addBad(id Member, by ident.VM) {
-	was, ok := s.bad[id]
-	if !ok && len(s.bad) >= maxOdd || len(was) >= claimants || id == 0 || slices.Contains(was, by) {
+func (s *mergedView) addClaim(id Member, by ident.VM) {
+	vms, ok := s.claims[id]
+	if !ok && len(s.claims) >= maxSuspects || len(vms) >= maxClaimants || id == 0 || slices.Contains(vms, by) {
 		return
 	}
-	if s.bad == nil {
-		s.bad = map[Member][]ident.VM{}
+	if s.claims == nil {
+		s.claims = map[Member][]ident.VM{}
 	}
-	s.bad[id] = append(slices.Clip(was), by)
+	s.claims[id] = append(slices.Clip(vms), by)
 }
 
-// join adds what another view says. Who is here counts only by the same list.
-func (s *said) join(o said) {
+// merge adds the contents of another view. Responders are only merged if both
+// views refer to the same peer list.
+func (s *mergedView) merge(o mergedView) {
 	if s.list == o.list {
-		s.here.join(o.here)
+		s.responders.union(o.responders)
 	}
-	for id := range o.odd {
-		s.addOdd(id)
+	for id := range o.suspects {
+		s.addSuspect(id)
 	}
-	for id, all := range o.bad {
+	for id, all := range o.claims {
 		for _, by := range all {
-			s.addBad(id, by)
+			s.addClaim(id, by)
 		}
 	}
 }
 
-func (s *said) has(vm ident.VM) bool {
-	at := s.list.place(vm)
-	return at >= 0 && s.here.has(at)
+func (s *mergedView) responded(vm ident.VM) bool {
+	at := s.list.index(vm)
+	return at >= 0 && s.responders.has(at)
 }
 
-// word is what this VM says itself.
-func (m *Model) word(l *peerList) said {
-	s := said{list: l, here: newSet(len(l.names))}
-	if i := l.place(m.self); i >= 0 {
-		s.here.add(i)
+// ownView returns this VM's own view over a peer list.
+func (m *Model) ownView(l *peerList) mergedView {
+	s := mergedView{list: l, responders: newSet(len(l.names))}
+	if i := l.index(m.self); i >= 0 {
+		s.responders.add(i)
 	}
-	for _, id := range m.say.Suspect {
-		s.addOdd(id)
+	for _, id := range m.reported.Suspect {
+		s.addSuspect(id)
 	}
-	for _, id := range m.say.Frozen {
-		s.addBad(id, m.self)
+	for _, id := range m.reported.Frozen {
+		s.addClaim(id, m.self)
 	}
 	return s
 }
 
-// pack renders a view for a pulse of a list, or for the answer to one. Without a
-// list of its own it is only news.
-func (s *said) pack(by uint32) View {
-	v := View{Odd: slices.Sorted(maps.Keys(s.odd))}
+// encode returns the wire form for a heartbeat with the peer list listSum, or for
+// an answer to it. A view without a peer list is news and has no responders.
+func (s *mergedView) encode(listSum uint32) View {
+	v := View{Suspects: slices.Sorted(maps.Keys(s.suspects))}
 	if s.list != nil {
-		v.Responders = s.here.pack(len(s.list.names))
-		if s.list.sum != by {
+		v.Responders = s.responders.encode(len(s.list.names))
+		if s.list.sum != listSum {
 			v.List = s.list.sum
 		}
 	}
-	for _, id := range slices.Sorted(maps.Keys(s.bad)) {
-		v.Bad = append(v.Bad, Claim{Of: id, By: s.bad[id]})
+	for _, id := range slices.Sorted(maps.Keys(s.claims)) {
+		v.Claims = append(v.Claims, Claim{Of: id, By: s.claims[id]})
 	}
 	return v
 }
 
-// unpack reads a view that came with a pulse of a list, or in answer to one.
-func (m *Model) unpack(v *View, by uint32) said {
-	s := said{}
-	for _, id := range v.Odd {
-		s.addOdd(id)
+// decodeView reads a view that came with a heartbeat with the peer list listSum,
+// or in answer to one.
+func (m *Model) decodeView(v *View, listSum uint32) mergedView {
+	s := mergedView{}
+	for _, id := range v.Suspects {
+		s.addSuspect(id)
 	}
-	for _, c := range v.Bad {
+	for _, c := range v.Claims {
 		for _, by := range c.By {
-			s.addBad(c.Of, by)
+			s.addClaim(c.Of, by)
 		}
 	}
-	if l := m.listBy(cmp.Or(v.List, by)); l != nil && v.Responders != nil {
-		if here, ok := unpack(v.Responders, len(l.names)); ok {
-			s.list, s.here = l, here
+	if l := m.listBySum(cmp.Or(v.List, listSum)); l != nil && v.Responders != nil {
+		if responders, ok := decodeSet(v.Responders, len(l.names)); ok {
+			s.list, s.responders = l, responders
 		}
 	}
 	return s
 }
 
-// onSay takes what this VM holds, and has it told if it is new.
-func (m *Model) onSay(now time.Time, msg ViewMsg) {
+// onOwnView stores this VM's own view and sends it as news if it has changed.
+func (m *Model) onOwnView(now time.Time, msg ViewMsg) {
 	slices.Sort(msg.Suspect)
 	slices.Sort(msg.Frozen)
-	if slices.Equal(msg.Suspect, m.say.Suspect) && slices.Equal(msg.Frozen, m.say.Frozen) {
+	if slices.Equal(msg.Suspect, m.reported.Suspect) && slices.Equal(msg.Frozen, m.reported.Frozen) {
 		return
 	}
-	m.say = msg
-	s := m.word(m.list())
+	m.reported = msg
+	s := m.ownView(m.currentList())
 	if s.empty() {
-		return // that something is over can wait for the next pulse
+		return // an improvement can wait for the next heartbeat
 	}
-	for _, vm := range m.heardRoots() {
-		m.rootOf(vm).hear(now, s)
+	for _, vm := range m.knownWatchers() {
+		m.watcherOf(vm).addNews(now, s)
 	}
 }
 
-// heardRoots are the watchers that were heard lately, this VM included.
-func (m *Model) heardRoots() []ident.VM {
+// knownWatchers returns the watchers that were ever heard, this VM included if it
+// is one.
+func (m *Model) knownWatchers() []ident.VM {
 	var all []ident.VM
-	for _, vm := range slices.Sorted(maps.Keys(m.roots)) {
-		if r := m.roots[vm]; !r.at.IsZero() {
+	for _, vm := range slices.Sorted(maps.Keys(m.watchers)) {
+		if w := m.watchers[vm]; !w.at.IsZero() {
 			all = append(all, vm)
 		}
 	}
 	return all
 }
 
-// hear takes news that is to go up.
-func (r *root) hear(now time.Time, s said) {
-	if r.news == nil || now.Sub(r.newsAt) > newsFor {
-		r.news = &said{}
+// addNews merges news that must go up the tree.
+func (w *watcher) addNews(now time.Time, s mergedView) {
+	if w.news == nil || now.Sub(w.newsAt) > newsRepeat {
+		w.news = &mergedView{}
 	}
-	r.news.join(s)
-	r.newsAt, r.unsent = now, true
+	w.news.merge(s)
+	w.newsAt, w.urgent = now, true
 }
 
 func (m *Model) onNews(now time.Time, n *News) {
-	if r := m.roots[n.Root]; r != nil {
-		r.hear(now, m.unpack(&n.View, 0))
+	if w := m.watchers[n.Root]; w != nil {
+		w.addNews(now, m.decodeView(&n.View, 0))
 	}
 }
 
-// newsUp sends news on, at each tick and not at each arrival: when a data centre
-// is lost, a thousand VMs have news within a second.
-func (m *Model) newsUp() []loop.Cmd {
+// forwardNews sends merged news up the trees. It does so at each tick and not at
+// each arrival: when a data centre is lost, a thousand VMs have news within a
+// second.
+func (m *Model) forwardNews() []loop.Cmd {
 	var cmds []loop.Cmd
-	for _, vm := range slices.Sorted(maps.Keys(m.roots)) {
-		r := m.roots[vm]
-		if !r.unsent || vm == m.self {
+	for _, vm := range slices.Sorted(maps.Keys(m.watchers)) {
+		w := m.watchers[vm]
+		if !w.urgent || vm == m.self {
 			continue
 		}
-		r.unsent = false
-		if r.from != "" {
-			cmds = append(cmds, SendCmd{To: r.from, Packet: Packet{News: &News{Root: vm, View: r.news.pack(0)}}})
+		w.urgent = false
+		if w.parent != "" {
+			cmds = append(cmds, SendCmd{To: w.parent, Packet: Packet{News: &News{Root: vm, View: w.news.encode(0)}}})
 		}
-		r.news = nil
+		w.news = nil
 	}
 	return cmds
 }
 
-// hurries reports whether this watcher has something for a pulse of its own:
-// news, or a VM that no longer answers.
-func (m *Model) hurries() bool {
-	r := m.roots[m.self]
-	return r != nil && r.unsent
+// hasUrgentNews reports whether this watcher must send a heartbeat at once: it has
+// news, or a VM no longer answers.
+func (m *Model) hasUrgentNews() bool {
+	w := m.watchers[m.self]
+	return w != nil && w.urgent
 }
 
-// collected is what a watcher's pulse tells all: the latest count, and the news
-// that came since.
-func (m *Model) collected(now time.Time, r *root, by uint32) *View {
-	s := said{list: r.got.list, here: slices.Clone(r.got.here)}
-	s.join(*r.got)
-	if r.news != nil && now.Sub(r.newsAt) <= newsFor {
-		s.join(*r.news)
+// heartbeatView returns the view of a watcher's heartbeat: the latest merged
+// answers, and the news since then.
+func (m *Model) heartbeatView(now time.Time, w *watcher, listSum uint32) *View {
+	s := mergedView{list: w.lastView.list, responders: slices.Clone(w.lastView.responders)}
+	s.merge(*w.lastView)
+	if w.news != nil && now.Sub(w.newsAt) <= newsRepeat {
+		s.merge(*w.news)
 	}
-	r.unsent = false
-	v := s.pack(by)
+	w.urgent = false
+	v := s.encode(listSum)
 	return &v
 }
 
-// onView takes what a watcher collected.
-func (m *Model) onView(now time.Time, r *root, s said) loop.Cmd {
-	r.word, r.wordAt = s, now
-	cmd := ViewsCmd{Suspect: slices.Sorted(maps.Keys(s.odd))}
-	words := m.words(now)
-	bad := accusations(words)
-	known := 0
-	for _, same := range words {
-		if len(same) > 0 {
-			known++
+// onWatcherView stores a watcher's merged view and reports which VMs are heard.
+func (m *Model) onWatcherView(now time.Time, w *watcher, s mergedView) loop.Cmd {
+	w.view, w.viewAt = s, now
+	cmd := ViewsCmd{Suspect: slices.Sorted(maps.Keys(s.suspects))}
+	views := m.currentViews(now)
+	claims := claimsByVM(views)
+	reporting := 0
+	for _, group := range views {
+		if len(group) > 0 {
+			reporting++
 		}
 	}
-	for _, vm := range m.list().names {
+	for _, vm := range m.currentList().names {
 		heard := 0
-		for _, same := range words {
-			if slices.ContainsFunc(same, func(w said) bool { return w.has(vm) }) {
+		for _, group := range views {
+			if slices.ContainsFunc(group, func(v mergedView) bool { return v.responded(vm) }) {
 				heard++
 			}
 		}
 		switch {
 		case vm == m.self:
-		case heard >= vouchers:
-			cmd.Views = append(cmd.Views, PeerView{From: vm, Frozen: bad[vm]})
-		case known-heard >= vouchers:
+		case heard >= minConfirmations:
+			cmd.Views = append(cmd.Views, PeerView{From: vm, Frozen: claims[vm]})
+		case reporting-heard >= minConfirmations:
 			cmd.Missing = append(cmd.Missing, vm)
 		}
 	}
 	return cmd
 }
 
-// words are the watchers' words that count now, together where the trees share
-// inner VMs: while a watcher is lost, or seems so to some, there are more than
-// three trees, and one VM could spoil two of them.
-func (m *Model) words(now time.Time) (all [Watchers][]said) {
-	for _, vm := range slices.Sorted(maps.Keys(m.roots)) {
-		r := m.roots[vm]
-		if r.wordAt.IsZero() || now.Sub(r.wordAt) > wordFor {
+// currentViews returns the watchers' valid views, grouped by tree index. While a
+// watcher is lost, or looks lost to some VMs, there are more than three trees;
+// those of one index share inner VMs, so one VM could falsify more than one of
+// them.
+func (m *Model) currentViews(now time.Time) (all [Watchers][]mergedView) {
+	for _, vm := range slices.Sorted(maps.Keys(m.watchers)) {
+		w := m.watchers[vm]
+		if w.viewAt.IsZero() || now.Sub(w.viewAt) > viewFresh {
 			continue
 		}
-		all[r.turn] = append(all[r.turn], r.word)
+		all[w.treeIndex] = append(all[w.treeIndex], w.view)
 	}
 	return all
 }
 
-// accusations sorts the claims of all words by who made them.
-func accusations(words [Watchers][]said) map[ident.VM][]Member {
-	bad := map[ident.VM][]Member{}
-	for _, w := range slices.Concat(words[:]...) {
-		for _, id := range slices.Sorted(maps.Keys(w.bad)) {
-			for _, by := range w.bad[id] {
-				if !slices.Contains(bad[by], id) {
-					bad[by] = append(bad[by], id)
+// claimsByVM groups the claims of all views by the VM that made them.
+func claimsByVM(views [Watchers][]mergedView) map[ident.VM][]Member {
+	claims := map[ident.VM][]Member{}
+	for _, v := range slices.Concat(views[:]...) {
+		for _, id := range slices.Sorted(maps.Keys(v.claims)) {
+			for _, by := range v.claims[id] {
+				if !slices.Contains(claims[by], id) {
+					claims[by] = append(claims[by], id)
 				}
 			}
 		}
 	}
-	return bad
+	return claims
 }
 
-func saneView(v *View) bool {
-	for _, c := range v.Bad {
-		if len(c.By) > claimants {
+func validView(v *View) bool {
+	for _, c := range v.Claims {
+		if len(c.By) > maxClaimants {
 			return false
 		}
 	}
-	return len(v.Responders) <= maxPlace && len(v.Odd) <= maxOdd && len(v.Bad) <= maxOdd
+	return len(v.Responders) <= maxVMs && len(v.Suspects) <= maxSuspects && len(v.Claims) <= maxSuspects
 }
