--- a/internal/node/detect/bench_test.go
+++ b/internal/node/detect/bench_test.go
@@ -11,9 +11,9 @@
 	"hawthornfield.org/hawthornfield/internal/plat/vmlist"
 )
 
-// BenchmarkTick is a tenth of a second of a roster whose members are all well:
-// the tick, the answers to the probes that it asks for, a tenth of a list, and as
-// many views of 50 other VMs as the exchange hands out meanwhile.
+// BenchmarkTick measures a tenth of a second of a model whose members are all
+// healthy: the tick, the answers to its probes, a tenth of a list, and as many
+// views of 50 other VMs as package gossip delivers meanwhile.
 func BenchmarkTick(b *testing.B) {
 	for _, n := range []int{10, 50, 520, 2288} {
 		b.Run("members="+strconv.Itoa(n), func(b *testing.B) {
@@ -24,14 +24,14 @@
 				rows = append(rows, Listed[ident.Server]{ID: name(i), Group: "lookup", State: vmlist.Live})
 			}
 			var views ViewsMsg[ident.Server]
-			shard := ProbersMsg{Self: "vm0"}
+			probers := ProbersMsg{Self: "vm0"}
 			for i := range 50 {
 				vm := ident.VM("vm" + strconv.Itoa(i))
-				shard.VMs = append(shard.VMs, Prober{VM: vm, Centre: ident.Centre(strconv.Itoa(i % 4))})
+				probers.VMs = append(probers.VMs, Prober{VM: vm, Centre: ident.Centre(strconv.Itoa(i % 4))})
 				views.Views = append(views.Views, ViewMsg[ident.Server]{From: vm})
 			}
 			m.Update(now, ListMsg[ident.Server]{Rows: rows})
-			m.Update(now, shard)
+			m.Update(now, probers)
 			ticks := 0
 			tick := func() {
 				now = now.Add(step)
@@ -43,7 +43,7 @@
 					m.Update(now, ListMsg[ident.Server]{Rows: rows})
 				}
 				_, cmds := m.Update(now, TickMsg{})
-				answer(m, now, cmds)
+				answerProbes(m, now, cmds)
 			}
 			for range 60 {
 				tick()
@@ -56,7 +56,7 @@
 	}
 }
 
-func answer(m *Model[ident.Server], now time.Time, cmds []loop.Cmd) {
+func answerProbes(m *Model[ident.Server], now time.Time, cmds []loop.Cmd) {
 	for _, c := range cmds {
 		if p, ok := c.(ProbeCmd[ident.Server]); ok {
 			m.Update(now, ProbeMsg[ident.Server]{ID: p.ID, Health: server.Health{Ready: true}})
--- a/internal/node/detect/member.go
+++ b/internal/node/detect/member.go
@@ -8,134 +8,140 @@
 	"hawthornfield.org/hawthornfield/internal/plat/server"
 )
 
-// member is one member with its witnesses.
+// member is one member with the observations about it.
 type member[K ~string] struct {
 	Member[K]
-	born   time.Time
-	inList bool
-	listAt time.Time // when the list last showed it
-	list   uint64    // and which that was
-
-	heard  time.Time // directly, by any means
-	proofs int       // direct answers since the last state or silence
-
-	probeBad int       // probes in a row without an answer
-	probed   time.Time // when we last asked
-	probers  []ident.VM
-	oddAt    time.Time // when another VM last found it odd
-	health   server.Health
-	denied   time.Time // since when neither witness says that it leaves
-
-	callGood time.Time
-	callBad  int
-	badSince time.Time
-	badLast  time.Time
-
-	saidBad  int // other VMs that hold it frozen
-	saidWell int // and those that do not
-
-	rest  rest
-	due   time.Time // when to look at it while it rests
-	place int       // among those that rest
-
-	lastFreeze time.Time
-	strikes    int // freezes in short succession
+	knownSince time.Time
+	inList     bool
+	listedAt   time.Time // when the list last showed it
+	listSeq    uint64    // number of that list
+
+	heardAt time.Time // when it last answered or another VM heard it
+	answers int       // direct answers since the last change of state or failed call
+
+	failedProbes int       // probes in a row without an answer
+	probedAt     time.Time // when this VM last asked
+	// probers are the VMs that probe it, once computed.
+	probers         []ident.VM
+	suspectAt       time.Time // when another VM last reported it as suspect
+	health          server.Health
+	notLeavingSince time.Time // since when neither the list nor its health says that it leaves
+
+	// callAnsweredAt is when a caller last got an answer. failedCalls counts the
+	// failures since then, from callsFailingSince to lastFailedCall.
+	callAnsweredAt    time.Time
+	failedCalls       int
+	callsFailingSince time.Time
+	lastFailedCall    time.Time
+
+	frozenViews   int // other VMs that report it as frozen
+	contraryViews int // other VMs that do not
+
+	activity   activity
+	checkAt    time.Time // when to evaluate it next while it is not active
+	queueIndex int       // in schedule.queue
+
+	lastFreeze      time.Time
+	repeatedFreezes int // freezes in short succession, after the first
 }
 
-func (x *member[K]) onBeat(now time.Time) {
-	x.heard = now
-	x.proofs++
+func (x *member[K]) onAnswer(now time.Time) {
+	x.heardAt = now
+	x.answers++
 }
 
-// onProbe takes an answer, and reports whether the others should hear of it.
-func (x *member[K]) onProbe(now time.Time, msg ProbeMsg[K]) (news bool) {
-	was := x.odd()
-	defer func() { news = x.odd() != was }()
+// onProbe handles the result of a probe, and reports whether the member became
+// suspect or stopped being so, of which other VMs are told at once.
+func (x *member[K]) onProbe(now time.Time, msg ProbeMsg[K]) (changed bool) {
+	before := x.isSuspect()
+	defer func() { changed = x.isSuspect() != before }()
 	if msg.Failed {
-		x.probeBad++
+		x.failedProbes++
 		return
 	}
-	x.probeBad = 0
+	x.failedProbes = 0
 	x.health = msg.Health
 	x.Cold = msg.Health.Cold
 	if msg.Health.Ready {
-		x.onBeat(now)
+		x.onAnswer(now)
 	}
 	return
 }
 
-// onWord takes a word that came unasked, in place of a probe's answer.
-func (x *member[K]) onWord(now time.Time, h server.Health) (news bool) {
-	x.probed = now
+// onHealth handles a health report that came with another answer; it replaces a
+// probe.
+func (x *member[K]) onHealth(now time.Time, h server.Health) (changed bool) {
+	x.probedAt = now
 	return x.onProbe(now, ProbeMsg[K]{Health: h})
 }
 
 func (x *member[K]) onCalls(now time.Time, msg CallsMsg[K]) {
 	if msg.Succeeded > 0 {
-		x.callGood, x.callBad = now, 0
-		x.onBeat(now)
+		x.callAnsweredAt, x.failedCalls = now, 0
+		x.onAnswer(now)
 		return
 	}
 	if msg.Failed == 0 {
 		return
 	}
-	if x.callBad == 0 {
-		x.badSince = now
+	if x.failedCalls == 0 {
+		x.callsFailingSince = now
 	}
-	x.callBad += msg.Failed
-	x.badLast = now
-	x.proofs = 0
+	x.failedCalls += msg.Failed
+	x.lastFailedCall = now
+	x.answers = 0
 }
 
-// lastHeard is when the member was last heard, or became known.
+// lastHeard returns when the member was last heard, or became known.
 func (x *member[K]) lastHeard() time.Time {
-	if x.heard.After(x.born) {
-		return x.heard
+	if x.heardAt.After(x.knownSince) {
+		return x.heardAt
 	}
-	return x.born
+	return x.knownSince
 }
 
-// silentFor is the time since then.
+// silentFor returns the time since lastHeard.
 func (x *member[K]) silentFor(now time.Time) time.Duration { return now.Sub(x.lastHeard()) }
 
-// suspect reports whether the member looks frozen from here, before the others'
-// views are asked.
-func (x *member[K]) suspect(now time.Time, cfg Config) bool {
-	if x.callBad < badCalls && now.Sub(x.callGood) < cfg.Silent {
+// frozenLocally reports whether the member looks frozen to this VM alone, without
+// the views of others.
+func (x *member[K]) frozenLocally(now time.Time, cfg Config) bool {
+	if x.failedCalls < minFailedCalls && now.Sub(x.callAnsweredAt) < cfg.SilentAfter {
 		return false
 	}
-	return x.witnesses(now, cfg) > 0
+	return x.observations(now, cfg) > 0
 }
 
-// witnesses counts what speaks for a freeze. Callers who get answers outweigh
-// everything else, and callers who get none outweigh a health endpoint.
-func (x *member[K]) witnesses(now time.Time, cfg Config) int {
+// observations counts this VM's indications of a freeze. Recent failed calls add
+// to silence and failed probes, and those that last for CallsAlone count as two.
+func (x *member[K]) observations(now time.Time, cfg Config) int {
 	n := 0
-	if x.silentFor(now) >= cfg.Silent {
+	if x.silentFor(now) >= cfg.SilentAfter {
 		n++
 	}
-	if x.probeBad >= badProbes {
+	if x.failedProbes >= minFailedProbes {
 		n++
 	}
-	if now.Sub(x.badLast) > cfg.Fresh {
+	if now.Sub(x.lastFailedCall) > cfg.ViewFresh {
 		return n
 	}
-	if x.callBad >= badCalls {
+	if x.failedCalls >= minFailedCalls {
 		n++
 	}
-	if x.callBad >= manyCalls && now.Sub(x.badSince) >= cfg.Alone {
+	if x.failedCalls >= minFailedCallsAlone && now.Sub(x.callsFailingSince) >= cfg.CallsAlone {
 		n++
 	}
 	return n
 }
 
-// looksFrozen reports whether enough witnesses agree, other VMs among them.
+// looksFrozen reports whether at least two observations indicate a freeze; the
+// views of other VMs count as one.
 func (x *member[K]) looksFrozen(now time.Time, cfg Config) bool {
-	n := x.witnesses(now, cfg)
-	if n > 0 && x.saidBad > 0 {
+	n := x.observations(now, cfg)
+	if n > 0 && x.frozenViews > 0 {
 		n++
 	}
-	return n > 1 && x.suspect(now, cfg)
+	return n > 1 && x.frozenLocally(now, cfg)
 }
 
 func (x *member[K]) fire(now time.Time, on chart.Trigger) bool {
@@ -144,28 +150,28 @@
 		return false
 	}
 	if next == Frozen {
-		x.strike(now)
+		x.countFreeze(now)
 	}
-	x.Is, x.Since, x.proofs = next, now, 0
+	x.Is, x.Since, x.answers = next, now, 0
 	return true
 }
 
-// strike counts freezes that follow each other. A server whose health endpoint
-// says "ready" while no caller gets an answer would otherwise be taken back and
+// countFreeze counts freezes in short succession. Otherwise a server whose health
+// endpoint reports ready while no caller gets an answer would be taken back and
 // frozen again every few seconds, each time at the cost of some requests.
-func (x *member[K]) strike(now time.Time) {
-	if x.lastFreeze.IsZero() || now.Sub(x.lastFreeze) > forgiven {
-		x.strikes = 0
+func (x *member[K]) countFreeze(now time.Time) {
+	if x.lastFreeze.IsZero() || now.Sub(x.lastFreeze) > freezeMemory {
+		x.repeatedFreezes = 0
 	} else {
-		x.strikes++
+		x.repeatedFreezes++
 	}
 	x.lastFreeze = now
 }
 
-// hold is how long a frozen member stays out at least.
-func (x *member[K]) hold() time.Duration {
-	if x.strikes == 0 {
+// freezeHold returns how long a frozen member stays out of use at least.
+func (x *member[K]) freezeHold() time.Duration {
+	if x.repeatedFreezes == 0 {
 		return 0
 	}
-	return min(firstHold<<(x.strikes-1), longHold)
+	return min(minFreezeHold<<(x.repeatedFreezes-1), maxFreezeHold)
 }
--- a/internal/node/detect/naive_test.go
+++ b/internal/node/detect/reference_test.go
@@ -19,25 +19,25 @@
 	"hawthornfield.org/hawthornfield/internal/plat/vmlist"
 )
 
-// naive looks at every member with each tick and each list, and counts anew what
-// is counted over all.
-type naive struct{ *Model[ident.Server] }
+// reference evaluates every member at each tick and each list, and recounts all
+// totals.
+type reference struct{ *Model[ident.Server] }
 
-func (n naive) Update(now time.Time, msg loop.Msg) []loop.Cmd {
+func (n reference) Update(now time.Time, msg loop.Msg) []loop.Cmd {
 	switch msg := msg.(type) {
 	case TickMsg:
-		n.count(now)
-		return append(n.probe(now), n.judge(now)...)
+		n.countViews(now)
+		return append(n.probe(now), n.evaluate(now)...)
 	case ListMsg[ident.Server]:
 		n.onList(now, msg.Rows)
-		n.count(now)
-		return n.judge(now)
+		n.countViews(now)
+		return n.evaluate(now)
 	}
 	_, cmds := n.Model.Update(now, msg)
 	return cmds
 }
 
-func (n naive) all() []*member[ident.Server] {
+func (n reference) all() []*member[ident.Server] {
 	var all []*member[ident.Server]
 	for _, id := range slices.Sorted(maps.Keys(n.members)) {
 		all = append(all, n.members[id])
@@ -45,58 +45,58 @@
 	return all
 }
 
-func (n naive) count(now time.Time) {
+func (n reference) countViews(now time.Time) {
 	for _, x := range n.members {
-		n.excuse(now, x)
-		x.saidBad, x.saidWell = 0, 0
+		n.coveredUntil(now, x)
+		x.frozenViews, x.contraryViews = 0, 0
 	}
 	for _, v := range n.views {
-		if now.Sub(v.at) > n.cfg.Fresh {
+		if now.Sub(v.at) > n.cfg.ViewFresh {
 			continue
 		}
 		for id, x := range n.members {
-			if slices.Contains(v.bad, id) {
-				x.saidBad++
+			if slices.Contains(v.frozen, id) {
+				x.frozenViews++
 			} else {
-				x.saidWell++
+				x.contraryViews++
 			}
 		}
 	}
 }
 
-func (n naive) probe(now time.Time) []loop.Cmd {
+func (n reference) probe(now time.Time) []loop.Cmd {
 	var cmds []loop.Cmd
 	for _, x := range n.all() {
-		if x.Is != Gone && now.Sub(x.probed) >= n.cfg.Probe && n.excuse(now, x).IsZero() {
-			x.probed = now
+		if x.Is != Gone && now.Sub(x.probedAt) >= n.cfg.ProbePeriod && n.coveredUntil(now, x).IsZero() {
+			x.probedAt = now
 			cmds = append(cmds, ProbeCmd[ident.Server]{ID: x.ID, Addr: x.Addr})
 		}
 	}
-	if now.Sub(n.told) < n.cfg.Probe && !n.tell {
+	if now.Sub(n.viewSentAt) < n.cfg.ProbePeriod && !n.viewDue {
 		return cmds
 	}
-	n.told, n.tell = now, false
+	n.viewSentAt, n.viewDue = now, false
 	var v ViewCmd[ident.Server]
 	for _, x := range n.all() {
-		if x.Is != Gone && x.suspect(now, n.cfg) {
+		if x.Is != Gone && x.frozenLocally(now, n.cfg) {
 			v.Frozen = append(v.Frozen, x.ID)
 		}
-		if x.Is != Gone && x.odd() && n.shards() && slices.Contains(n.probersOf(x), n.shard.Self) {
+		if x.Is != Gone && x.isSuspect() && n.sharesProbes() && slices.Contains(n.probersOf(x), n.probers.Self) {
 			v.Suspect = append(v.Suspect, x.ID)
 		}
 	}
 	return append(cmds, v)
 }
 
-func (n naive) judge(now time.Time) []loop.Cmd {
+func (n reference) evaluate(now time.Time) []loop.Cmd {
 	all := n.all()
 	for _, x := range all {
-		n.excuse(now, x)
+		n.coveredUntil(now, x)
 	}
 	drains := map[ident.Service]bool{}
 	known, kept := 0, 0
 	for _, x := range all {
-		drains[x.Group] = n.believed(x.Group)
+		drains[x.Group] = n.trustsDrain(x.Group)
 		if x.Is != Gone {
 			known++
 			if x.inList && x.State != vmlist.Gone {
@@ -104,32 +104,32 @@
 			}
 		}
 	}
-	cmds := n.each(now, all, func(x *member[ident.Server]) (chart.Trigger, string) {
-		return n.leaving(now, x, drains, 2*kept < known)
+	cmds := n.fireEach(now, all, func(x *member[ident.Server]) (chart.Trigger, string) {
+		return n.leaveTrigger(now, x, drains, 2*kept < known)
 	})
 	total, bad := 0, 0
 	for _, x := range all {
-		looks := x.looksFrozen(now, n.cfg) && (x.Is == Live || x.Is == Joining)
-		if x.Is == Frozen || looks {
+		evaluations := x.looksFrozen(now, n.cfg) && (x.Is == Live || x.Is == Joining)
+		if x.Is == Frozen || evaluations {
 			bad++
 		}
-		if x.Is == Frozen || looks || x.Is == Live {
+		if x.Is == Frozen || evaluations || x.Is == Live {
 			total++
 		}
 	}
-	cmds = append(cmds, n.each(now, all, func(x *member[ident.Server]) (chart.Trigger, string) {
-		return n.staying(now, x, 2*bad > total)
+	cmds = append(cmds, n.fireEach(now, all, func(x *member[ident.Server]) (chart.Trigger, string) {
+		return n.healthTrigger(now, x, 2*bad > total)
 	})...)
 	for _, x := range all {
 		if x.Is == Gone && !x.inList && now.Sub(x.Since) > forgetAfter {
 			delete(n.members, x.ID)
-			delete(n.awake, x.ID)
+			delete(n.active, x.ID)
 		}
 	}
 	return cmds
 }
 
-func (n naive) believed(g ident.Service) bool {
+func (n reference) trustsDrain(g ident.Service) bool {
 	all, own := 0, 0
 	for _, x := range n.members {
 		if x.Group == g && x.Is != Gone && x.State != vmlist.Leaving {
@@ -142,42 +142,42 @@
 	return 2*own <= all || all == 1
 }
 
-// answers is how a member answers probes.
-type answers int
+// answerMode is how a member answers probes.
+type answerMode int
 
 const (
-	atOnce  answers = iota
-	late            // with its next probe
-	failing         // the probe fails
+	immediate answerMode = iota
+	late                 // with its next probe
+	failing              // the probe fails
 )
 
-// draw makes up what happens next.
-type draw struct {
+// generator draws the next event.
+type generator struct {
 	*rapid.T
 	servers, vms int
-	cuts         map[ident.Server]answers
-	words        map[ident.Server]server.Health
+	modes        map[ident.Server]answerMode
+	health       map[ident.Server]server.Health
 }
 
-func (d *draw) one(of string) ident.Server { return name(d.pick(d.servers, of)) }
-func (d *draw) pick(n int, of string) int  { return rapid.IntRange(0, n-1).Draw(d.T, of) }
+func (d *generator) server(of string) ident.Server { return name(d.pick(d.servers, of)) }
+func (d *generator) pick(n int, of string) int     { return rapid.IntRange(0, n-1).Draw(d.T, of) }
 
-func (d *draw) some(of string) []ident.Server {
+func (d *generator) someServers(of string) []ident.Server {
 	var out []ident.Server
 	for range d.pick(4, of) {
-		out = append(out, d.one(of))
+		out = append(out, d.server(of))
 	}
 	return out
 }
 
-func (d *draw) vm() ident.VM { return ident.VM(fmt.Sprint("vm", d.pick(d.vms, "vm"))) }
+func (d *generator) vm() ident.VM { return ident.VM(fmt.Sprint("vm", d.pick(d.vms, "vm"))) }
 
-func (d *draw) list() loop.Msg {
+func (d *generator) list() loop.Msg {
 	var m ListMsg[ident.Server]
-	odd := d.pick(5, "odd rows") == 0
+	unusual := d.pick(5, "odd rows") == 0
 	for i := range d.servers {
 		row := Listed[ident.Server]{ID: name(i), Group: ident.Service(fmt.Sprint("g", i%2)), State: vmlist.Live}
-		if odd {
+		if unusual {
 			switch d.pick(12, "row") {
 			case 0:
 				row.State = vmlist.Leaving
@@ -192,7 +192,7 @@
 	return m
 }
 
-func (d *draw) shard() loop.Msg {
+func (d *generator) probers() loop.Msg {
 	m := ProbersMsg{Self: d.vm(), Peers: d.pick(4, "peers") == 0}
 	for i := range d.vms {
 		if d.pick(6, "there") > 0 {
@@ -202,45 +202,45 @@
 	return m
 }
 
-func (d *draw) views() loop.Msg {
+func (d *generator) views() loop.Msg {
 	var m ViewsMsg[ident.Server]
 	bad := d.pick(4, "bad views") == 0
 	for i := range d.vms {
 		v := ViewMsg[ident.Server]{From: ident.VM(fmt.Sprint("vm", i))}
 		if bad {
-			v.Frozen = d.some("bad")
+			v.Frozen = d.someServers("bad")
 		}
 		m.Views = append(m.Views, v)
 	}
-	for i := range d.servers { // as the exchange tells of VMs
+	for i := range d.servers { // as package gossip delivers them for VMs
 		m.Views = append(m.Views, ViewMsg[ident.Server]{From: ident.VM(name(i))})
 	}
 	if d.pick(6, "odd views") == 0 {
-		m.Suspect = d.some("odd")
+		m.Suspect = d.someServers("odd")
 	}
 	return m
 }
 
-// next is a message, and the time that passes before it.
-func (d *draw) next() (time.Duration, loop.Msg) {
+// next returns a message, and the time that passes before it.
+func (d *generator) next() (time.Duration, loop.Msg) {
 	wait := time.Duration(0)
 	switch d.pick(20, "what") {
 	case 0:
 		return wait, d.list()
 	case 1:
-		return wait, d.shard()
+		return wait, d.probers()
 	case 2:
-		return wait, HeartbeatMsg[ident.Server]{ID: d.one("beat")}
+		return wait, HeartbeatMsg[ident.Server]{ID: d.server("beat")}
 	case 3:
-		return wait, CallsMsg[ident.Server]{ID: d.one("calls"), Succeeded: d.pick(2, "good"), Failed: d.pick(5, "bad")}
+		return wait, CallsMsg[ident.Server]{ID: d.server("calls"), Succeeded: d.pick(2, "good"), Failed: d.pick(5, "bad")}
 	case 4:
-		return wait, ViewMsg[ident.Server]{From: d.vm(), Frozen: d.some("bad"), Odd: d.some("odd")}
+		return wait, ViewMsg[ident.Server]{From: d.vm(), Frozen: d.someServers("bad"), Suspect: d.someServers("odd")}
 	case 5:
-		d.cuts[d.one("cut")] = answers(d.pick(4, "how it answers"))
+		d.modes[d.server("cut")] = answerMode(d.pick(4, "how it answers"))
 	case 6:
 		h := server.Health{Ready: d.pick(4, "ready") > 0, Drain: d.pick(2, "drains") == 0, Cold: d.pick(5, "cold") == 0}
-		for _, id := range d.some("word") {
-			d.words[id] = h
+		for _, id := range d.someServers("word") {
+			d.health[id] = h
 		}
 	case 7:
 		wait = time.Duration(d.pick(40, "pause")) * 100 * time.Millisecond
@@ -256,15 +256,15 @@
 	return wait, TickMsg{}
 }
 
-// The roster looks only at members of whom something was heard or whose moment
-// has come. If it overlooked one, a frozen server would stay in use, or a live
-// one would not be probed; so it must decide exactly as one that looks at all.
-func TestLookingAtFewDecidesAsLookingAtAll(t *testing.T) {
+// The model evaluates only members that something was heard of or whose check is
+// due. If it missed one, a frozen server would stay in use or a live one would not
+// be probed, so it must decide exactly as the reference, which evaluates all.
+func TestEvaluatingActiveMembersDecidesAsEvaluatingAll(t *testing.T) {
 	seeds.Check(t, func(t *rapid.T) {
-		d := &draw{T: t, servers: rapid.IntRange(1, 12).Draw(t, "servers"), vms: 6, cuts: map[ident.Server]answers{}, words: map[ident.Server]server.Health{}}
-		few, all := New[ident.Server](Config{}), naive{New[ident.Server](Config{})}
+		d := &generator{T: t, servers: rapid.IntRange(1, 12).Draw(t, "servers"), vms: 6, modes: map[ident.Server]answerMode{}, health: map[ident.Server]server.Health{}}
+		few, all := New[ident.Server](Config{}), reference{New[ident.Server](Config{})}
 		now := t0
-		kept := map[ident.Server]bool{}
+		pendingAnswer := map[ident.Server]bool{}
 		var both func(loop.Msg)
 		both = func(msg loop.Msg) {
 			_, got := few.Update(now, msg)
@@ -276,16 +276,16 @@
 				if !ok {
 					continue
 				}
-				h, said := d.words[p.ID]
+				h, said := d.health[p.ID]
 				if !said {
 					h.Ready = true
 				}
-				if d.cuts[p.ID] == late && !kept[p.ID] {
-					kept[p.ID] = true
+				if d.modes[p.ID] == late && !pendingAnswer[p.ID] {
+					pendingAnswer[p.ID] = true
 					continue
 				}
-				kept[p.ID] = false
-				both(ProbeMsg[ident.Server]{ID: p.ID, Failed: d.cuts[p.ID] == failing, Health: h})
+				pendingAnswer[p.ID] = false
+				both(ProbeMsg[ident.Server]{ID: p.ID, Failed: d.modes[p.ID] == failing, Health: h})
 			}
 		}
 		both(ListMsg[ident.Server]{Rows: d.list().(ListMsg[ident.Server]).Rows})
@@ -297,45 +297,45 @@
 	})
 }
 
-// All members of a large roster are well. Looked at with each tick, they would
-// use up a good part of what a VM may spend on control.
-func TestMembersThatAreWellAreLookedAtOnceASecond(t *testing.T) {
+// All members of a large fleet are healthy. If each were evaluated at every tick,
+// they would use a large part of the CPU that a VM may spend on control.
+func TestHealthyMembersAreEvaluatedOnceASecond(t *testing.T) {
 	w := newMesh(t, 6, 200, 1)
-	looks := 0
+	evaluations := 0
 	const span = 10 * time.Second
 	for range span / step {
 		w.now = w.now.Add(step)
 		for _, vm := range w.order {
 			m := w.vms[vm]
-			m.wakeDue(w.now)
-			looks += len(m.awake)
-			w.tell(vm, TickMsg{})
+			m.activateDue(w.now)
+			evaluations += len(m.active)
+			w.update(vm, TickMsg{})
 		}
 	}
-	each := float64(looks) / span.Seconds() / 200 / 6
-	t.Logf("%.2f looks a second and member", each)
-	assert.Assert(t, each <= 2, "%v", each) // ten if all were looked at
+	each := float64(evaluations) / span.Seconds() / 200 / 6
+	t.Logf("%.2f evaluations a second and member", each)
+	assert.Assert(t, each <= 2, "%v", each) // ten if all were evaluated at each tick
 }
 
-// A server's answer to the last probe was good, and the next one stays without an
-// answer or an error: it hangs. Its silence is told to others when it has lasted
-// long enough, not when the probe after that falls due.
+// A server hangs after a good answer, so that the next probe gets neither an
+// answer nor an error. Its silence must be reported once it has lasted
+// SilentAfter, not only when the following probe is due.
 func TestSilenceIsNoticedBetweenProbes(t *testing.T) {
 	m, now := New[ident.Server](Config{}), t0
 	m.Update(now, ListMsg[ident.Server]{Rows: []Listed[ident.Server]{{ID: "s0", Group: "lookup", State: vmlist.Live}}})
 	for range 40 {
 		now = now.Add(step)
 		_, cmds := m.Update(now, TickMsg{})
-		answer(m, now, cmds)
+		answerProbes(m, now, cmds)
 	}
 	x := m.members["s0"]
-	heard := x.heard
-	for now.Sub(heard) < DefaultConfig.Silent {
+	heard := x.heardAt
+	for now.Sub(heard) < DefaultConfig.SilentAfter {
 		now = now.Add(step)
 		m.Update(now, TickMsg{})
 	}
-	assert.Assert(t, now.Sub(x.probed) < DefaultConfig.Probe)
-	m.tell = true
+	assert.Assert(t, now.Sub(x.probedAt) < DefaultConfig.ProbePeriod)
+	m.viewDue = true
 	_, cmds := m.Update(now, TickMsg{})
 	assert.DeepEqual(t, cmds, []loop.Cmd{ViewCmd[ident.Server]{Frozen: []ident.Server{"s0"}}})
 }
--- a/internal/node/gossip/view.go
+++ b/internal/node/gossip/view.go
@@ -30,7 +30,7 @@
 
 // Member is a 4-byte hash that identifies an entry VM or a backend server; 0
 // identifies none. A collision costs an additional probe, or one of the two
-// witnesses that a freeze needs.
+// observations that a freeze needs.
 type Member uint32
 
 // MemberOf returns the identifier of a member; kind keeps entry VMs and backend
