--- a/internal/node/delta/delta_test.go
+++ b/internal/node/delta/delta_test.go
@@ -28,7 +28,7 @@
 	})
 }
 
-// A table of 64k slices in which some rows change must not travel whole.
+// A table of 64k slices in which some rows change must not be sent whole.
 func TestAFewChangedRowsCostAFewBytes(t *testing.T) {
 	old := make([]byte, 128<<10)
 	for i := range old {
@@ -42,8 +42,8 @@
 	assert.Assert(t, len(d) < 50*12, "%d bytes", len(d))
 }
 
-// FuzzApply looks for differences that crash a VM or make it build more than
-// the longest honest value.
+// FuzzApply applies arbitrary differences: none may cause a panic or build more
+// than the longest valid value.
 func FuzzApply(f *testing.F) {
 	f.Add([]byte("0123456789abcdef0123"), Diff([]byte("0123456789abcdef0123"), []byte("x0123456789abcdef01y")))
 	f.Add([]byte{}, []byte{3, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 1})
