--- a/internal/node/detect/mesh_test.go
+++ b/internal/node/detect/mesh_test.go
@@ -216,8 +216,8 @@
 	assert.Assert(t, w.vms[other].members[name(0)].probedAt.After(before))
 }
 
-// All VMs must learn of a frozen server, also those that do not probe it; a lying prober must not
-// keep it in use.
+// All VMs must learn of a frozen server, also those that do not probe it. A lying
+// prober must not keep it in use.
 func TestAFrozenServerIsNoticedThroughOthers(t *testing.T) {
 	w := newMesh(t, 8, 6, 4)
 	w.liar = w.probers(t, name(2))[0]
--- a/internal/node/gossip/packet.go
+++ b/internal/node/gossip/packet.go
@@ -127,7 +127,7 @@
 		return err
 	}
 	if f.Age < 0 || f.Age > int64(neverHeard/time.Millisecond) {
-		return kinds.New(kinds.Malformed, "age of a load row")
+		return kinds.New(kinds.Malformed, "load row age out of range")
 	}
 	*r = LoadRow{Server: f.Server, Slots: f.Slots, Busy: f.Busy, Queue: f.Queue, Age: time.Duration(f.Age) * time.Millisecond}
 	return nil
@@ -158,7 +158,7 @@
 		p.dropInvalidHeads()
 	}
 	if p.parts() != 1 || !p.valid() {
-		return Packet{}, kinds.New(kinds.Malformed, "peer packet")
+		return Packet{}, kinds.New(kinds.Malformed, "invalid peer packet")
 	}
 	return p, nil
 }
