--- a/internal/node/netsim/spread.go
+++ b/internal/node/netsim/netsim.go
@@ -1,12 +1,12 @@
-// Package netsim measures the exchange between entry VMs (package gossip) at
-// sizes that no test machine has: it runs the real decision modules of up to
-// some hundred VMs over a clock of its own, carries their encoded packets with
-// delay and loss, and counts messages, bytes and the time until a change is
-// known everywhere.
+// Package netsim measures the gossip between entry VMs (package gossip) at sizes
+// that no test machine has. It runs the real decision modules of up to some
+// hundred VMs on a simulated clock, carries their encoded packets with delay and
+// loss, and counts messages, bytes, and the time until a change is known
+// everywhere.
 //
-// It is a focused measurement of one module, with the network reduced to delay
-// and loss; no requests, no backend servers, no store beyond "the watchers read
-// revision n at this moment".
+// It measures this one module. The network is reduced to delay and loss; there are
+// no requests and no backend servers, and of the store only that "the watchers
+// read revision n at this moment".
 package netsim
 
 import (
@@ -14,31 +14,31 @@
 	"time"
 )
 
-// Config describes one run. Zero fields take the defaults of [Sizes].
+// Config describes one run. Zero fields take the defaults set by withDefaults.
 type Config struct {
 	VMs     int
 	Centres int
-	Loss    float64       // share of packets that are lost
-	Delay   time.Duration // one way between two VMs, plus up to as much again
+	Loss    float64       // share of packets that are lost, 0 to 1
+	Delay   time.Duration // one way between two VMs; up to as much again is added at random
 	Length  time.Duration // simulated time
 	Changes int           // new revisions, spread evenly over the run
 	Value   int           // length of the replicated value, in bytes
 	Edit    int           // bytes that one revision changes
-	// Restarts replaces that many VMs by new ones during the run; the others
-	// learn of it after Lag.
+	// Restarts is the number of VMs that are replaced by new ones during the run.
+	// The others learn of it after Lag.
 	Restarts int
 	Lag      time.Duration
 	// Outage makes the store silent for the second half of the run.
 	Outage bool
-	// Servers report their load through the VMs that hold their seats, once a
-	// second each.
+	// Servers is the number of backend servers. The VMs that hold their seats
+	// report their load once a second.
 	Servers int
 	Seed    uint64
 }
 
-// Row is the outcome of one run. Bytes count the packet and Overhead. Whole
-// values are counted apart from Mean and Max: they go only to VMs that hold
-// nothing yet, one each, so they belong to starts and not to the running cost.
+// Row is the result of one run. Bytes include Overhead for each packet. Whole
+// values are counted apart from Mean and Max: they are sent once to each VM that
+// holds nothing yet, so they belong to its start and not to the running cost.
 type Row struct {
 	VMs      int           `json:"vms"`
 	Loss     float64       `json:"loss"`
@@ -51,17 +51,18 @@
 	Worst    time.Duration `json:"worst"`
 	Missing  int           `json:"missing"` // VMs that never got the last revision
 	Watchers int           `json:"watchers"`
-	Reads    float64       `json:"reads"` // of the platform's list a second, by all VMs
-	LoadAge  time.Duration `json:"age"`   // of a load row at a VM, on average
-	Blind    int           `json:"blind"` // VMs that at the end see neither store nor most peers
-	Gap      time.Duration `json:"gap"`   // longest time that a VM went without news of the store or most peers
+	Reads    float64       `json:"reads"` // reads of the platform's list per second, by all VMs
+	LoadAge  time.Duration `json:"age"`   // mean age of a load row at a VM
+	Blind    int           `json:"blind"` // VMs that at the end hear neither the store nor most peers
+	Gap      time.Duration `json:"gap"`   // longest time that a VM was without news of the store or most peers
 }
 
-// Overhead is what one packet costs beside its own bytes: IP and UDP headers
-// (28), a QUIC short header (about 13), stream frame (about 7) and tag (16).
+// Overhead is the size in bytes of a packet's headers: IP and UDP (28), a QUIC
+// short header (about 13), a stream frame (about 7) and the authentication tag
+// (16).
 const Overhead = 64
 
-// Sizes are the numbers of entry VMs that the pages quote.
+// Sizes are the numbers of entry VMs for which results are published.
 var Sizes = []int{10, 50, 200, 520}
 
 func (c Config) withDefaults() Config {
@@ -78,7 +79,7 @@
 	return c
 }
 
-// RunAll runs each size once without loss and once with 2 % loss and restarts.
+// RunAll runs each size without loss, and with 2 % loss and restarts.
 func RunAll(sizes []int) []Row {
 	var rows []Row
 	for _, n := range sizes {
