--- a/internal/node/gossip/heartbeat.go
+++ b/internal/node/gossip/heartbeat.go
@@ -119,7 +119,8 @@
 	return cmds
 }
 
-// neverHeard is the age that is reported if the store was never heard.
+// neverHeard is the age that is reported if the store was never heard, and the
+// longest age that a load row may have.
 const neverHeard = time.Hour
 
 func (m *Model) storeAge(now time.Time) time.Duration {
