--- a/internal/edge/poll/heartbeat_test.go
+++ b/internal/edge/poll/heartbeat_test.go
@@ -75,7 +75,7 @@
 		start := time.Now()
 		_, err := tn.client(nil).Poll(t.Context(), firstVM, &Request{VM: "vm-2"}, func(Heartbeat) { t.Error("unexpected heartbeat") })
 		assert.Equal(t, kinds.Of(err), kinds.Unavailable)
-		assert.ErrorContains(t, err, flow.ErrSilent.Error())
+		assert.ErrorContains(t, err, flow.ErrTimeout.Error())
 		assert.Equal(t, time.Since(start), PollTimeout+answerTimeout)
 		time.Sleep(time.Second) // until the other VM's handler has ended
 	})
