--- a/internal/core/chart/chart.go
+++ b/internal/core/chart/chart.go
@@ -43,7 +43,7 @@
 	Name  string  `toml:"name"`
 	Start State   `toml:"start"`
 	Final []State `toml:"final"`
-	Moves []Move  `toml:"move"`
+	Transitions []Move  `toml:"move"`
 
 	machine *stateless.StateMachine
 }
@@ -87,7 +87,7 @@
 	for _, s := range c.States() {
 		m.Configure(s)
 	}
-	for _, mv := range c.Moves {
+	for _, mv := range c.Transitions {
 		if mv.From == mv.To {
 			m.Configure(mv.From).PermitReentry(mv.On)
 			continue
@@ -110,7 +110,7 @@
 
 // Can reports whether the chart draws an arrow for the trigger from s.
 func (c *Chart) Can(s State, on Trigger) bool {
-	return slices.ContainsFunc(c.Moves, func(m Move) bool { return m.From == s && m.On == on })
+	return slices.ContainsFunc(c.Transitions, func(m Move) bool { return m.From == s && m.On == on })
 }
 
 // States lists every state once, the start first.
@@ -121,7 +121,7 @@
 			all = append(all, s)
 		}
 	}
-	for _, m := range c.Moves {
+	for _, m := range c.Transitions {
 		add(m.From)
 		add(m.To)
 	}
@@ -148,7 +148,7 @@
 
 func (c *Chart) checkState(s State) error {
 	seen := map[Trigger]bool{}
-	for _, m := range c.Moves {
+	for _, m := range c.Transitions {
 		if m.From != s {
 			continue
 		}
@@ -172,7 +172,7 @@
 func (c *Chart) reached() []State {
 	found := []State{c.Start}
 	for i := 0; i < len(found); i++ {
-		for _, m := range c.Moves {
+		for _, m := range c.Transitions {
 			if m.From == found[i] && !slices.Contains(found, m.To) {
 				found = append(found, m.To)
 			}
--- a/internal/owner/lessor/chart_test.go
+++ b/internal/owner/lessor/chart_test.go
@@ -33,7 +33,7 @@
 	all := []*chart.Chart{authorityChart, leaseChart, moveChart, drainChart, deputyChart, standChart}
 	for _, c := range all {
 		var drawn []string
-		for _, m := range c.Moves {
+		for _, m := range c.Transitions {
 			drawn = append(drawn, string(m.On))
 		}
 		slices.Sort(drawn)
