--- a/internal/core/flow/silent.go
+++ b/internal/core/flow/silent.go
@@ -10,15 +10,15 @@
 	"hawthornfield.org/hawthornfield/internal/core/kinds"
 )
 
-// ErrSilent ends a request whose answer does not go on.
-var ErrSilent = kinds.New(kinds.Unavailable, "no byte in time")
+// ErrTimeout ends a request whose answer does not go on.
+var ErrTimeout = kinds.New(kinds.Unavailable, "no byte in time")
 
 // DoWithTimeouts sends a request. Its answer must begin within a wait, and its body may then pause
 // for as long as the silence: how long it takes as a whole follows from its size and the
 // link. Bound the whole by the request's context.
 func DoWithTimeouts(web *http.Client, req *http.Request, wait, silence time.Duration) (*http.Response, error) {
 	ctx, cancel := context.WithCancelCause(req.Context())
-	timer := time.AfterFunc(wait, func() { cancel(ErrSilent) })
+	timer := time.AfterFunc(wait, func() { cancel(ErrTimeout) })
 	resp, err := web.Do(req.WithContext(ctx))
 	if err != nil {
 		timer.Stop()
--- a/internal/edge/poll/heartbeat_test.go
+++ b/internal/edge/poll/heartbeat_test.go
@@ -76,7 +76,7 @@
 		start := time.Now()
 		_, err := f.client(nil).Poll(t.Context(), firstVM, &Request{VM: "vm-2"}, func(Heartbeat) { t.Error("heard") })
 		assert.Equal(t, kinds.Of(err), kinds.Unavailable)
-		assert.ErrorContains(t, err, flow.ErrSilent.Error())
+		assert.ErrorContains(t, err, flow.ErrTimeout.Error())
 		assert.Equal(t, time.Since(start), PollTimeout+answerWait)
 		time.Sleep(time.Second) // until the other VM has ended
 	})
--- a/internal/edge/poll/rules_test.go
+++ b/internal/edge/poll/rules_test.go
@@ -240,7 +240,7 @@
 			}
 			return 0
 		}).Rules(t.Context(), firstVM, 0)
-		assert.ErrorContains(t, err, flow.ErrSilent.Error())
+		assert.ErrorContains(t, err, flow.ErrTimeout.Error())
 		assert.Equal(t, kinds.Of(err), kinds.Unavailable)
 	})
 }
