--- a/internal/fake/objapi/objapi.go
+++ b/internal/fake/objapi/objapi.go
@@ -124,7 +124,7 @@
 func unchanged(w http.ResponseWriter, r *http.Request, tag string) bool {
 	tag = strconv.Quote(tag)
 	w.Header().Set(call.HeaderETag, tag)
-	if r.Header.Get(call.HeaderIfNone) != tag {
+	if r.Header.Get(call.HeaderIfNoneMatch) != tag {
 		return false
 	}
 	w.WriteHeader(http.StatusNotModified)
--- a/internal/plat/call/call.go
+++ b/internal/plat/call/call.go
@@ -28,7 +28,7 @@
 
 // Headers of a read that needs no answer where nothing changed.
 const (
-	HeaderIfNone = "If-None-Match"
+	HeaderIfNoneMatch = "If-None-Match"
 	HeaderETag   = "Etag"
 )
 
@@ -104,7 +104,7 @@
 		return Answer{}, kinds.Wrap(failure(method, handed.Load()), err, method+" "+r.URL.Path)
 	}
 	defer resp.Body.Close()
-	if resp.StatusCode == http.StatusNotModified && r.Header.Get(HeaderIfNone) != "" && method == http.MethodGet {
+	if resp.StatusCode == http.StatusNotModified && r.Header.Get(HeaderIfNoneMatch) != "" && method == http.MethodGet {
 		return Answer{Header: resp.Header, NotModified: true}, nil
 	}
 	return read(resp, method)
--- a/internal/plat/objcli/objcli.go
+++ b/internal/plat/objcli/objcli.go
@@ -32,7 +32,7 @@
 	known, ok := c.recent.of(name)
 	header := http.Header{}
 	if ok {
-		header.Set(call.HeaderIfNone, known.tag)
+		header.Set(call.HeaderIfNoneMatch, known.tag)
 	}
 	a, err := c.Exchange(ctx, http.MethodGet, c.object(name, nil), header, nil)
 	if err != nil {
--- a/internal/plat/vmcli/vmcli.go
+++ b/internal/plat/vmcli/vmcli.go
@@ -46,7 +46,7 @@
 	c.mu.Unlock()
 	header := http.Header{}
 	if tag != "" {
-		header.Set(call.HeaderIfNone, tag)
+		header.Set(call.HeaderIfNoneMatch, tag)
 	}
 	a, err := c.Exchange(ctx, http.MethodGet, c.base+"/vms", header, nil)
 	if err != nil {
