--- a/internal/core/chart/chart.go
+++ b/internal/core/chart/chart.go
@@ -1,9 +1,9 @@
-// Package chart executes state charts that are written in TOML files embedded
-// beside the code they rule. The file is the single source: the code fires
-// triggers and asks for the state, the library (qmuntal/stateless) refuses
-// every transition that the file does not draw.
+// Package chart runs state machines that are defined in TOML files, which are
+// embedded beside the code that uses them. The file is the only definition: the
+// code fires triggers and reads the state, and the library (qmuntal/stateless)
+// rejects every transition that the file does not list.
 //
-// A chart file lists its states and transitions:
+// A chart file names the start state, the final states and the transitions:
 //
 //	name = "lease"
 //	start = "none"
@@ -28,26 +28,28 @@
 // State names a state of a chart.
 type State string
 
-// Trigger names what makes a chart move.
+// Trigger names the event that causes a transition.
 type Trigger string
 
-// Move is one arrow of a chart.
-type Move struct {
+// Transition is one transition of a chart.
+type Transition struct {
 	From State   `toml:"from"`
 	On   Trigger `toml:"on"`
 	To   State   `toml:"to"`
 }
 
-// Chart is a parsed chart. Share it: machines made from it keep their own state.
+// Chart is a parsed chart. It holds no current state, which each caller of Fire
+// keeps itself, so one Chart serves any number of users.
 type Chart struct {
-	Name  string  `toml:"name"`
-	Start State   `toml:"start"`
-	Final []State `toml:"final"`
-	Transitions []Move  `toml:"move"`
+	Name        string       `toml:"name"`
+	Start       State        `toml:"start"`
+	Final       []State      `toml:"final"`
+	Transitions []Transition `toml:"move"`
 
 	machine *stateless.StateMachine
 }
 
+// stateKey is the context key of the pointer to the caller's current state.
 type stateKey struct{}
 
 // Parse reads a chart and checks that it is complete: see [Chart.Check].
@@ -59,11 +61,11 @@
 	if err := c.Check(); err != nil {
 		return nil, err
 	}
-	c.build()
+	c.buildMachine()
 	return &c, nil
 }
 
-// MustParse is Parse for embedded charts: a bad one is a fault of the build.
+// MustParse is like [Parse] for embedded charts and panics on an invalid one.
 func MustParse(src []byte) *Chart {
 	c, err := Parse(src)
 	if err != nil {
@@ -72,10 +74,10 @@
 	return c
 }
 
-// build makes one library machine for all users of the chart. The state lives
-// with the caller, so a thousand leases cost a thousand strings, not a thousand
-// machines.
-func (c *Chart) build() {
+// buildMachine makes one library machine for all users of the chart. The
+// current state is kept by the caller, so a thousand leases cost a thousand
+// strings and not a thousand machines.
+func (c *Chart) buildMachine() {
 	get := func(ctx context.Context) (stateless.State, error) {
 		return *ctx.Value(stateKey{}).(*State), nil
 	}
@@ -87,18 +89,18 @@
 	for _, s := range c.States() {
 		m.Configure(s)
 	}
-	for _, mv := range c.Transitions {
-		if mv.From == mv.To {
-			m.Configure(mv.From).PermitReentry(mv.On)
+	for _, tr := range c.Transitions {
+		if tr.From == tr.To {
+			m.Configure(tr.From).PermitReentry(tr.On)
 			continue
 		}
-		m.Configure(mv.From).Permit(mv.On, mv.To)
+		m.Configure(tr.From).Permit(tr.On, tr.To)
 	}
 	c.machine = m
 }
 
-// Fire moves from s by the trigger and returns the new state. A transition that
-// the chart does not draw fails with kind Internal and leaves s as it was.
+// Fire applies the trigger to state s and returns the new state. A transition
+// that is not in the chart returns s and an error of kind Internal.
 func (c *Chart) Fire(s State, on Trigger) (State, error) {
 	next := s
 	ctx := context.WithValue(context.Background(), stateKey{}, &next)
@@ -108,12 +110,12 @@
 	return next, nil
 }
 
-// Can reports whether the chart draws an arrow for the trigger from s.
+// Can reports whether the chart has a transition from s for the trigger.
 func (c *Chart) Can(s State, on Trigger) bool {
-	return slices.ContainsFunc(c.Transitions, func(m Move) bool { return m.From == s && m.On == on })
+	return slices.ContainsFunc(c.Transitions, func(m Transition) bool { return m.From == s && m.On == on })
 }
 
-// States lists every state once, the start first.
+// States returns every state once, the start state first.
 func (c *Chart) States() []State {
 	all := []State{c.Start}
 	add := func(s State) {
@@ -131,9 +133,10 @@
 	return all
 }
 
-// Check holds the chart complete: every state can be reached from the start,
-// every state that is not final has a way out, no final state has one, and no
-// state answers a trigger in two ways.
+// Check reports an error of kind Malformed unless the chart has a name and a
+// start state, every state can be reached from the start, every state that is
+// not final has a transition to leave it, no final state has one, and no state
+// has two transitions for the same trigger.
 func (c *Chart) Check() error {
 	if c.Name == "" || c.Start == "" {
 		return kinds.New(kinds.Malformed, "state chart without name or start")
@@ -153,23 +156,24 @@
 			continue
 		}
 		if seen[m.On] {
-			return kinds.New(kinds.Malformed, "chart "+c.Name+": two answers to "+string(m.On)+" in "+string(s))
+			return kinds.New(kinds.Malformed, "chart "+c.Name+": more than one transition for trigger "+string(m.On)+" in state "+string(s))
 		}
 		seen[m.On] = true
 	}
 	final := slices.Contains(c.Final, s)
 	switch {
 	case final && len(seen) > 0:
-		return kinds.New(kinds.Malformed, "chart "+c.Name+": a way out of the final state "+string(s))
+		return kinds.New(kinds.Malformed, "chart "+c.Name+": transition from final state "+string(s))
 	case !final && len(seen) == 0:
-		return kinds.New(kinds.Malformed, "chart "+c.Name+": dead end "+string(s))
-	case !slices.Contains(c.reached(), s):
-		return kinds.New(kinds.Malformed, "chart "+c.Name+": no way to "+string(s))
+		return kinds.New(kinds.Malformed, "chart "+c.Name+": no transition from non-final state "+string(s))
+	case !slices.Contains(c.reachable(), s):
+		return kinds.New(kinds.Malformed, "chart "+c.Name+": unreachable state "+string(s))
 	}
 	return nil
 }
 
-func (c *Chart) reached() []State {
+// reachable returns the states that can be reached from the start state.
+func (c *Chart) reachable() []State {
 	found := []State{c.Start}
 	for i := 0; i < len(found); i++ {
 		for _, m := range c.Transitions {
--- a/internal/core/chart/chart_test.go
+++ b/internal/core/chart/chart_test.go
@@ -47,12 +47,12 @@
 
 func TestParseRefusesIncompleteCharts(t *testing.T) {
 	for name, src := range map[string]string{
-		"dead end":       "name='x'\nstart='a'\n[[move]]\nfrom='a'\non='t'\nto='b'\n",
-		"unreachable":    "name='x'\nstart='a'\nfinal=['b','c']\n[[move]]\nfrom='a'\non='t'\nto='b'\n",
-		"leaves final":   "name='x'\nstart='a'\nfinal=['a']\n[[move]]\nfrom='a'\non='t'\nto='a'\n",
-		"two answers":    "name='x'\nstart='a'\n[[move]]\nfrom='a'\non='t'\nto='a'\n[[move]]\nfrom='a'\non='t'\nto='a'\n",
-		"without a name": "start='a'\n",
-		"not TOML":       "name=",
+		"dead end":          "name='x'\nstart='a'\n[[move]]\nfrom='a'\non='t'\nto='b'\n",
+		"unreachable":       "name='x'\nstart='a'\nfinal=['b','c']\n[[move]]\nfrom='a'\non='t'\nto='b'\n",
+		"leaves final":      "name='x'\nstart='a'\nfinal=['a']\n[[move]]\nfrom='a'\non='t'\nto='a'\n",
+		"duplicate trigger": "name='x'\nstart='a'\n[[move]]\nfrom='a'\non='t'\nto='a'\n[[move]]\nfrom='a'\non='t'\nto='a'\n",
+		"without a name":    "start='a'\n",
+		"not TOML":          "name=",
 	} {
 		t.Run(name, func(t *testing.T) {
 			_, err := Parse([]byte(src))
