--- a/internal/core/config/config_test.go
+++ b/internal/core/config/config_test.go
@@ -13,7 +13,7 @@
 	"hawthornfield.org/hawthornfield/internal/core/kinds"
 )
 
-const small = `vm = "vm-1"
+const minimalConfig = `vm = "vm-1"
 centre = "north"
 
 [platform]
@@ -35,8 +35,8 @@
 data = "127.0.0.1:7002"
 `
 
-func TestParseFillsWhatIsLeftOut(t *testing.T) {
-	c, err := Parse([]byte(small))
+func TestParseFillsDefaults(t *testing.T) {
+	c, err := Parse([]byte(minimalConfig))
 	assert.NilError(t, err)
 	assert.Equal(t, c.Lease.TTL.Duration, 700*time.Millisecond)
 	assert.Equal(t, c.Platform.VMs, c.Platform.Objects)
@@ -48,10 +48,10 @@
 	assert.DeepEqual(t, c.Fill().Journal, c.Journal)
 }
 
-// An operator misspells a setting, points at a host that nobody can dial, or
-// asks for a limit that cannot work. The daemon must not start with something
-// else than was meant: it names the line and opens nothing.
-func TestParseNamesTheLine(t *testing.T) {
+// An operator misspells a setting, gives an address that cannot be dialled, or
+// sets an impossible limit. The daemon must not start with settings other than
+// the intended ones: Parse fails and reports the line.
+func TestParseReportsLineOfFault(t *testing.T) {
 	for name, tc := range map[string]struct {
 		old, new string
 		line     int
@@ -73,8 +73,8 @@
 		"not TOML":         {`[platform]`, "[platform", 4, ""},
 	} {
 		t.Run(name, func(t *testing.T) {
-			src := strings.Replace(small, tc.old, tc.new, 1)
-			assert.Assert(t, src != small)
+			src := strings.Replace(minimalConfig, tc.old, tc.new, 1)
+			assert.Assert(t, src != minimalConfig)
 			_, err := Parse([]byte(src))
 			assert.Equal(t, kinds.Of(err), kinds.Malformed)
 			var faults Faults
@@ -85,22 +85,22 @@
 	}
 }
 
-func TestLoadTellsAbsentFromMalformed(t *testing.T) {
+func TestLoadErrorKinds(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "vm.toml")
 	_, err := Load(path)
 	assert.Equal(t, kinds.Of(err), kinds.NotFound)
 	assert.NilError(t, os.WriteFile(path, []byte("vm = 1"), 0o600))
 	_, err = Load(path)
 	assert.Equal(t, kinds.Of(err), kinds.Malformed)
-	assert.NilError(t, os.WriteFile(path, []byte(small), 0o600))
+	assert.NilError(t, os.WriteFile(path, []byte(minimalConfig), 0o600))
 	_, err = Load(path)
 	assert.NilError(t, err)
 }
 
-// FuzzParse feeds the decoder anything at all: it must answer with settings
-// that pass their own checks, or with an error, and never crash.
+// FuzzParse feeds arbitrary input to Parse, which must return settings that pass
+// the checks or an error, and never panic.
 func FuzzParse(f *testing.F) {
-	f.Add([]byte(small))
+	f.Add([]byte(minimalConfig))
 	f.Add([]byte("vm = \"\\u0000\"\n[[service]]\n[[service.server]]\n"))
 	f.Add([]byte("[lease]\nttl = \"-1h\"\ndrift = nan"))
 	f.Add([]byte("service = [{name = 'a', server = [{data = '[::1]:1'}]}]"))
@@ -109,6 +109,6 @@
 		if err != nil {
 			return
 		}
-		assert.Equal(t, len(append(ranges(c), c.check()...)), 0)
+		assert.Equal(t, len(append(checkRanges(c), c.check()...)), 0)
 	})
 }
--- a/internal/core/config/lines.go
+++ b/internal/core/config/lines.go
@@ -7,14 +7,14 @@
 	"github.com/pelletier/go-toml/v2/unstable"
 )
 
-// lines maps the dotted path of each setting to the line it stands on.
-type lines map[string]int
+// lineIndex maps the dotted path of each setting to its line number.
+type lineIndex map[string]int
 
-// index reads src a second time for its positions only. The decoder keeps none
-// once a value has been stored, and a check that fails later must still name
-// the line.
-func index(src []byte) lines {
-	at := lines{}
+// indexLines parses src a second time to find the line of each setting. The
+// decoder does not keep positions once a value has been stored, but a check that
+// fails later must still report the line.
+func indexLines(src []byte) lineIndex {
+	at := lineIndex{}
 	var p unstable.Parser
 	p.Reset(src)
 	counts := map[string]int{}
@@ -37,15 +37,16 @@
 	return at
 }
 
-func (l lines) put(path string, line int) {
+// put records the first line of path.
+func (l lineIndex) put(path string, line int) {
 	if _, ok := l[path]; !ok {
 		l[path] = line
 	}
 }
 
-// line finds the setting itself, or the nearest table around it: a setting
-// that was left out has no line of its own.
-func (l lines) line(path string) int {
+// line returns the line of the setting at path. A setting that was left out has
+// no line, so the line of the nearest enclosing table is returned instead, or 0.
+func (l lineIndex) line(path string) int {
 	for path != "" {
 		if n, ok := l[path]; ok {
 			return n
@@ -71,7 +72,8 @@
 	return p.Shape(it.Node().Raw).Start.Line
 }
 
-// resolve puts the current index behind each array of tables in key.
+// resolve adds the current index to each array of tables in key, such as
+// "service[0].name" for "service.name".
 func resolve(key string, counts map[string]int) string {
 	path := ""
 	for part := range strings.SplitSeq(key, ".") {
@@ -83,6 +85,7 @@
 	return path
 }
 
+// openArray counts a new element of the array of tables key and returns its path.
 func openArray(key string, counts map[string]int) string {
 	parent, last := "", key
 	if i := strings.LastIndexByte(key, '.'); i >= 0 {
--- a/internal/core/config/parse.go
+++ b/internal/core/config/parse.go
@@ -16,18 +16,18 @@
 	"hawthornfield.org/hawthornfield/internal/core/kinds"
 )
 
-// MaxFile is the largest settings file that is read, in bytes. 500 backend
-// servers take about 60 kB.
+// MaxFile is the size limit of a settings file in bytes. The settings of 500
+// backend servers take about 60 kB.
 const MaxFile = 1 << 20
 
-// Fault is one thing that is wrong in a settings file.
+// Fault is one error in a settings file.
 type Fault struct {
-	Line int    // from one; zero when no line is to blame
+	Line int    // counted from 1; 0 if the fault has no line
 	Path string // dotted name of the setting, such as "service[0].slices"
 	Text string
 }
 
-// String renders the fault as "line 12: lease.ttl: must be at least 50ms".
+// String formats the fault as "line 12: lease.ttl: must be at least 50ms".
 func (f Fault) String() string {
 	var parts []string
 	if f.Line > 0 {
@@ -39,11 +39,11 @@
 	return strings.Join(append(parts, f.Text), ": ")
 }
 
-// Faults are all that is wrong in a file; Load and Parse return them wrapped
-// with kind Malformed. Find them with errors.As.
+// Faults lists all errors in a file. Load and Parse return it wrapped with kind
+// Malformed; use errors.As to get it.
 type Faults []Fault
 
-// Error renders one fault a line.
+// Error returns the faults, one per line.
 func (f Faults) Error() string {
 	lines := make([]string, len(f))
 	for i, one := range f {
@@ -52,8 +52,8 @@
 	return strings.Join(lines, "\n")
 }
 
-// Load reads and checks the file at path. Kind Absent when it cannot be read,
-// Malformed when something in it is wrong.
+// Load reads and checks the file at path. The error has kind NotFound if the file
+// cannot be read, TooLarge if it exceeds MaxFile, and Malformed if it is invalid.
 func Load(path string) (Config, error) {
 	info, err := os.Stat(path)
 	if err != nil {
@@ -70,7 +70,7 @@
 	return cfg, kinds.Wrap(kinds.Of(err), err, path)
 }
 
-// Parse reads settings from src, checks them and fills in the defaults.
+// Parse decodes settings from src, fills in the defaults and checks the result.
 func Parse(src []byte) (Config, error) {
 	var c Config
 	d := toml.NewDecoder(bytes.NewReader(src)).DisallowUnknownFields()
@@ -78,11 +78,11 @@
 		return Config{}, kinds.Wrap(kinds.Malformed, decodeFaults(err), "settings")
 	}
 	c = c.Fill()
-	faults := append(ranges(c), c.check()...)
+	faults := append(checkRanges(c), c.check()...)
 	if len(faults) == 0 {
 		return c, nil
 	}
-	at := index(src)
+	at := indexLines(src)
 	for i := range faults {
 		faults[i].Line = at.line(faults[i].Path)
 	}
@@ -92,6 +92,7 @@
 	return Config{}, kinds.Wrap(kinds.Malformed, faults, "settings")
 }
 
+// decodeFaults converts an error of the TOML decoder to faults with lines.
 func decodeFaults(err error) Faults {
 	var strict *toml.StrictMissingError
 	if errors.As(err, &strict) {
@@ -112,14 +113,15 @@
 
 var validate = newValidate()
 
+// newValidate returns a validator that names fields by their TOML keys.
 func newValidate() *validator.Validate {
 	v := validator.New(validator.WithRequiredStructEnabled())
 	v.RegisterTagNameFunc(func(f reflect.StructField) string { return f.Tag.Get("toml") })
 	return v
 }
 
-// ranges applies the bounds that stand in the struct tags.
-func ranges(c Config) Faults {
+// checkRanges applies the bounds in the struct tags.
+func checkRanges(c Config) Faults {
 	var bad validator.ValidationErrors
 	if !errors.As(validate.Struct(c), &bad) {
 		return nil
@@ -127,12 +129,13 @@
 	var all Faults
 	for _, e := range bad {
 		_, path, _ := strings.Cut(e.Namespace(), ".")
-		all = append(all, Fault{Path: path, Text: say(e)})
+		all = append(all, Fault{Path: path, Text: describeRange(e)})
 	}
 	return all
 }
 
-func say(e validator.FieldError) string {
+// describeRange returns the text of a bound that a setting violates.
+func describeRange(e validator.FieldError) string {
 	switch e.Tag() {
 	case "required":
 		return "must be set"
