--- a/internal/core/digest/digest.go
+++ b/internal/core/digest/digest.go
@@ -1,9 +1,8 @@
-// Package digest names a value by its content, so that two processes can tell
+// Package digest computes short content hashes, so that two processes can check
 // that they hold the same bytes without sending them.
 //
-// It is SHA-256 cut to 128 bits: a peer that answers with other bytes than it
-// announced, by fault or by will, is found out, and an entry in a message stays
-// short.
+// A digest is SHA-256 truncated to 128 bits. It reveals a peer that sends other
+// bytes than it announced, by error or on purpose, and keeps messages short.
 package digest
 
 import (
@@ -11,7 +10,7 @@
 	"encoding/hex"
 )
 
-// Sum is the digest of a value. The zero Sum names nothing.
+// Sum is the digest of a value. The zero Sum is the digest of no value.
 type Sum [16]byte
 
 // Of returns the digest of b.
@@ -20,8 +19,8 @@
 	return Sum(full[:len(Sum{})])
 }
 
-// IsZero reports whether s names nothing.
+// IsZero reports whether s is the zero Sum.
 func (s Sum) IsZero() bool { return s == Sum{} }
 
-// String returns the first half in hexadecimal, which is enough for a log line.
+// String returns the first 8 bytes in hexadecimal, which is enough for a log line.
 func (s Sum) String() string { return hex.EncodeToString(s[:8]) }
--- a/internal/core/digest/digest_test.go
+++ b/internal/core/digest/digest_test.go
@@ -6,7 +6,7 @@
 	"gotest.tools/v3/assert"
 )
 
-func TestOfTellsValuesApart(t *testing.T) {
+func TestOfDistinguishesValues(t *testing.T) {
 	assert.Equal(t, Of([]byte("a")).String(), "ca978112ca1bbdca")
 	assert.Assert(t, Of([]byte("a")) != Of([]byte("b")))
 	assert.Assert(t, !Of(nil).IsZero())
