--- a/internal/core/flow/flow.go
+++ b/internal/core/flow/flow.go
@@ -1,6 +1,8 @@
-// Package flow counts what goes over connections, for metrics that say which part of a
-// VM causes how much traffic: bytes between data centres are paid for, and a renewal too
-// many shows nowhere else.
+// Package flow counts the bytes sent and received over connections and limits how
+// long an HTTP response may stall.
+//
+// The counts feed metrics of how much traffic each part of a VM causes: traffic
+// between data centres is billed, and excess lease renewals show nowhere else.
 package flow
 
 import (
@@ -9,41 +11,43 @@
 	"sync/atomic"
 )
 
-// Counter counts bytes, both ways. The zero value is ready.
+// Counter counts bytes in both directions. The zero value is ready to use.
 type Counter struct{ n atomic.Int64 }
 
-// Bytes returns how many there were so far, without what the network adds.
-func (f *Counter) Bytes() int64 { return f.n.Load() }
+// Bytes returns the number of bytes read and written so far, without the overhead
+// of TCP and IP.
+func (ctr *Counter) Bytes() int64 { return ctr.n.Load() }
 
-// Dial opens a connection, as net.Dialer.DialContext does.
+// Dial opens a connection, like [net.Dialer.DialContext].
 type Dial func(ctx context.Context, network, addr string) (net.Conn, error)
 
-// Count returns a dial whose connections are counted.
-func (f *Counter) Count(dial Dial) Dial {
+// Count wraps dial so that the traffic of its connections is counted.
+func (ctr *Counter) Count(dial Dial) Dial {
 	return func(ctx context.Context, network, addr string) (net.Conn, error) {
 		c, err := dial(ctx, network, addr)
 		if err != nil {
 			return nil, err
 		}
-		return conn{c, f}, nil
+		return conn{c, ctr}, nil
 	}
 }
 
+// conn adds the bytes of a connection to a counter.
 type conn struct {
 	net.Conn
-	flow *Counter
+	counter *Counter
 }
 
-// Read counts what was read.
+// Read reads from the connection and counts the bytes.
 func (c conn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
-	c.flow.n.Add(int64(n))
+	c.counter.n.Add(int64(n))
 	return n, err
 }
 
-// Write counts what was written.
+// Write writes to the connection and counts the bytes.
 func (c conn) Write(b []byte) (int, error) {
 	n, err := c.Conn.Write(b)
-	c.flow.n.Add(int64(n))
+	c.counter.n.Add(int64(n))
 	return n, err
 }
--- a/internal/core/flow/flow_test.go
+++ b/internal/core/flow/flow_test.go
@@ -12,7 +12,7 @@
 	"hawthornfield.org/hawthornfield/internal/core/group"
 )
 
-func TestBothWaysAreCounted(t *testing.T) {
+func TestCounterCountsBothDirections(t *testing.T) {
 	near, far := net.Pipe()
 	var f Counter
 	var g group.Group
