--- a/internal/core/group/group.go
+++ b/internal/core/group/group.go
@@ -1,6 +1,6 @@
-// Package group starts goroutines that somebody waits for. Nothing in the
-// module uses a bare go statement: a goroutine that nobody waits for outlives
-// its owner's Close, and a test only notices when the next test fails.
+// Package group runs goroutines and waits for them to end. No code in this module
+// uses a bare go statement: a goroutine that nobody waits for outlives its owner's
+// Close, and a leak in one test shows only when a later test fails.
 package group
 
 import (
@@ -12,7 +12,8 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// Group runs duties until it is closed. The zero value is ready to use.
+// Group runs functions in goroutines until it is closed. The zero value is ready
+// to use.
 //
 //	var g group.Group
 //	g.Go(func(ctx context.Context) error { return serve(ctx) })
@@ -33,27 +34,27 @@
 	})
 }
 
-// Go starts a duty. Its context ends when the group is closed, or when another
-// duty returns an error.
-func (g *Group) Go(duty func(ctx context.Context) error) {
+// Go runs fn in a new goroutine. Its context is canceled when the group is closed
+// or when another function returns an error.
+func (g *Group) Go(fn func(ctx context.Context) error) {
 	g.init()
-	g.eg.Go(func() error { return duty(g.ctx) })
+	g.eg.Go(func() error { return fn(g.ctx) })
 }
 
-// Context returns the context that the duties run under.
+// Context returns the context that the functions run under.
 func (g *Group) Context() context.Context {
 	g.init()
 	return g.ctx
 }
 
-// Wait waits for all duties to end by themselves and returns the first error.
+// Wait waits for all functions to return by themselves and returns the first error.
 func (g *Group) Wait() error {
 	g.init()
 	return g.eg.Wait()
 }
 
-// Close cancels the duties and waits for them. It may be called more than once.
-// A duty that ends because of this cancellation is not reported as an error.
+// Close cancels the functions and waits for them. It may be called more than once.
+// A function that returns [context.Canceled] is not reported as an error.
 func (g *Group) Close() error {
 	g.init()
 	g.cancel()
@@ -64,7 +65,7 @@
 	return err
 }
 
-// Sleep waits for d or until ctx ends, and reports whether ctx is still alive.
+// Sleep waits for d or until ctx ends, and reports whether it waited for d.
 func Sleep(ctx context.Context, d time.Duration) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
--- a/internal/core/group/group_test.go
+++ b/internal/core/group/group_test.go
@@ -9,8 +9,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// A duty pauses between two looks, and its owner closes meanwhile. Slept to the
-// end, the pause would hold up the shutdown by as much.
+// A polling goroutine sleeps while its owner closes. If Sleep ignored its context,
+// the shutdown would be delayed by the rest of the sleep.
 func TestSleepEndsWithItsContext(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		start := time.Now()
@@ -23,8 +23,9 @@
 	})
 }
 
-// One duty fails. The others are told, and Close returns the first fault.
-func TestAFailedDutyEndsTheOthers(t *testing.T) {
+// One function fails: the others must be canceled, and Wait and Close must return
+// the first error.
+func TestErrorCancelsOtherFunctions(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var g Group
 		ended := false
