--- a/internal/core/ident/ident.go
+++ b/internal/core/ident/ident.go
@@ -1,8 +1,8 @@
-// Package ident holds the small typed names that every other package shares:
-// who a VM, a data centre, a caller or a backend server is, which slice a key
-// hashes to, and the numbers (epoch, fence, revision) that only ever rise.
+// Package ident defines the identifier types that all other packages share: the
+// names of VMs, data centres, callers and backend servers, the slice that a key
+// hashes to, and the numbers (epoch, fence, revision) that only increase.
 //
-// It imports nothing of the module, so any package may import it.
+// It imports no other package of the module, so any package may import it.
 package ident
 
 import (
@@ -19,8 +19,8 @@
 // Server names one backend server. Names are unique within the platform.
 type Server string
 
-// VM names one entry VM. A replacement VM always gets a new name: a name that
-// has once been listed as gone never comes back.
+// VM names one entry VM. A replacement VM always gets a new name: a name that was
+// once listed as gone is never reused.
 type VM string
 
 // Centre names a data centre.
@@ -29,31 +29,33 @@
 // Region names a group of data centres that are close to each other.
 type Region string
 
-// Caller names who sent a request, as the front end identified it.
+// Caller names the customer who sent a request, as identified by the front end.
 type Caller string
 
-// Key is what a divided service owns exclusively, for example a scale or a
-// ward.
+// Key names a unit of data of a divided service that one backend server owns
+// exclusively, for example a scale or a ward.
 type Key string
 
-// Request is the identifier under which a caller may repeat a request that is
-// not idempotent.
+// Request is the identifier of a request. A caller may safely repeat a request
+// that is not idempotent under the same identifier.
 type Request string
 
-// Slice is one of the equal parts that a service's keys hash to.
+// Slice numbers one of the equal hash partitions of a service's keys.
 type Slice uint32
 
-// Epoch numbers the successive holders of one authority. It only rises.
+// Epoch numbers the successive holders of one authority. It only increases.
 type Epoch uint64
 
-// Revision numbers the accepted versions of a configuration. It only rises.
+// Revision numbers the accepted versions of a configuration, such as rules or a
+// set of slices. It only increases.
 type Revision uint64
 
-// Fence orders every grant ever given for one backend server. A backend server
-// that checks fences refuses any order below the highest it has seen.
+// Fence is a fencing token: it ranks every order ever sent to one backend server.
+// A backend server that checks fences refuses an order with a lower fence than
+// the highest it has seen.
 //
-// The epoch comes first: whoever took over last wins over every order of its
-// predecessors, however many they sent.
+// The epoch is compared first: the latest holder's orders supersede all orders of
+// its predecessors, however many they sent.
 type Fence struct {
 	Epoch Epoch  `cbor:"epoch" json:"epoch"`
 	Seq   uint64 `cbor:"seq" json:"seq"`
@@ -67,16 +69,16 @@
 // Less reports whether f is older than o.
 func (f Fence) Less(o Fence) bool { return f.Compare(o) < 0 }
 
-// String renders the fence as "epoch.seq", the form used in headers and logs.
+// String formats the fence as "epoch.seq", the form used in headers and logs.
 func (f Fence) String() string {
-	const most = 41 // two numbers of 20 digits and the dot
-	b := strconv.AppendUint(make([]byte, 0, most), uint64(f.Epoch), 10)
+	const maxLen = 41 // two numbers of 20 digits and the dot
+	b := strconv.AppendUint(make([]byte, 0, maxLen), uint64(f.Epoch), 10)
 	return string(strconv.AppendUint(append(b, '.'), f.Seq, 10))
 }
 
-// SliceOf hashes a key to one of n slices. The hash is xxHash64, which is
-// fixed by its specification: two versions of the program agree on it.
-// It returns slice 0 when n is zero.
+// SliceOf hashes a key to one of n slices. The hash is xxHash64, whose
+// specification is fixed, so different versions of the program agree on it.
+// SliceOf returns slice 0 if n is 0.
 func SliceOf(k Key, n uint32) Slice {
 	if n == 0 {
 		return 0
