--- a/internal/core/kinds/kinds.go
+++ b/internal/core/kinds/kinds.go
@@ -1,11 +1,11 @@
-// Package kinds is the closed list of ways in which a request, or a call to
-// the platform, can fail, and the one table that turns each into an answer.
+// Package kinds defines the error kinds of requests and of calls to the platform,
+// and the table that maps each kind to the response that a caller receives.
 //
-// Two promises hang on this table. An answer that says "not run" is only given
-// for kinds where no byte of the request can have reached a backend server, or
-// where the server itself said that it did nothing. Everything else that may
-// have run is answered as "unknown", and is never retried for a request that
-// is not idempotent.
+// Two guarantees depend on this table. A response says that the request did not
+// run only for kinds where no byte of the request can have reached a backend
+// server, or where the server itself reported that it did nothing. Every other
+// request that may have run is answered as "unknown", and is never retried unless
+// it is idempotent.
 package kinds
 
 import (
@@ -16,64 +16,65 @@
 	"github.com/rotisserie/eris"
 )
 
-// Kind is one entry of the closed list.
+// Kind is the kind of an error. The list of kinds is closed.
 type Kind uint8
 
-// The kinds. Add one only together with its row in the table.
+// The error kinds. Each has a row in table.
 const (
 	None           Kind = iota // no failure
-	BadRequest                 // the caller's request cannot be understood
-	TooLarge                   // a body beyond the configured limit
-	LongHeader                 // headers beyond the configured limit
+	BadRequest                 // the caller's request is malformed
+	TooLarge                   // the body exceeds the configured limit
+	LongHeader                 // the headers exceed the configured limit
 	NoRule                     // no rule matches the request
-	StaleRules                 // the rules here may be old, and by them the request is at fault
+	StaleRules                 // the request fails by this VM's rules, but they may be outdated
 	Denied                     // a rule or a missing identity forbids the request
-	Busy                       // refused by admission: full, or over a fair share
-	DeadlineMissed             // the deadline cannot be met, or passed while queued
-	Moving                     // the key is between owners for longer than we may wait
+	Busy                       // refused by admission control: the service is full or the caller exceeds its fair share
+	DeadlineMissed             // the deadline cannot be met or passed while the request was queued
+	Moving                     // the key is changing owners for longer than the request may wait
 	NoOwner                    // the key has no live owner now
 	NoServer                   // the service has no usable backend server
-	Misrouted                  // the backend server said it is not the owner and ran nothing
+	Misrouted                  // the backend server reported that it is not the owner and ran nothing
 	Quarantined                // the request has crashed the servers that ran it
-	NotDurable                 // the rule demands a durable record and none can be written now
-	Repeated                   // an earlier submission with this id exists, its answer is not known
+	NotDurable                 // the rule requires a durable record and none can be written now
+	Repeated                   // an earlier submission with this id exists and its response is not known
 	Closing                    // this VM is shutting down
 	Unknown                    // the request may have run: connection lost after it was sent
-	Truncated                  // the answer broke off after it had begun
-	Canceled                   // the caller went away
-	Conflict                   // a conditional update lost against another writer
+	Truncated                  // the response ended before it was complete
+	Canceled                   // the caller disconnected
+	Conflict                   // a conditional update failed because of another writer
 	NotFound                   // the object or entry does not exist
 	Ambiguous                  // the platform did not say whether the write took effect
-	Unavailable                // the platform, or a peer, cannot be reached
+	Unavailable                // the platform or a peer cannot be reached
 	NewerVersion               // data written by a newer version of the program
 	Malformed                  // data that cannot be decoded
-	Fenced                     // a newer epoch exists: this process must step down
-	Internal                   // a fault of the program itself
-	end
+	Fenced                     // a newer epoch exists, so this process must step down
+	Internal                   // a bug in this program
+	end                        // number of kinds
 )
 
-// Ran says what the answer promises about execution.
+// Ran says whether a request was executed.
 type Ran string
 
-// The three promises an answer can carry in the header [HeaderRan].
+// The values of the header [HeaderRan].
 const (
-	RanNo      Ran = "no"      // it did not run: repeating it is safe
-	RanUnknown Ran = "unknown" // it may have run: ask before repeating
+	RanNo      Ran = "no"      // it did not run; repeating it is safe
+	RanUnknown Ran = "unknown" // it may have run; check before repeating it
 	RanYes     Ran = "yes"     // it ran
 )
 
-// HeaderRan carries the promise in every answer that the system itself makes,
-// and in a backend server's refusal.
+// HeaderRan is the header with the Ran value. Every response that the router
+// itself generates has it, and so does a backend server's refusal.
 const HeaderRan = "Hawthorn-Ran"
 
-// Answer is what a caller receives for a kind.
+// Answer is the response that a caller receives for a kind.
 type Answer struct {
 	Status int           // HTTP status
-	Ran    Ran           // promise about execution
-	Text   string        // one sentence for the body
-	Retry  time.Duration // Retry-After hint; zero means none
+	Ran    Ran           // whether the request was executed
+	Text   string        // text of the body
+	Retry  time.Duration // value of Retry-After; 0 means no such header
 }
 
+// row is one entry of table: the name of a kind and its answer.
 type row struct {
 	name string
 	Answer
@@ -113,7 +114,7 @@
 	Internal:       {"internal", Answer{http.StatusInternalServerError, RanUnknown, "internal fault", 0}},
 }
 
-// All lists every kind, for tests and for documentation.
+// All returns every kind, for tests and documentation.
 func All() []Kind {
 	all := make([]Kind, 0, int(end))
 	for k := None; k < end; k++ {
@@ -130,12 +131,12 @@
 	return table[k].name
 }
 
-// MarshalText renders the name, so that JSON shows an operator "busy" and not a
-// number that differs between versions.
+// MarshalText returns the name, so that JSON contains "busy" and not a number that
+// differs between versions.
 func (k Kind) MarshalText() ([]byte, error) { return []byte(k.String()), nil }
 
-// Answer returns the row for k. A value outside the list answers as Internal,
-// so that a fault never looks like a success.
+// Answer returns the answer for k. An invalid kind has the answer of Internal, so
+// that an error never looks like a success.
 func (k Kind) Answer() Answer {
 	if k >= end {
 		return table[Internal].Answer
@@ -143,19 +144,19 @@
 	return table[k].Answer
 }
 
-// Error is a failure with its kind. Wrap it freely: [Of] finds it again.
+// Error is an error with a kind. [Of] finds the kind in a wrapped Error.
 type Error struct {
 	Kind Kind
 	err  error
 }
 
-// New makes an error of kind k. The message says what was being done.
+// New returns an error of kind k with a message.
 func New(k Kind, msg string) error {
 	return &Error{Kind: k, err: eris.New(msg)}
 }
 
-// Wrap gives err the kind k and says what was being done. It returns nil for a
-// nil err.
+// Wrap returns err with kind k and a message that says which operation failed. It
+// returns nil if err is nil.
 func Wrap(k Kind, err error, msg string) error {
 	if err == nil {
 		return nil
@@ -163,19 +164,20 @@
 	return &Error{Kind: k, err: eris.Wrap(err, msg)}
 }
 
-// Error renders the kind, then the message.
+// Error returns the kind's name and the message.
 func (e *Error) Error() string { return e.Kind.String() + ": " + e.err.Error() }
 
 // Unwrap returns the wrapped error.
 func (e *Error) Unwrap() error { return e.err }
 
-// Is makes errors.Is(err, kinds.New(k, "")) true for any error of the same kind.
+// Is reports whether target is an Error of the same kind, so that
+// errors.Is(err, kinds.New(k, "")) matches by kind.
 func (e *Error) Is(target error) bool {
 	t, ok := target.(*Error)
 	return ok && t.Kind == e.Kind
 }
 
-// Of returns the kind of err: None for nil, Internal for an error without one.
+// Of returns the kind of err: None for nil, Internal for an error without a kind.
 func Of(err error) Kind {
 	if err == nil {
 		return None
--- a/internal/core/kinds/kinds_test.go
+++ b/internal/core/kinds/kinds_test.go
@@ -9,14 +9,14 @@
 	"gotest.tools/v3/assert"
 )
 
-func TestEveryKindHasItsRow(t *testing.T) {
+func TestEveryKindHasATableRow(t *testing.T) {
 	seen := map[string]Kind{}
 	for _, k := range All() {
 		a := k.Answer()
 		assert.Assert(t, a.Status >= 200, "kind %d has no status", k)
-		assert.Assert(t, a.Ran != "", "kind %d makes no promise", k)
-		_, twice := seen[k.String()]
-		assert.Assert(t, !twice, "name %q stands twice", k)
+		assert.Assert(t, a.Ran != "", "kind %d does not say whether the request ran", k)
+		_, duplicate := seen[k.String()]
+		assert.Assert(t, !duplicate, "duplicate name %q", k)
 		seen[k.String()] = k
 	}
 }
