--- a/internal/core/loop/loop.go
+++ b/internal/core/loop/loop.go
@@ -1,10 +1,10 @@
-// Package loop runs a decision module: one goroutine takes messages, asks the
-// module's pure update for the new state and the commands, and hands the
-// commands to whoever carries out effects.
+// Package loop runs an event loop over a model: one goroutine receives messages,
+// calls the model's pure Update function, which returns the new state and the
+// commands to execute, and passes the commands to a [Runner].
 //
-// A decision module never touches the network, the clock or a goroutine. It is
-// told the time with each message, so a test can pause, skip or skew it, and
-// the same module runs unchanged under the fakes and in the daemon.
+// A model does not use the network, the clock or goroutines. It receives the
+// current time with each message, so a test can stop, advance or skew it, and the
+// same model runs unchanged in tests with fakes and in the daemon.
 package loop
 
 import (
@@ -16,16 +16,16 @@
 	"hawthornfield.org/hawthornfield/internal/core/ring"
 )
 
-// Msg is anything that happened: an answer, a timer, an operator's wish.
-// Message types are small structs named XMsg.
+// Msg is an event: a command's result, an expired timer, an operator's request.
+// Message types are small structs whose names end in Msg.
 type Msg any
 
-// Cmd is an effect as a value: what should be done, not how. Command types are
-// small structs named XCmd. The [Runner] carries them out.
+// Cmd describes a side effect: what should be done, not how. Command types are
+// small structs whose names end in Cmd. The [Runner] executes them.
 type Cmd any
 
-// Model is a decision module. Update returns the next state and the effects it
-// wants, and does nothing else.
+// Model is the state of a loop. Update returns the next state and the commands to
+// execute, and has no side effects.
 //
 //	func (c Counter) Update(_ time.Time, msg loop.Msg) (loop.Model, []loop.Cmd) {
 //		if _, ok := msg.(TickMsg); !ok {
@@ -38,9 +38,9 @@
 	Update(now time.Time, msg Msg) (Model, []Cmd)
 }
 
-// Runner carries out commands. Run must not block the loop for long: it starts
-// slow work through a group and reports the outcome with send. send never
-// waits, so Run may call it right away.
+// Runner executes commands. Run must not block the loop for long: it starts slow
+// work in a [group.Group] and reports the result with send. send never blocks, so
+// Run may call it directly.
 type Runner interface {
 	Run(ctx context.Context, cmd Cmd, send func(Msg))
 }
@@ -51,18 +51,18 @@
 // Run calls f.
 func (f RunnerFunc) Run(ctx context.Context, cmd Cmd, send func(Msg)) { f(ctx, cmd, send) }
 
-// AfterCmd asks the loop itself for a timer: Msg arrives D later, if the loop
-// is still open then.
+// AfterCmd is executed by the loop itself: it delivers Msg after the duration D,
+// unless the loop is closed before.
 type AfterCmd struct {
 	D   time.Duration
 	Msg Msg
 }
 
-// Loop is a running module. Make one with New.
+// Loop runs a model. Create one with New.
 type Loop struct {
 	group   group.Group
 	inbox   *ring.Ring[Msg]
-	answers answers
+	results resultQueue
 	runner  Runner
 	clock   func() time.Time
 
@@ -70,24 +70,24 @@
 	model Model
 }
 
-// DefaultInbox is how many messages may wait before Send blocks. A module
-// answers in microseconds, so a longer queue only hides that it is stuck; and a
-// VM runs a loop for every seat, nearly all of them idle, so each place is paid
-// for some hundred times.
+// DefaultInbox is the number of messages that may wait before Send blocks. A model
+// handles a message in microseconds, so a longer queue would only hide a stuck
+// loop. A VM runs some hundred loops, one for each lessor and nearly all of them
+// idle, and each of them allocates a queue of this length.
 const DefaultInbox = 128
 
-// Option changes how a Loop works.
+// Option configures a Loop.
 type Option func(*Loop)
 
-// WithClock sets the clock that the module is told the time by; the runtime's
-// otherwise.
+// WithClock sets the clock whose time is passed to the model. The default is
+// [time.Now].
 func WithClock(now func() time.Time) Option { return func(l *Loop) { l.clock = now } }
 
-// New starts a loop over the model.
+// New starts a loop over the model m.
 func New(m Model, r Runner, opts ...Option) *Loop {
 	l := &Loop{
 		inbox:   ring.New[Msg](DefaultInbox, ring.Block),
-		answers: answers{more: make(chan struct{}, 1)},
+		results: resultQueue{ready: make(chan struct{}, 1)},
 		runner:  r,
 		model:   m,
 		clock:   time.Now,
@@ -99,8 +99,8 @@
 	return l
 }
 
-// Send delivers a message, and waits while the inbox is full. After Close it
-// does nothing.
+// Send delivers a message and blocks while the inbox is full. After Close it does
+// nothing.
 func (l *Loop) Send(msg Msg) { l.inbox.Push(l.group.Context(), msg) }
 
 // Model returns the current state. It is a snapshot: treat it as read-only.
@@ -110,8 +110,8 @@
 	return l.model
 }
 
-// Close stops the loop, its timers and every effect started through it, and
-// waits for them.
+// Close stops the loop and its timers and waits for them to end. It cancels the
+// context that commands run under.
 func (l *Loop) Close() error { return l.group.Close() }
 
 func (l *Loop) run(ctx context.Context) error {
@@ -124,36 +124,39 @@
 	}
 }
 
-// next takes the answers to the module's own commands before what others sent.
+// next returns the next message. Results of the model's own commands come before
+// the messages of others.
 func (l *Loop) next(ctx context.Context) (Msg, bool) {
 	for {
-		if msg, ok := l.answers.pop(); ok {
+		if msg, ok := l.results.pop(); ok {
 			return msg, true
 		}
 		select {
 		case msg := <-l.inbox.Items():
 			return msg, true
-		case <-l.answers.more:
+		case <-l.results.ready:
 		case <-ctx.Done():
 			return nil, false
 		}
 	}
 }
 
+// step updates the model with msg and executes the resulting commands.
 func (l *Loop) step(ctx context.Context, msg Msg) {
 	l.mu.Lock()
 	next, cmds := l.model.Update(l.clock(), msg)
 	l.model = next
 	l.mu.Unlock()
 	for _, cmd := range cmds {
-		l.do(ctx, cmd)
+		l.runCmd(ctx, cmd)
 	}
 }
 
-func (l *Loop) do(ctx context.Context, cmd Cmd) {
+// runCmd starts a timer for an AfterCmd and passes other commands to the runner.
+func (l *Loop) runCmd(ctx context.Context, cmd Cmd) {
 	after, ok := cmd.(AfterCmd)
 	if !ok {
-		l.runner.Run(ctx, cmd, l.answers.push)
+		l.runner.Run(ctx, cmd, l.results.push)
 		return
 	}
 	l.group.Go(func(ctx context.Context) error {
@@ -161,7 +164,7 @@
 		defer t.Stop()
 		select {
 		case <-t.C:
-			l.answers.push(after.Msg)
+			l.results.push(after.Msg)
 		case <-ctx.Done():
 		}
 		return nil
--- a/internal/core/loop/loop_test.go
+++ b/internal/core/loop/loop_test.go
@@ -68,28 +68,27 @@
 
 type floodMsg struct{}
 
-// flooded asks for an effect with each message, so that the runner has an
-// answer to give while others fill the inbox.
-type flooded struct{ answers int }
+// floodModel issues a command for each message, so that the runner reports results
+// while others fill the inbox.
+type floodModel struct{ results int }
 
-func (f flooded) Update(_ time.Time, msg Msg) (Model, []Cmd) {
+func (f floodModel) Update(_ time.Time, msg Msg) (Model, []Cmd) {
 	switch msg.(type) {
 	case floodMsg:
 		return f, []Cmd{echoCmd(0)}
 	case addMsg:
-		f.answers++
+		f.results++
 	}
 	return f, nil
 }
 
-// A hundred peers report at once while the module's own effects answer. The
-// runner answers from the loop's goroutine; if that answer had to wait for room
-// in the inbox, the loop would wait for itself, and the VM would hold its seats
-// without ever renewing them.
-func TestAnswersNeverWaitForTheInbox(t *testing.T) {
+// Many peers send messages while the runner reports results from the loop's own
+// goroutine. If a result had to wait for room in the full inbox, the loop would
+// deadlock, and the VM would hold its leases without ever renewing them.
+func TestCommandResultsBypassFullInbox(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const senders, each = 4, 2 * DefaultInbox
-		l := New(flooded{}, RunnerFunc(func(_ context.Context, _ Cmd, send func(Msg)) { send(addMsg(1)) }))
+		l := New(floodModel{}, RunnerFunc(func(_ context.Context, _ Cmd, send func(Msg)) { send(addMsg(1)) }))
 		var g group.Group
 		for range senders {
 			g.Go(func(context.Context) error {
@@ -101,7 +100,7 @@
 		}
 		assert.NilError(t, g.Wait())
 		synctest.Wait()
-		assert.Equal(t, l.Model().(flooded).answers, senders*each)
+		assert.Equal(t, l.Model().(floodModel).results, senders*each)
 		assert.NilError(t, l.Close())
 	})
 }
