--- a/internal/core/ring/ring.go
+++ b/internal/core/ring/ring.go
@@ -1,8 +1,9 @@
-// Package ring joins two duties by a bounded queue with a chosen overflow.
+// Package ring provides a bounded queue between goroutines with an explicit
+// overflow policy.
 //
-// An unbounded queue between goroutines hides overload until memory ends; a
-// plain channel hides which of the three possible answers to "full" was meant,
-// and counts nothing. A Ring makes both visible.
+// An unbounded queue hides overload until memory runs out. A plain channel does not
+// show which of the three possible reactions to a full queue is intended, and does
+// not count lost items. A Ring does both.
 package ring
 
 import (
@@ -13,45 +14,46 @@
 // Overflow says what Push does when the ring is full.
 type Overflow uint8
 
-// The policies. The zero value refuses, which loses nothing silently.
+// The overflow policies. The zero value is Refuse, which loses nothing silently.
 const (
 	Refuse  Overflow = iota // Push returns false
-	Block                   // Push waits for room
+	Block                   // Push waits until there is room
 	DropOld                 // Push discards the oldest item and counts it
 )
 
-// Ring is a bounded queue of T. Make one with New.
+// Ring is a bounded queue of items of type T. Create one with New.
 type Ring[T any] struct {
-	items chan T
-	mode  Overflow
-	lost  atomic.Uint64
+	items    chan T
+	overflow Overflow
+	lost     atomic.Uint64
 }
 
-// New makes a ring for n items; n below one is taken as one.
+// New returns a ring for n items, or for one item if n is less than 1.
 func New[T any](n int, mode Overflow) *Ring[T] {
-	return &Ring[T]{items: make(chan T, max(n, 1)), mode: mode}
+	return &Ring[T]{items: make(chan T, max(n, 1)), overflow: mode}
 }
 
-// Push adds an item and reports whether it was taken. Under Block it waits, and
-// returns false only when ctx ends first.
+// Push adds an item and reports whether it was added. With policy Block it waits for
+// room and returns false only if ctx ends first.
 func (r *Ring[T]) Push(ctx context.Context, item T) bool {
 	select {
 	case r.items <- item:
 		return true
 	default:
 	}
-	switch r.mode {
+	switch r.overflow {
 	case Block:
-		return r.wait(ctx, item)
+		return r.pushBlocking(ctx, item)
 	case DropOld:
-		return r.replace(item)
+		return r.pushDropOld(item)
 	default:
 		r.lost.Add(1)
 		return false
 	}
 }
 
-func (r *Ring[T]) wait(ctx context.Context, item T) bool {
+// pushBlocking waits for room until ctx ends.
+func (r *Ring[T]) pushBlocking(ctx context.Context, item T) bool {
 	select {
 	case r.items <- item:
 		return true
@@ -61,7 +63,8 @@
 	}
 }
 
-func (r *Ring[T]) replace(item T) bool {
+// pushDropOld discards the oldest items until there is room.
+func (r *Ring[T]) pushDropOld(item T) bool {
 	for {
 		select {
 		case r.items <- item:
@@ -76,8 +79,8 @@
 	}
 }
 
-// Pop waits for the next item. It returns false when ctx ends first; items that
-// are left can still be taken with TryPop.
+// Pop waits for the next item and removes it. It returns false if ctx ends first;
+// the remaining items can still be removed with TryPop.
 func (r *Ring[T]) Pop(ctx context.Context) (T, bool) {
 	select {
 	case item := <-r.items:
@@ -88,7 +91,8 @@
 	}
 }
 
-// TryPop returns the next item without waiting.
+// TryPop removes and returns the next item without waiting. It returns false if
+// the ring is empty.
 func (r *Ring[T]) TryPop() (T, bool) {
 	select {
 	case item := <-r.items:
@@ -99,15 +103,15 @@
 	}
 }
 
-// Items is the ring as a channel to receive from, for a duty that waits for
-// something else as well.
+// Items returns the channel of items, for a select statement that also waits for
+// other events.
 func (r *Ring[T]) Items() <-chan T { return r.items }
 
-// Len is the number of items waiting, for a gauge.
+// Len returns the number of queued items.
 func (r *Ring[T]) Len() int { return len(r.items) }
 
-// Cap is the most items that can wait.
+// Cap returns the maximum number of queued items.
 func (r *Ring[T]) Cap() int { return cap(r.items) }
 
-// Lost counts the items that were refused or discarded since the start.
+// Lost returns the number of items that were refused or discarded since New.
 func (r *Ring[T]) Lost() uint64 { return r.lost.Load() }
--- a/internal/core/ring/ring_test.go
+++ b/internal/core/ring/ring_test.go
@@ -11,7 +11,7 @@
 	"hawthornfield.org/hawthornfield/internal/core/group"
 )
 
-func TestRefuseCountsWhatItTurnsAway(t *testing.T) {
+func TestRefuseCountsRejectedItems(t *testing.T) {
 	r := New[int](2, Refuse)
 	assert.Assert(t, r.Push(t.Context(), 1))
 	assert.Assert(t, r.Push(t.Context(), 2))
@@ -34,7 +34,7 @@
 	assert.Assert(t, !ok)
 }
 
-func TestBlockWaitsForRoomAndGivesUpWithItsContext(t *testing.T) {
+func TestBlockWaitsUntilContextEnds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := New[int](1, Block)
 		assert.Assert(t, r.Push(t.Context(), 1))
