--- a/internal/core/wire/wire.go
+++ b/internal/core/wire/wire.go
@@ -1,10 +1,10 @@
-// Package wire is the codec of the project's own formats: CBOR in its
-// deterministic form, with bounds that keep a hostile message from costing
-// more memory than its own length.
+// Package wire encodes and decodes the project's own formats. They use deterministic
+// CBOR, with limits that keep a hostile message from using more memory than its
+// own length.
 //
-// Field names in these formats are one short word. Unknown fields are ignored,
-// so an older program reads a newer message; a message whose meaning changed
-// says so in its own version field.
+// Field names in these formats are one short word. Unknown fields are ignored, so
+// an older program can read a newer message; a message whose meaning changed says
+// so in its own version field.
 package wire
 
 import (
@@ -13,11 +13,11 @@
 	"hawthornfield.org/hawthornfield/internal/core/kinds"
 )
 
-// Bounds on what Decode accepts. The largest honest value is a table of 64k
-// slices; nothing of ours nests deeper than a few levels.
+// Limits of Decode. The largest valid value is a table of 64k slices, and no format
+// of the project nests deeper than a few levels.
 const (
-	MaxItems = 1 << 18
-	MaxDepth = 16
+	MaxItems = 1 << 18 // elements of an array, or pairs of a map
+	MaxDepth = 16      // levels of nesting
 )
 
 var (
@@ -31,9 +31,9 @@
 	}.DecMode())
 )
 
-// encOptions keeps times to the nanosecond, in UTC. The library's own default
-// cuts them to whole seconds, and journal entries of one second would lose
-// their order.
+// encOptions encodes times in UTC with nanoseconds. The library's default truncates
+// them to whole seconds, and journal entries of the same second would lose their
+// order.
 func encOptions() cbor.EncOptions {
 	opts := cbor.CoreDetEncOptions()
 	opts.Time = cbor.TimeRFC3339NanoUTC
@@ -47,15 +47,15 @@
 	return v
 }
 
-// Encode renders v. The same value always gives the same bytes, so digests of
-// encoded values can be compared between processes.
+// Encode encodes v. Equal values always have equal encodings, so processes can
+// compare digests of encoded values.
 func Encode(v any) ([]byte, error) {
 	b, err := enc.Marshal(v)
 	return b, kinds.Wrap(kinds.Internal, err, "encode")
 }
 
-// Decode reads b into v. It fails with kind Malformed on anything that is not
-// one well-formed value within the bounds.
+// Decode decodes b into v. It returns an error of kind Malformed unless b is exactly
+// one well-formed value within the limits.
 func Decode(b []byte, v any) error {
 	return kinds.Wrap(kinds.Malformed, dec.Unmarshal(b, v), "decode")
 }
--- a/internal/core/wire/wire_test.go
+++ b/internal/core/wire/wire_test.go
@@ -28,9 +28,9 @@
 	assert.DeepEqual(t, got, v)
 }
 
-// A peer, or a stranger, sends bytes that are cut short, padded, or claim a
-// length far beyond the message. The receiver must say so and go on.
-func TestDecodeRefusesWhatIsNotOneBoundedValue(t *testing.T) {
+// A peer or an attacker sends bytes that are truncated, padded, or claim a length
+// far beyond the message. Decode must return an error.
+func TestDecodeRejectsInvalidInput(t *testing.T) {
 	good, err := Encode(sample{Rev: 1})
 	assert.NilError(t, err)
 	for name, b := range map[string][]byte{
