--- a/internal/plat/call/call.go
+++ b/internal/plat/call/call.go
@@ -1,11 +1,10 @@
-// Package call makes one HTTP call to the platform, in JSON, or to a backend
-// server's control side, and tells the failures apart that matter for safety.
+// Package call makes HTTP calls to the platform or to the control endpoint of a
+// backend server, and classifies errors by whether the call may have taken effect.
 //
-// When a call fails, the caller must know whether it may have taken effect. A
-// connection that could not be opened proves that it did not; once a connection
-// was handed the request, nothing proves it. The net/http client would by
-// itself repeat some requests on another connection, which hides exactly this;
-// a call therefore never offers its body a second time.
+// A connection that could not be opened proves that a call had no effect. Once a
+// connection was obtained for the request, nothing proves it. The net/http client
+// repeats some requests on another connection by itself, which would hide this; a
+// call therefore prevents net/http from sending its body a second time.
 package call
 
 import (
@@ -23,46 +22,49 @@
 	"hawthornfield.org/hawthornfield/internal/core/kinds"
 )
 
-// MaxAnswer bounds an answer's bytes. A list of objects is the largest.
-const MaxAnswer = 64 << 20
+// MaxAnswerBytes is the size limit of a response body. Lists of objects are the
+// largest responses.
+const MaxAnswerBytes = 64 << 20
 
-// Headers of a read that needs no answer where nothing changed.
+// Headers of a conditional read, which returns no body if nothing changed.
 const (
 	HeaderIfNoneMatch = "If-None-Match"
-	HeaderETag   = "Etag"
+	HeaderETag        = "Etag"
 )
 
-// MaxHeader bounds the headers of an answer in bytes.
-const MaxHeader = 64 << 10
+// MaxHeaderBytes is the size limit of the headers of a response.
+const MaxHeaderBytes = 64 << 10
 
-// Client makes calls. The zero value works.
+// Client makes calls. The zero value is ready to use.
 type Client struct {
-	// HTTP carries the calls; nil means a client of its own defaults.
+	// HTTP is the client that sends the calls; nil means a default client.
 	HTTP *http.Client
 }
 
-// defaultClient keeps few connections: control calls are small and rare.
+// defaultClient keeps few idle connections, because calls are small and rare.
 var defaultClient = &http.Client{Transport: &http.Transport{
 	MaxIdleConnsPerHost:    4,
 	IdleConnTimeout:        30 * time.Second,
-	MaxResponseHeaderBytes: MaxHeader,
+	MaxResponseHeaderBytes: MaxHeaderBytes,
 }}
 
-var errLong = errors.New("the answer is longer than 64 MiB")
+var errTooLong = errors.New("the response is longer than 64 MiB")
 
-// once hides a reader's further abilities, so that net/http cannot rewind it.
-type once struct{ io.Reader }
+// plainReader hides the other methods of a reader, such as Seek, so that net/http
+// cannot send the body a second time.
+type plainReader struct{ io.Reader }
 
-// Answer is the head and the whole body of a 200 answer.
+// Answer holds the headers and the complete body of a response with status 200.
 type Answer struct {
 	Header http.Header
 	Body   []byte
-	// NotModified says that nothing changed since the answer whose tag the call named
-	// (If-None-Match, RFC 9110, 13.1.2); there is no body then.
+	// NotModified says that nothing changed since the response whose ETag the call
+	// sent (If-None-Match, RFC 9110, 13.1.2). There is no body then.
 	NotModified bool
 }
 
-// Do is Exchange with an answer in JSON, which it decodes into out.
+// Do is like Exchange, but decodes the JSON body of the response into out unless
+// out is nil.
 func (c *Client) Do(ctx context.Context, method, url string, body []byte, out any) error {
 	a, err := c.Exchange(ctx, method, url, nil, body)
 	if err != nil || out == nil {
@@ -71,48 +73,51 @@
 	return DecodeError(method, json.Unmarshal(a.Body, out))
 }
 
-// DecodeError gives an answer that could not be decoded its kind: Ambiguous for a
-// call with an effect, because a 200 says that it was done, whatever the rest
-// says. Taken for a failure, a write that took effect would be repeated, or a
-// key be given away that its server still serves.
+// DecodeError wraps the error of decoding a response with status 200. The kind is
+// Malformed for a read, and Ambiguous for any other call, because status 200 says
+// that the call took effect, whatever the body contains. If it counted as failed, a
+// write that took effect would be repeated, or a key would be given to another
+// server while the first one still serves it.
 func DecodeError(method string, err error) error {
 	if method != http.MethodGet {
-		return kinds.Wrap(kinds.Ambiguous, err, "decode answer")
+		return kinds.Wrap(kinds.Ambiguous, err, "decode response")
 	}
-	return kinds.Wrap(kinds.Malformed, err, "decode answer")
+	return kinds.Wrap(kinds.Malformed, err, "decode response")
 }
 
-// Exchange sends body under a header and returns a 200 answer, or an error with
-// kind Down when the call certainly had no effect, Ambiguous when it may have had
-// one, or the kind that the status stands for.
+// Exchange sends a request with the given headers and body. It returns the response
+// if its status is 200, or 304 to a conditional read. Otherwise the error has kind
+// Unavailable if the call certainly had no effect, Ambiguous if it may have had
+// one, or the kind that corresponds to the status.
 func (c *Client) Exchange(ctx context.Context, method, url string, header http.Header, body []byte) (Answer, error) {
-	var handed atomic.Bool
-	trace := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { handed.Store(true) }}
+	var gotConn atomic.Bool
+	trace := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { gotConn.Store(true) }}
 	r, err := http.NewRequestWithContext(httptrace.WithClientTrace(ctx, trace), method, url, nil)
 	if err != nil {
-		return Answer{}, kinds.Wrap(kinds.Internal, err, "make call")
+		return Answer{}, kinds.Wrap(kinds.Internal, err, "create request")
 	}
 	maps.Copy(r.Header, header)
-	r.Header["User-Agent"] = []string{""} // or net/http sends its own with each call
+	r.Header["User-Agent"] = []string{""} // prevents net/http from adding its default
 	if body != nil {
-		r.Body, r.ContentLength = io.NopCloser(once{bytes.NewReader(body)}), int64(len(body))
+		r.Body, r.ContentLength = io.NopCloser(plainReader{bytes.NewReader(body)}), int64(len(body))
 	}
 	client := *c.client()
-	client.CheckRedirect = stay
+	client.CheckRedirect = refuseRedirect
 	resp, err := client.Do(r)
 	if err != nil {
-		return Answer{}, kinds.Wrap(failure(method, handed.Load()), err, method+" "+r.URL.Path)
+		return Answer{}, kinds.Wrap(kindWithoutAnswer(method, gotConn.Load()), err, method+" "+r.URL.Path)
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode == http.StatusNotModified && r.Header.Get(HeaderIfNoneMatch) != "" && method == http.MethodGet {
 		return Answer{Header: resp.Header, NotModified: true}, nil
 	}
-	return read(resp, method)
+	return readAnswer(resp, method)
 }
 
-// stay takes a redirect for the answer. To follow one turns a write into a read,
-// whose 200 would say that the write was done.
-func stay(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
+// refuseRedirect makes the client return a redirect as the response. Following it
+// would turn a write into a read, whose status 200 would look as if the write was
+// done.
+func refuseRedirect(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
 
 func (c *Client) client() *http.Client {
 	if c.HTTP != nil {
@@ -121,30 +126,34 @@
 	return defaultClient
 }
 
-// failure picks the kind of a call without an answer. A read has no effect.
-func failure(method string, handed bool) kinds.Kind {
-	if handed && method != http.MethodGet {
+// kindWithoutAnswer returns the kind of a call that got no usable response. A read
+// has no effect, and neither has a call that got no connection.
+func kindWithoutAnswer(method string, gotConn bool) kinds.Kind {
+	if gotConn && method != http.MethodGet {
 		return kinds.Ambiguous
 	}
 	return kinds.Unavailable
 }
 
-func read(resp *http.Response, method string) (Answer, error) {
+// readAnswer reads the body of a response with status 200 and returns an error for
+// any other status.
+func readAnswer(resp *http.Response, method string) (Answer, error) {
 	if resp.StatusCode != http.StatusOK {
-		return Answer{}, kinds.New(kindOf(resp.StatusCode, method), method+" answered "+resp.Status)
+		return Answer{}, kinds.New(kindOfStatus(resp.StatusCode, method), method+" answered "+resp.Status)
 	}
-	b, err := io.ReadAll(io.LimitReader(resp.Body, MaxAnswer+1))
-	if err == nil && len(b) > MaxAnswer {
-		err = errLong
+	b, err := io.ReadAll(io.LimitReader(resp.Body, MaxAnswerBytes+1))
+	if err == nil && len(b) > MaxAnswerBytes {
+		err = errTooLong
 	}
 	if err != nil {
-		return Answer{}, kinds.Wrap(failure(method, true), err, "read answer")
+		return Answer{}, kinds.Wrap(kindWithoutAnswer(method, true), err, "read response")
 	}
 	return Answer{Header: resp.Header, Body: b}, nil
 }
 
-// kindOf turns a status into a kind. A 5xx other than 503 may hide an effect.
-func kindOf(status int, method string) kinds.Kind {
+// kindOfStatus returns the kind of an HTTP status. A call with a 5xx status other
+// than 503 may have taken effect.
+func kindOfStatus(status int, method string) kinds.Kind {
 	switch status {
 	case http.StatusNotFound, http.StatusGone:
 		return kinds.NotFound
@@ -156,7 +165,7 @@
 		return kinds.Unavailable
 	}
 	if status >= http.StatusInternalServerError {
-		return failure(method, true)
+		return kindWithoutAnswer(method, true)
 	}
 	return kinds.Malformed
 }
--- a/internal/plat/call/call_test.go
+++ b/internal/plat/call/call_test.go
@@ -13,10 +13,9 @@
 	"hawthornfield.org/hawthornfield/internal/core/kinds"
 )
 
-// Something between us and the platform, or a newer version of it, answers a
-// write with 200 and with bytes that nobody here can read. The write was done.
-// Counted as a failure it would be made again by somebody else: a key with two
-// owners, or a submission that runs twice.
+// A proxy or a newer version of the platform answers a write with status 200 and a
+// body that cannot be decoded. The write took effect; if it counted as failed,
+// another VM would repeat it: a key with two owners, or a submission that runs twice.
 func TestAnUnreadableAnswerToAWriteIsInDoubt(t *testing.T) {
 	for name, body := range map[string]string{
 		"empty": "", "cut short": `{"version":`, "another form": `{"version":{"major":1}}`, "a page": "<html>", "a list": "[]",
@@ -36,8 +35,8 @@
 	}
 }
 
-// A balancer in front of the platform answers with a redirect. Followed, the
-// write would become a read, and the read's 200 the write's success.
+// A load balancer in front of the platform answers with a redirect. If the client
+// followed it, a write would become a read whose status 200 looks like success.
 func TestARedirectIsNoAnswer(t *testing.T) {
 	for _, status := range []int{301, 302, 303, 307, 308} {
 		var reads atomic.Int64
@@ -62,16 +61,16 @@
 	}
 }
 
-// Every status has a kind, and only those that say that nothing was done say so
-// for a write.
-func TestOnlyARefusalProvesThatAWriteDidNothing(t *testing.T) {
+// A status of a write that does not prove that nothing was done must not be taken
+// for a definite failure.
+func TestStatusKindsOfReadsAndWrites(t *testing.T) {
 	for status, want := range map[int]kinds.Kind{
 		400: kinds.Malformed, 404: kinds.NotFound, 409: kinds.Conflict, 410: kinds.NotFound, 413: kinds.TooLarge, 429: kinds.Unavailable,
 		500: kinds.Ambiguous, 502: kinds.Ambiguous, 503: kinds.Unavailable, 504: kinds.Ambiguous,
 	} {
-		assert.Equal(t, kindOf(status, http.MethodPut), want, "%d", status)
+		assert.Equal(t, kindOfStatus(status, http.MethodPut), want, "%d", status)
 		if status >= 500 {
-			assert.Equal(t, kindOf(status, http.MethodGet), kinds.Unavailable, "%d", status)
+			assert.Equal(t, kindOfStatus(status, http.MethodGet), kinds.Unavailable, "%d", status)
 		}
 	}
 }
