--- a/internal/plat/objcli/objcli.go
+++ b/internal/plat/objcli/objcli.go
@@ -1,5 +1,5 @@
-// Package objcli is the adapter from the object API's interface to its HTTP and
-// JSON protocol, as served by fake/objapi.
+// Package objcli implements the object store interface over the object API's HTTP
+// and JSON protocol, which package fake/objapi serves in tests.
 package objcli
 
 import (
@@ -15,31 +15,32 @@
 	"hawthornfield.org/hawthornfield/internal/plat/object"
 )
 
-// Client is an object.Store over HTTP.
+// Client is an [object.Store] over HTTP.
 type Client struct {
 	call.Client
-	base   string
-	recent recent
+	base  string
+	cache cache
 }
 
 var _ object.Store = (*Client)(nil)
 
-// New makes a client of the object API at an address.
-func New(at netip.AddrPort) *Client { return &Client{base: "http://" + at.String()} }
+// New returns a client of the object API at addr.
+func New(addr netip.AddrPort) *Client { return &Client{base: "http://" + addr.String()} }
 
-// Get reads an object.
+// Get reads an object. A cached object is read conditionally and returned from the
+// cache if it did not change.
 func (c *Client) Get(ctx context.Context, name string) (object.Object, error) {
-	known, ok := c.recent.of(name)
+	cached, ok := c.cache.get(name)
 	header := http.Header{}
 	if ok {
-		header.Set(call.HeaderIfNoneMatch, known.tag)
+		header.Set(call.HeaderIfNoneMatch, cached.etag)
 	}
-	a, err := c.Exchange(ctx, http.MethodGet, c.object(name, nil), header, nil)
+	a, err := c.Exchange(ctx, http.MethodGet, c.objectURL(name, nil), header, nil)
 	if err != nil {
 		return object.Object{}, err
 	}
 	if a.NotModified {
-		o := known.Object
+		o := cached.Object
 		o.Value = slices.Clone(o.Value)
 		return o, nil
 	}
@@ -47,12 +48,12 @@
 	if err := call.DecodeError(http.MethodGet, json.Unmarshal(a.Body, &o)); err != nil {
 		return object.Object{}, err
 	}
-	c.recent.note(name, a.Header.Get(call.HeaderETag), o)
+	c.cache.add(name, a.Header.Get(call.HeaderETag), o)
 	return o, nil
 }
 
-// Put writes an object if its version is still old. Kind Ambiguous means that
-// the write may have taken effect: read back and look for your own mark.
+// Put writes an object if its version is still old. An error of kind Ambiguous means
+// that the write may have taken effect: read the object again to find out.
 func (c *Client) Put(ctx context.Context, name string, value []byte, old object.Version) (object.Version, error) {
 	var reply struct {
 		Version object.Version `json:"version"`
@@ -60,15 +61,16 @@
 	if value == nil {
 		value = []byte{}
 	}
-	err := c.Do(ctx, http.MethodPut, c.object(name, &old), value, &reply)
+	err := c.Do(ctx, http.MethodPut, c.objectURL(name, &old), value, &reply)
 	return reply.Version, err
 }
 
 // Delete removes an object if its version is still old.
 func (c *Client) Delete(ctx context.Context, name string, old object.Version) error {
-	return c.Do(ctx, http.MethodDelete, c.object(name, &old), nil, nil)
+	return c.Do(ctx, http.MethodDelete, c.objectURL(name, &old), nil, nil)
 }
 
+// listReply is the response to a list or a watch.
 type listReply struct {
 	Objects []object.Object `json:"objects"`
 	Changes []object.Change `json:"changes"`
@@ -83,8 +85,8 @@
 	return reply.Objects, reply.At, err
 }
 
-// Watch waits for changes after a cursor. It returns no change when the
-// platform ended the wait.
+// Watch waits for changes after a cursor. It returns no changes if the platform
+// ended the wait.
 func (c *Client) Watch(ctx context.Context, prefix string, after object.Cursor) ([]object.Change, object.Cursor, error) {
 	var reply listReply
 	q := url.Values{"prefix": {prefix}, "after": {strconv.FormatUint(uint64(after), 10)}}
@@ -92,7 +94,8 @@
 	return reply.Changes, reply.At, err
 }
 
-func (c *Client) object(name string, old *object.Version) string {
+// objectURL returns the URL of an object, with the expected version if old is set.
+func (c *Client) objectURL(name string, old *object.Version) string {
 	u := c.base + "/o/" + (&url.URL{Path: name}).EscapedPath()
 	if old != nil {
 		u += "?old=" + strconv.FormatUint(uint64(*old), 10)
--- a/internal/plat/objcli/objcli_test.go
+++ b/internal/plat/objcli/objcli_test.go
@@ -19,7 +19,7 @@
 	"hawthornfield.org/hawthornfield/internal/plat/object"
 )
 
-func start(t *testing.T) (*objapi.API, *Client) {
+func startAPI(t *testing.T) (*objapi.API, *Client) {
 	api := objapi.New()
 	srv := httptest.NewServer(api.Handler())
 	t.Cleanup(srv.Close)
@@ -27,7 +27,7 @@
 }
 
 func TestConditionalUpdatesAndLists(t *testing.T) {
-	_, c := start(t)
+	_, c := startAPI(t)
 	v, err := c.Put(t.Context(), "table/look up", []byte("a"), 0)
 	assert.NilError(t, err)
 	_, err = c.Put(t.Context(), "table/look up", []byte("b"), 0)
@@ -49,54 +49,52 @@
 }
 
 func TestWatchContinuesFromAListWithoutAGap(t *testing.T) {
-	api, c := start(t)
-	_, at, err := c.List(t.Context(), "seat/")
+	api, c := startAPI(t)
+	_, cursor, err := c.List(t.Context(), "seat/")
 	assert.NilError(t, err)
 	var g group.Group
 	g.Go(func(ctx context.Context) error {
 		_, err := c.Put(ctx, "seat/a", []byte("1"), 0)
 		return err
 	})
-	changes, next, err := c.Watch(t.Context(), "seat/", at)
+	changes, next, err := c.Watch(t.Context(), "seat/", cursor)
 	assert.NilError(t, err)
 	assert.NilError(t, g.Wait())
 	assert.Equal(t, changes[0].Name, "seat/a")
-	assert.Assert(t, next > at)
+	assert.Assert(t, next > cursor)
 	assert.Equal(t, api.Calls().Watches, uint64(1))
 }
 
-// The platform applies a write and its answer is lost on the way; or it is out
-// altogether. A user would notice a doubled or a vanished assignment if the two
-// were mistaken for each other, so the client must not claim "did not happen"
-// for the first.
+// The response to a write that took effect is lost, or the platform is down. If the
+// client reported the first case as a definite failure, an assignment would be
+// duplicated or lost.
 func TestALostAnswerIsAmbiguousAndARefusedConnectionIsNot(t *testing.T) {
-	api, c := start(t)
+	api, c := startAPI(t)
 	api.LoseAnswers(1)
 	_, err := c.Put(t.Context(), "seat/a", []byte("mine"), 0)
 	assert.Equal(t, kinds.Of(err), kinds.Ambiguous)
 	o, err := c.Get(t.Context(), "seat/a")
 	assert.NilError(t, err)
 	assert.Equal(t, string(o.Value), "mine")
-	assert.Equal(t, api.Calls().Puts, uint64(1), "the client repeated the write by itself")
+	assert.Equal(t, api.Calls().Puts, uint64(1), "the client repeated the write")
 
-	nobody := New(netip.MustParseAddrPort("127.0.0.1:1"))
-	_, err = nobody.Put(t.Context(), "seat/a", []byte("x"), 0)
+	unreachable := New(netip.MustParseAddrPort("127.0.0.1:1"))
+	_, err = unreachable.Put(t.Context(), "seat/a", []byte("x"), 0)
 	assert.Equal(t, kinds.Of(err), kinds.Unavailable)
 	api.Outage(true)
 	_, err = c.Get(t.Context(), "seat/a")
 	assert.Equal(t, kinds.Of(err), kinds.Unavailable)
 }
 
-// The rules are read twice a second to see that the store answers. Sent in full
-// each time, some thousand rules would cost a VM that watches the store a
-// megabyte a second. And what was changed, deleted and made again, or written
-// over by others must be read as it is now.
+// A VM that watches the store reads the rules twice a second to check that the store
+// answers. Sent in full, some thousand rules would cost it a megabyte a second. An
+// object that was changed, deleted or created again must be read in its new state.
 func TestAnObjectThatIsTheSameIsNotSentAgain(t *testing.T) {
 	api := objapi.New()
 	var sent atomic.Int64
 	inner := api.Handler()
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		inner.ServeHTTP(&counting{w, &sent}, r)
+		inner.ServeHTTP(&countingWriter{w, &sent}, r)
 	}))
 	defer srv.Close()
 	c := New(netip.MustParseAddrPort(strings.TrimPrefix(srv.URL, "http://")))
@@ -114,9 +112,9 @@
 	for range 5 {
 		o := read()
 		assert.DeepEqual(t, o, first)
-		o.Value[0] = 'X' // the reader's own
+		o.Value[0] = 'X' // must not change the cached value
 	}
-	t.Logf("%d bytes of two reads in full, %d of five more", full, sent.Load())
+	t.Logf("%d bytes for two full reads, %d for five conditional reads", full, sent.Load())
 	assert.Equal(t, sent.Load(), int64(0))
 
 	version, err = c.Put(t.Context(), "rules/current", []byte("new"), version)
@@ -130,12 +128,12 @@
 		v, err = c.Put(t.Context(), "rules/current", []byte("made again"), v)
 		assert.NilError(t, err)
 	}
-	assert.Equal(t, string(read().Value), "made again", "the same version of another life")
+	assert.Equal(t, string(read().Value), "made again", "an object created again has the version of the cached one")
 }
 
-// A report reads thousands of objects once each. None of them may be kept.
+// A report reads thousands of objects once each. None of them may be cached.
 func TestOnlyWhatIsReadAgainIsKept(t *testing.T) {
-	_, c := start(t)
+	_, c := startAPI(t)
 	for i := range 200 {
 		name := fmt.Sprint("log/vm-1/", i)
 		_, err := c.Put(t.Context(), name, []byte("segment"), 0)
@@ -143,23 +141,24 @@
 		_, err = c.Get(t.Context(), name)
 		assert.NilError(t, err)
 	}
-	assert.Equal(t, len(c.recent.kept), 0)
-	assert.Equal(t, len(c.recent.names), namesKnown)
+	assert.Equal(t, len(c.cache.objects), 0)
+	assert.Equal(t, len(c.cache.recentNames), maxRecentNames)
 	for range 3 {
-		for i := range 2 * keptObjects {
+		for i := range 2 * maxCachedObjects {
 			_, err := c.Get(t.Context(), fmt.Sprint("log/vm-1/", i))
 			assert.NilError(t, err)
 		}
 	}
-	assert.Equal(t, len(c.recent.kept), keptObjects)
+	assert.Equal(t, len(c.cache.objects), maxCachedObjects)
 }
 
-type counting struct {
+// countingWriter adds the bytes of the response bodies to n.
+type countingWriter struct {
 	http.ResponseWriter
 	n *atomic.Int64
 }
 
-func (c *counting) Write(b []byte) (int, error) {
+func (c *countingWriter) Write(b []byte) (int, error) {
 	c.n.Add(int64(len(b)))
 	return c.ResponseWriter.Write(b)
 }
