--- a/internal/plat/srvcli/pack.go
+++ b/internal/plat/srvcli/codec.go
@@ -11,17 +11,17 @@
 	"hawthornfield.org/hawthornfield/internal/plat/server"
 )
 
-// The two forms of bodies, by their Content-Type.
+// The Content-Type of the two encodings of a body.
 const (
 	TypeJSON = "application/json"
 	TypeCBOR = "application/cbor"
 )
 
-// Encode renders an order or an answer. In CBOR, those that cross the wire
-// several times a second have numbers for field names and leave out what is
-// zero: a renewal is 65 bytes in place of 194.
-func Encode(kind string, v any) ([]byte, error) {
-	if kind != TypeCBOR {
+// Encode encodes an order, a reply or another body in the given content type. The
+// CBOR encoding of types that are sent several times a second has numbers as field
+// names and omits zero values: a renewal takes 65 bytes instead of 194.
+func Encode(contentType string, v any) ([]byte, error) {
+	if contentType != TypeCBOR {
 		return json.Marshal(v)
 	}
 	switch v := v.(type) {
@@ -30,37 +30,38 @@
 	case server.Reply:
 		return wire.Encode(packReply(v))
 	case server.Status:
-		return wire.Encode(packWord(v))
+		return wire.Encode(packStatus(v))
 	}
 	return wire.Encode(v)
 }
 
-// Decode reads what Encode rendered. It fails with kind Malformed.
-func Decode(kind string, b []byte, v any) error {
-	if media, _, err := mime.ParseMediaType(kind); err != nil || media != TypeCBOR {
+// Decode decodes the result of Encode. Its errors have kind Malformed.
+func Decode(contentType string, b []byte, v any) error {
+	if media, _, err := mime.ParseMediaType(contentType); err != nil || media != TypeCBOR {
 		return kinds.Wrap(kinds.Malformed, json.Unmarshal(b, v), "decode")
 	}
 	switch v := v.(type) {
 	case *server.Order:
-		return unpack(b, v, packedOrder.open)
+		return decodePacked(b, v, packedOrder.unpack)
 	case *server.Reply:
-		return unpack(b, v, packedReply.open)
+		return decodePacked(b, v, packedReply.unpack)
 	case *server.Status:
-		return unpack(b, v, packedWord.open)
+		return decodePacked(b, v, packedStatus.unpack)
 	}
 	return wire.Decode(b, v)
 }
 
-func unpack[P, V any](b []byte, v *V, open func(P) V) error {
+// decodePacked decodes b as a P and converts it to a V.
+func decodePacked[P, V any](b []byte, v *V, unpack func(P) V) error {
 	var p P
 	if err := wire.Decode(b, &p); err != nil {
 		return err
 	}
-	*v = open(p)
+	*v = unpack(p)
 	return nil
 }
 
-// packedMark and packedFence are arrays of two numbers.
+// packedMark and packedFence are encoded as arrays of two numbers.
 type (
 	packedMark struct {
 		_    struct{} `cbor:",toarray"`
@@ -76,14 +77,15 @@
 
 func packMark(m server.Mark) packedMark   { return packedMark{Boot: m.Boot, At: m.At} }
 func packFence(f ident.Fence) packedFence { return packedFence{Epoch: f.Epoch, Seq: f.Seq} }
-func (m packedMark) open() server.Mark    { return server.Mark{Boot: m.Boot, At: m.At} }
-func (f packedFence) open() ident.Fence   { return ident.Fence{Epoch: f.Epoch, Seq: f.Seq} }
+func (m packedMark) unpack() server.Mark  { return server.Mark{Boot: m.Boot, At: m.At} }
+func (f packedFence) unpack() ident.Fence { return ident.Fence{Epoch: f.Epoch, Seq: f.Seq} }
 
-// packedOrder is a server.Order. A seat that has its server's name is left out.
+// packedOrder is the compact form of [server.Order]. Lessor is omitted if it equals
+// Server.
 type packedOrder struct {
 	Service ident.Service  `cbor:"1,keyasint,omitempty"`
 	Server  ident.Server   `cbor:"2,keyasint,omitempty"`
-	Seat    ident.Server   `cbor:"3,keyasint,omitempty"`
+	Lessor  ident.Server   `cbor:"3,keyasint,omitempty"`
 	Sender  ident.VM       `cbor:"4,keyasint,omitempty"`
 	Fence   packedFence    `cbor:"5,keyasint"`
 	Mark    packedMark     `cbor:"6,keyasint"`
@@ -97,20 +99,20 @@
 
 func packOrder(o server.Order) packedOrder {
 	p := packedOrder{
-		Service: o.Service, Server: o.Server, Seat: o.Lessor, Sender: o.Sender,
+		Service: o.Service, Server: o.Server, Lessor: o.Lessor, Sender: o.Sender,
 		Fence: packFence(o.Fence), Mark: packMark(o.Mark), TTL: o.TTL,
 		Rev: o.Rev, Full: o.Full, Slices: o.Slices, Keys: o.Keys, Except: o.Except,
 	}
-	if p.Seat == p.Server {
-		p.Seat = ""
+	if p.Lessor == p.Server {
+		p.Lessor = ""
 	}
 	return p
 }
 
-func (p packedOrder) open() server.Order {
+func (p packedOrder) unpack() server.Order {
 	o := server.Order{
-		Service: p.Service, Server: p.Server, Lessor: p.Seat, Sender: p.Sender,
-		Fence: p.Fence.open(), Mark: p.Mark.open(), TTL: p.TTL,
+		Service: p.Service, Server: p.Server, Lessor: p.Lessor, Sender: p.Sender,
+		Fence: p.Fence.unpack(), Mark: p.Mark.unpack(), TTL: p.TTL,
 		Rev: p.Rev, Full: p.Full, Slices: p.Slices, Keys: p.Keys, Except: p.Except,
 	}
 	if o.Lessor == "" {
@@ -119,41 +121,41 @@
 	return o
 }
 
-// packedReply is a server.Reply.
+// packedReply is the compact form of [server.Reply].
 type packedReply struct {
-	Done  bool           `cbor:"1,keyasint,omitempty"`
-	Why   string         `cbor:"2,keyasint,omitempty"`
-	Fence packedFence    `cbor:"3,keyasint"`
-	Rev   ident.Revision `cbor:"4,keyasint,omitempty"`
-	Left  time.Duration  `cbor:"5,keyasint,omitempty"`
-	Mark  packedMark     `cbor:"6,keyasint"`
-	Word  *packedWord    `cbor:"7,keyasint,omitempty"`
+	Done   bool           `cbor:"1,keyasint,omitempty"`
+	Reason string         `cbor:"2,keyasint,omitempty"`
+	Fence  packedFence    `cbor:"3,keyasint"`
+	Rev    ident.Revision `cbor:"4,keyasint,omitempty"`
+	Left   time.Duration  `cbor:"5,keyasint,omitempty"`
+	Mark   packedMark     `cbor:"6,keyasint"`
+	Status *packedStatus  `cbor:"7,keyasint,omitempty"`
 }
 
 func packReply(r server.Reply) packedReply {
 	p := packedReply{
-		Done: r.Done, Why: r.Reason, Fence: packFence(r.Fence), Rev: r.Rev, Left: r.Left, Mark: packMark(r.Mark),
+		Done: r.Done, Reason: r.Reason, Fence: packFence(r.Fence), Rev: r.Rev, Left: r.Left, Mark: packMark(r.Mark),
 	}
 	if r.Status != nil {
-		w := packWord(*r.Status)
-		p.Word = &w
+		s := packStatus(*r.Status)
+		p.Status = &s
 	}
 	return p
 }
 
-func (p packedReply) open() server.Reply {
+func (p packedReply) unpack() server.Reply {
 	r := server.Reply{
-		Done: p.Done, Reason: p.Why, Fence: p.Fence.open(), Rev: p.Rev, Left: p.Left, Mark: p.Mark.open(),
+		Done: p.Done, Reason: p.Reason, Fence: p.Fence.unpack(), Rev: p.Rev, Left: p.Left, Mark: p.Mark.unpack(),
 	}
-	if p.Word != nil {
-		w := p.Word.open()
-		r.Status = &w
+	if p.Status != nil {
+		s := p.Status.unpack()
+		r.Status = &s
 	}
 	return r
 }
 
-// packedWord is a server.Word.
-type packedWord struct {
+// packedStatus is the compact form of [server.Status].
+type packedStatus struct {
 	Ready bool          `cbor:"1,keyasint,omitempty"`
 	Cold  bool          `cbor:"2,keyasint,omitempty"`
 	Drain bool          `cbor:"3,keyasint,omitempty"`
@@ -163,11 +165,11 @@
 	Age   time.Duration `cbor:"7,keyasint,omitempty"`
 }
 
-func packWord(w server.Status) packedWord {
-	return packedWord{w.Ready, w.Cold, w.Drain, w.Slots, w.Busy, w.Queue, w.Age}
+func packStatus(s server.Status) packedStatus {
+	return packedStatus{s.Ready, s.Cold, s.Drain, s.Slots, s.Busy, s.Queue, s.Age}
 }
 
-func (p packedWord) open() server.Status {
+func (p packedStatus) unpack() server.Status {
 	return server.Status{
 		Health: server.Health{Ready: p.Ready, Cold: p.Cold, Drain: p.Drain},
 		Load:   server.Load{Slots: p.Slots, Busy: p.Busy, Queue: p.Queue, Age: p.Age},
--- a/internal/plat/srvcli/pack_test.go
+++ b/internal/plat/srvcli/codec_test.go
@@ -14,34 +14,34 @@
 )
 
 var (
-	words = rapid.StringMatching(`[a-z0-9-]{0,9}`)
-	spans = rapid.Custom(func(t *rapid.T) time.Duration { return time.Duration(rapid.Int64Min(0).Draw(t, "span")) })
-	marks = rapid.Custom(func(t *rapid.T) server.Mark {
-		return server.Mark{Boot: rapid.Uint64().Draw(t, "boot"), At: spans.Draw(t, "at")}
+	names     = rapid.StringMatching(`[a-z0-9-]{0,9}`)
+	durations = rapid.Custom(func(t *rapid.T) time.Duration { return time.Duration(rapid.Int64Min(0).Draw(t, "span")) })
+	marks     = rapid.Custom(func(t *rapid.T) server.Mark {
+		return server.Mark{Boot: rapid.Uint64().Draw(t, "boot"), At: durations.Draw(t, "at")}
 	})
 	fences = rapid.Custom(func(t *rapid.T) ident.Fence {
 		return ident.Fence{Epoch: ident.Epoch(rapid.Uint64().Draw(t, "epoch")), Seq: rapid.Uint64().Draw(t, "seq")}
 	})
 )
 
-func someKeys(t *rapid.T, name string) []ident.Key {
+func drawKeys(t *rapid.T, name string) []ident.Key {
 	var keys []ident.Key
 	for range rapid.IntRange(0, 3).Draw(t, name) {
-		keys = append(keys, ident.Key(words.Draw(t, "key")))
+		keys = append(keys, ident.Key(names.Draw(t, "key")))
 	}
 	return keys
 }
 
 func drawOrder(t *rapid.T) server.Order {
 	o := server.Order{
-		Service: ident.Service(words.Draw(t, "svc")), Server: ident.Server(words.Draw(t, "srv")),
-		Lessor: ident.Server(words.Draw(t, "seat")), Sender: ident.VM(words.Draw(t, "from")),
-		Fence: fences.Draw(t, "fence"), Mark: marks.Draw(t, "mark"), TTL: spans.Draw(t, "ttl"),
+		Service: ident.Service(names.Draw(t, "svc")), Server: ident.Server(names.Draw(t, "srv")),
+		Lessor: ident.Server(names.Draw(t, "seat")), Sender: ident.VM(names.Draw(t, "from")),
+		Fence: fences.Draw(t, "fence"), Mark: marks.Draw(t, "mark"), TTL: durations.Draw(t, "ttl"),
 		Rev: ident.Revision(rapid.Uint64().Draw(t, "rev")), Full: rapid.Bool().Draw(t, "full"),
-		Keys: someKeys(t, "keys"), Except: someKeys(t, "not"),
+		Keys: drawKeys(t, "keys"), Except: drawKeys(t, "not"),
 	}
 	if o.Lessor == "" {
-		o.Lessor = o.Server // an order always names its seat
+		o.Lessor = o.Server // every order names a lessor
 	}
 	for range rapid.IntRange(0, 4).Draw(t, "set") {
 		o.Slices = append(o.Slices, ident.Slice(rapid.Uint32().Draw(t, "slice")))
@@ -51,48 +51,48 @@
 
 func drawReply(t *rapid.T) server.Reply {
 	r := server.Reply{
-		Done: rapid.Bool().Draw(t, "done"), Reason: words.Draw(t, "why"), Fence: fences.Draw(t, "fence"),
-		Rev: ident.Revision(rapid.Uint64().Draw(t, "rev")), Left: spans.Draw(t, "left"), Mark: marks.Draw(t, "mark"),
+		Done: rapid.Bool().Draw(t, "done"), Reason: names.Draw(t, "why"), Fence: fences.Draw(t, "fence"),
+		Rev: ident.Revision(rapid.Uint64().Draw(t, "rev")), Left: durations.Draw(t, "left"), Mark: marks.Draw(t, "mark"),
 	}
 	if rapid.Bool().Draw(t, "says") {
 		r.Status = &server.Status{
 			Health: server.Health{Ready: rapid.Bool().Draw(t, "ready"), Cold: rapid.Bool().Draw(t, "cold"), Drain: rapid.Bool().Draw(t, "drain")},
-			Load:   server.Load{Slots: rapid.Int().Draw(t, "slots"), Busy: rapid.Int().Draw(t, "busy"), Queue: rapid.Int().Draw(t, "queue"), Age: spans.Draw(t, "age")},
+			Load:   server.Load{Slots: rapid.Int().Draw(t, "slots"), Busy: rapid.Int().Draw(t, "busy"), Queue: rapid.Int().Draw(t, "queue"), Age: durations.Draw(t, "age")},
 		}
 	}
 	return r
 }
 
-// A field that got lost in the short form would be an order under another fence,
-// or a lease of another length.
-func TestBothFormsSayTheSame(t *testing.T) {
+// A field that is lost in one encoding would give an order another fence or a lease
+// another duration.
+func TestJSONAndCBORRoundTrip(t *testing.T) {
 	seeds.Check(t, func(t *rapid.T) {
 		o, r := drawOrder(t), drawReply(t)
-		for _, kind := range []string{TypeJSON, TypeCBOR} {
-			b, err := Encode(kind, o)
+		for _, contentType := range []string{TypeJSON, TypeCBOR} {
+			b, err := Encode(contentType, o)
 			assert.NilError(t, err)
 			var gotOrder server.Order
-			assert.NilError(t, Decode(kind, b, &gotOrder))
+			assert.NilError(t, Decode(contentType, b, &gotOrder))
 			assert.DeepEqual(t, gotOrder, o)
-			b, err = Encode(kind, r)
+			b, err = Encode(contentType, r)
 			assert.NilError(t, err)
 			var gotReply server.Reply
-			assert.NilError(t, Decode(kind, b, &gotReply))
+			assert.NilError(t, Decode(contentType, b, &gotReply))
 			assert.DeepEqual(t, gotReply, r)
 			if r.Status == nil {
 				continue
 			}
-			b, err = Encode(kind, *r.Status)
+			b, err = Encode(contentType, *r.Status)
 			assert.NilError(t, err)
-			var gotWord server.Status
-			assert.NilError(t, Decode(kind, b, &gotWord))
-			assert.DeepEqual(t, gotWord, *r.Status)
+			var gotStatus server.Status
+			assert.NilError(t, Decode(contentType, b, &gotStatus))
+			assert.DeepEqual(t, gotStatus, *r.Status)
 		}
 	})
 }
 
-// Numbers for names, and nothing said twice, are what makes the content small.
-func TestTheShortFormIsShort(t *testing.T) {
+// Numbers as field names and omitted defaults must keep the CBOR encoding small.
+func TestCBORSizes(t *testing.T) {
 	mark := server.Mark{Boot: 1 << 63, At: time.Hour}
 	fence := ident.Fence{Epoch: 4, Seq: 70_000}
 	order := server.Order{
@@ -104,40 +104,40 @@
 		Status: &server.Status{Health: server.Health{Ready: true}, Load: server.Load{Slots: 4}},
 	}
 	for _, c := range []struct {
-		v    any
-		most int
+		v      any
+		maxLen int
 	}{{order, 70}, {reply, 50}} {
 		long, err := Encode(TypeJSON, c.v)
 		assert.NilError(t, err)
 		short, err := Encode(TypeCBOR, c.v)
 		assert.NilError(t, err)
 		t.Logf("%T: %d bytes in JSON, %d in CBOR", c.v, len(long), len(short))
-		assert.Assert(t, len(short) <= c.most, "%d bytes", len(short))
+		assert.Assert(t, len(short) <= c.maxLen, "%d bytes", len(short))
 	}
 }
 
-// FuzzDecode feeds anything to the decoders of answers: it is refused as
-// malformed, or it is read back the same.
+// FuzzDecode feeds arbitrary input to the decoder of replies, which must reject it as
+// malformed or return a value that survives another round trip.
 func FuzzDecode(f *testing.F) {
-	for _, kind := range []string{TypeJSON, TypeCBOR} {
-		b, err := Encode(kind, server.Reply{Done: true, Rev: 3, Left: time.Second, Status: &server.Status{}})
+	for _, contentType := range []string{TypeJSON, TypeCBOR} {
+		b, err := Encode(contentType, server.Reply{Done: true, Rev: 3, Left: time.Second, Status: &server.Status{}})
 		assert.NilError(f, err)
-		f.Add(kind == TypeCBOR, b)
-		f.Add(kind == TypeCBOR, b[:len(b)-1])
+		f.Add(contentType == TypeCBOR, b)
+		f.Add(contentType == TypeCBOR, b[:len(b)-1])
 	}
 	f.Fuzz(func(t *testing.T, packed bool, b []byte) {
-		kind := TypeJSON
+		contentType := TypeJSON
 		if packed {
-			kind = TypeCBOR
+			contentType = TypeCBOR
 		}
 		var r, back server.Reply
-		if err := Decode(kind, b, &r); err != nil {
+		if err := Decode(contentType, b, &r); err != nil {
 			assert.Equal(t, kinds.Of(err), kinds.Malformed)
 			return
 		}
-		again, err := Encode(kind, r)
+		again, err := Encode(contentType, r)
 		assert.NilError(t, err)
-		assert.NilError(t, Decode(kind, again, &back))
+		assert.NilError(t, Decode(contentType, again, &back))
 		assert.DeepEqual(t, back, r)
 	})
 }
--- a/internal/plat/srvcli/srvcli.go
+++ b/internal/plat/srvcli/srvcli.go
@@ -1,9 +1,9 @@
-// Package srvcli is the adapter from the interface to a backend server's
-// control side to its protocol over HTTP, as served by fake/origin.
+// Package srvcli implements the control interface of a backend server over HTTP. In
+// tests, package fake/origin serves the protocol.
 //
-// A server is spoken to in HTTP/1.1 and JSON until its answers show that it
-// takes less: see host.go. What a renewal and a probe cost on the wire, and the
-// ways weighed, stand in docs/design/wire.md.
+// Calls use HTTP/1.1 and JSON until a server's responses show that it supports the
+// cheaper HTTP/2 and CBOR; see endpoint.go. docs/design/wire.md has the sizes of
+// renewals and probes on the wire and the alternatives considered.
 package srvcli
 
 import (
@@ -29,40 +29,40 @@
 	PathCancel = "/control/cancel"
 )
 
-// Client is a server.Control over HTTP. The zero value works.
+// Client is a [server.Control] over HTTP. The zero value is ready to use.
 type Client struct {
-	// Transport makes what carries the calls to one server in a protocol; nil
-	// means Transport of this package.
+	// Transport returns the transport for the calls to one server in the given
+	// protocols; nil means the function Transport of this package.
 	Transport func(p *http.Protocols) http.RoundTripper
 
-	mu    sync.Mutex
-	hosts map[netip.AddrPort]*host
+	mu        sync.Mutex
+	endpoints map[netip.AddrPort]*endpoint
 }
 
 var _ server.Control = (*Client)(nil)
 
-// Grant gives or renews a lease.
+// Grant grants or renews a lease.
 func (c *Client) Grant(ctx context.Context, to netip.AddrPort, o server.Order) (server.Reply, error) {
 	return do[server.Reply](ctx, c, to, http.MethodPost, PathGrant, o)
 }
 
-// Revoke ends the lease of everything not in the order's set.
+// Revoke ends the lease of everything that is not in the order's set.
 func (c *Client) Revoke(ctx context.Context, to netip.AddrPort, o server.Order) (server.Reply, error) {
 	return do[server.Reply](ctx, c, to, http.MethodPost, PathRevoke, o)
 }
 
-// Read asks what the server holds.
-func (c *Client) Read(ctx context.Context, to netip.AddrPort, svc ident.Service, seat ident.Server) (server.Reply, error) {
-	query := url.Values{"svc": {string(svc)}, "seat": {string(seat)}}
+// Read returns what the server holds under the given lessor.
+func (c *Client) Read(ctx context.Context, to netip.AddrPort, svc ident.Service, lessor ident.Server) (server.Reply, error) {
+	query := url.Values{"svc": {string(svc)}, "seat": {string(lessor)}}
 	return do[server.Reply](ctx, c, to, http.MethodGet, PathRead+"?"+query.Encode(), nil)
 }
 
-// Status asks for the server's own word on its state and load.
+// Status returns the server's own report of its state and load.
 func (c *Client) Status(ctx context.Context, to netip.AddrPort) (server.Status, error) {
 	return do[server.Status](ctx, c, to, http.MethodGet, PathStatus, nil)
 }
 
-// Drain asks the server to finish what it has and take nothing new.
+// Drain asks the server to finish its requests and accept no new ones.
 func (c *Client) Drain(ctx context.Context, to netip.AddrPort) error {
 	_, err := do[struct{}](ctx, c, to, http.MethodPost, PathDrain, struct{}{})
 	return err
@@ -79,33 +79,34 @@
 	ID ident.Request `cbor:"id" json:"id"`
 }
 
-// do makes one call in the shortest form that the server is known to take.
+// do makes one call in the cheapest protocol and encoding that the server is known to
+// support.
 func do[T any](ctx context.Context, c *Client, to netip.AddrPort, method, path string, in any) (T, error) {
 	var out T
 	var body []byte
-	h := c.host(to)
+	e := c.endpoint(to)
 	header := http.Header{"Accept": {TypeCBOR}}
 	if in != nil {
-		kind, err := TypeJSON, error(nil)
-		if h.packed {
-			kind = TypeCBOR
+		contentType, err := TypeJSON, error(nil)
+		if e.cbor {
+			contentType = TypeCBOR
 		}
-		if body, err = Encode(kind, in); err != nil {
+		if body, err = Encode(contentType, in); err != nil {
 			return out, kinds.Wrap(kinds.Internal, err, "encode order")
 		}
-		header["Content-Type"] = []string{kind}
+		header["Content-Type"] = []string{contentType}
 	}
-	carrier := call.Client{HTTP: h.client}
-	a, err := carrier.Exchange(ctx, method, "http://"+to.String()+path, header, body)
+	client := call.Client{HTTP: e.client}
+	a, err := client.Exchange(ctx, method, "http://"+to.String()+path, header, body)
 	if err != nil {
-		c.forget(to, h)
+		c.reset(to, e)
 		return out, err
 	}
-	c.learn(to, h, a.Header)
+	c.negotiate(to, e, a.Header)
 	err = Decode(a.Header.Get("Content-Type"), a.Body, &out)
 	if r, ok := any(out).(server.Reply); ok && err == nil && !r.Done && r.Reason == "" {
-		// Another version's form, of which nothing was understood.
-		err = kinds.New(kinds.Malformed, "a reply that neither obeys nor refuses")
+		// The reply of another version in an unknown format: no known field was set.
+		err = kinds.New(kinds.Malformed, "reply is not done but gives no reason")
 	}
 	return out, call.DecodeError(method, err)
 }
--- a/internal/plat/srvcli/srvcli_test.go
+++ b/internal/plat/srvcli/srvcli_test.go
@@ -24,108 +24,111 @@
 	"hawthornfield.org/hawthornfield/internal/plat/srvcli"
 )
 
-var at = netip.MustParseAddrPort("10.0.0.9:8400")
+var serverAddr = netip.MustParseAddrPort("10.0.0.9:8400")
 
-// Bounds of what crosses the connection both ways, in bytes, once it stands.
-// They are a little above what was measured, 149 and 40.
+// Limits in bytes, in both directions together, of a renewal and a probe on an
+// established connection. They take 149 and 40 bytes; the limits leave a small
+// margin.
 const (
-	mostRenewal = 160
-	mostProbe   = 48
+	maxRenewalBytes = 160
+	maxProbeBytes   = 48
 )
 
-// desk is one client, its counted connections and one backend server.
-type desk struct {
+// fixture is a client, counters of its traffic, and a backend server.
+type fixture struct {
 	srvcli.Client
-	*host
+	*backend
 	pipes pipes.Net
 	bytes atomic.Int64
 	dials atomic.Int64
 	calls atomic.Int64
 }
 
-type counted struct {
+// countedConn adds the bytes of a connection to n.
+type countedConn struct {
 	net.Conn
 	n *atomic.Int64
 }
 
-func (c counted) Read(b []byte) (int, error) {
+func (c countedConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	c.n.Add(int64(n))
 	return n, err
 }
 
-func (c counted) Write(b []byte) (int, error) {
+func (c countedConn) Write(b []byte) (int, error) {
 	n, err := c.Conn.Write(b)
 	c.n.Add(int64(n))
 	return n, err
 }
 
-func newDesk(cfg origin.Config) *desk {
-	d := &desk{}
-	d.Transport = func(p *http.Protocols) http.RoundTripper {
+func newFixture(cfg origin.Config) *fixture {
+	f := &fixture{}
+	f.Transport = func(p *http.Protocols) http.RoundTripper {
 		t := srvcli.Transport(p).(*http.Transport)
 		t.DialContext = func(ctx context.Context, _, to string) (net.Conn, error) {
-			d.dials.Add(1)
-			c, err := d.pipes.DialText(ctx, "", to)
+			f.dials.Add(1)
+			c, err := f.pipes.DialText(ctx, "", to)
 			if err != nil {
 				return nil, err
 			}
-			return counted{c, &d.bytes}, nil
+			return countedConn{c, &f.bytes}, nil
 		}
 		return t
 	}
-	d.open(cfg)
-	return d
+	f.startServer(cfg)
+	return f
 }
 
-// host is one backend server with its listener.
-type host struct {
+// backend is a fake backend server with its listener.
+type backend struct {
 	group.Group
 	origin *origin.Origin
 	web    *http.Server
 	done   chan struct{}
 }
 
-// open starts a backend server at the address, in place of the one before.
-func (d *desk) open(cfg origin.Config) {
-	d.host = &host{origin: origin.New(cfg), done: make(chan struct{})}
+// startServer starts a backend server at serverAddr and replaces the previous one.
+func (f *fixture) startServer(cfg origin.Config) {
+	f.backend = &backend{origin: origin.New(cfg), done: make(chan struct{})}
 	p := &http.Protocols{}
 	p.SetHTTP1(true)
 	p.SetUnencryptedHTTP2(!cfg.LegacyControl)
-	inner := d.origin.Handler()
+	inner := f.origin.Handler()
 	web := &http.Server{Protocols: p, Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		d.calls.Add(1)
+		f.calls.Add(1)
 		inner.ServeHTTP(w, r)
 	})}
-	l, done := d.pipes.Listen(at), d.done
-	d.web = web
-	d.host.Go(func(context.Context) error {
+	l, done := f.pipes.Listen(serverAddr), f.done
+	f.web = web
+	f.backend.Go(func(context.Context) error {
 		defer close(done)
 		_ = web.Serve(l)
 		return nil
 	})
 }
 
-func (h *host) shut(t *testing.T) {
-	h.origin.Freeze(false)
-	assert.NilError(t, h.web.Close())
-	<-h.done
+func (b *backend) stop(t *testing.T) {
+	b.origin.Freeze(false)
+	assert.NilError(t, b.web.Close())
+	<-b.done
 }
 
-func (d *desk) close(t *testing.T) {
-	d.shut(t)
-	assert.NilError(t, d.Client.Close())
+func (f *fixture) close(t *testing.T) {
+	f.stop(t)
+	assert.NilError(t, f.Client.Close())
 }
 
-func (d *desk) spend(t *testing.T, do func() error) int64 {
-	before := d.bytes.Load()
+// bytesUsed returns the bytes that the calls in do sent and received.
+func (f *fixture) bytesUsed(t *testing.T, do func() error) int64 {
+	before := f.bytes.Load()
 	assert.NilError(t, do())
 	synctest.Wait()
-	return d.bytes.Load() - before
+	return f.bytes.Load() - before
 }
 
-func keyed(old bool) origin.Config {
-	return origin.Config{Service: "lookup", Server: "lookup-07", Keyed: true, Slices: 4096, Slots: 4, LegacyControl: old}
+func serverConfig(legacy bool) origin.Config {
+	return origin.Config{Service: "lookup", Server: "lookup-07", Keyed: true, Slices: 4096, Slots: 4, LegacyControl: legacy}
 }
 
 func grant(mark server.Mark) server.Order {
@@ -145,17 +148,17 @@
 	return o
 }
 
-// A renewal that repeated its set, or headers that say the same each time, would
-// cost every entry VM several times the content 5.7 times a second and server.
-func TestARenewalAndAProbeCostLittle(t *testing.T) {
+// Each server's lease is renewed 5.7 times a second. A renewal that repeated its set
+// of slices or constant headers would multiply the control traffic of every VM.
+func TestRenewalAndProbeSizes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		d := newDesk(keyed(false))
-		held, err := d.Read(t.Context(), at, "lookup", "")
+		f := newFixture(serverConfig(false))
+		held, err := f.Read(t.Context(), serverAddr, "lookup", "")
 		assert.NilError(t, err)
 		mark := held.Mark
 		order := func(o server.Order) func() error {
 			return func() error {
-				r, err := d.Grant(t.Context(), at, o)
+				r, err := f.Grant(t.Context(), serverAddr, o)
 				assert.Equal(t, r.Reason, "")
 				assert.Assert(t, r.Status != nil && r.Status.Ready)
 				assert.Equal(t, r.Status.Slots, 4)
@@ -163,129 +166,128 @@
 				return err
 			}
 		}
-		full := d.spend(t, order(grant(mark)))
-		d.spend(t, order(renewal(mark)))
+		full := f.bytesUsed(t, order(grant(mark)))
+		f.bytesUsed(t, order(renewal(mark)))
 		time.Sleep(175 * time.Millisecond)
-		renew := d.spend(t, order(renewal(mark)))
+		renew := f.bytesUsed(t, order(renewal(mark)))
 		probe := func() error {
-			w, err := d.Status(t.Context(), at)
-			assert.Assert(t, w.Ready && w.Slots == 4)
+			status, err := f.Status(t.Context(), serverAddr)
+			assert.Assert(t, status.Ready && status.Slots == 4)
 			return err
 		}
-		d.spend(t, probe)
-		probed := d.spend(t, probe)
+		f.bytesUsed(t, probe)
+		probed := f.bytesUsed(t, probe)
 		t.Logf("grant of 240 slices %d bytes, renewal %d, probe %d", full, renew, probed)
-		assert.Assert(t, renew <= mostRenewal, "%d bytes", renew)
-		assert.Assert(t, probed <= mostProbe, "%d bytes", probed)
-		assert.Equal(t, d.dials.Load(), int64(2), "one connection to learn on, and one that stays")
-		d.close(t)
+		assert.Assert(t, renew <= maxRenewalBytes, "%d bytes", renew)
+		assert.Assert(t, probed <= maxProbeBytes, "%d bytes", probed)
+		assert.Equal(t, f.dials.Load(), int64(2), "expected one connection for the negotiation and one for all other calls")
+		f.close(t)
 	})
 }
 
-// A backend server of an older program speaks HTTP/1.1 and JSON alone. It must
-// be served all the same, and never be sent a form that it does not read.
-func TestAnOlderServerIsSpokenToAsBefore(t *testing.T) {
+// A backend server of an older version supports only HTTP/1.1 and JSON. Calls to it
+// must work and never use another protocol or encoding.
+func TestOlderServerGetsHTTP1AndJSON(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		d := newDesk(keyed(true))
+		f := newFixture(serverConfig(true))
 		var renew int64
-		held, err := d.Read(t.Context(), at, "lookup", "")
+		held, err := f.Read(t.Context(), serverAddr, "lookup", "")
 		assert.NilError(t, err)
-		_, err = d.Grant(t.Context(), at, grant(held.Mark))
+		_, err = f.Grant(t.Context(), serverAddr, grant(held.Mark))
 		assert.NilError(t, err)
 		for range 3 {
-			renew = d.spend(t, func() error {
-				r, err := d.Grant(t.Context(), at, renewal(held.Mark))
+			renew = f.bytesUsed(t, func() error {
+				r, err := f.Grant(t.Context(), serverAddr, renewal(held.Mark))
 				assert.Assert(t, r.Done)
 				return err
 			})
 		}
-		w, err := d.Status(t.Context(), at)
+		status, err := f.Status(t.Context(), serverAddr)
 		assert.NilError(t, err)
-		assert.Assert(t, w.Ready)
-		assert.Equal(t, d.dials.Load(), int64(1))
+		assert.Assert(t, status.Ready)
+		assert.Equal(t, f.dials.Load(), int64(1))
 		t.Logf("renewal %d bytes", renew)
-		d.close(t)
+		f.close(t)
 	})
 }
 
-// A backend server is lost without a word and another one takes its address. The
-// kept connection leads nowhere, and nothing on it says so: orders that went on
-// over it would fail until TCP gives up, and the new server's keys have no owner
-// for a quarter of an hour.
+// A backend server is lost without closing its connections, and another one takes its
+// address. If orders kept using the old connection, they would fail until TCP times
+// out, and the keys would have no owner for a quarter of an hour.
 func TestALostServersConnectionIsNotUsedAgain(t *testing.T) {
-	for name, old := range map[string]bool{"the next speaks the same": false, "the next is an older one": true} {
+	for name, legacy := range map[string]bool{"same version": false, "older version": true} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				d := newDesk(keyed(false))
-				held := d.warm(t)
-				lost := d.host // it still holds the connection open
+				f := newFixture(serverConfig(false))
+				held := f.warmUp(t)
+				lost := f.backend // it keeps the connection open
 				lost.origin.Freeze(true)
-				d.open(keyed(old))
+				f.startServer(serverConfig(legacy))
 				ctx, cancel := context.WithTimeout(t.Context(), 50*time.Millisecond)
-				_, err := d.Grant(ctx, at, renewal(held))
+				_, err := f.Grant(ctx, serverAddr, renewal(held))
 				cancel()
 				assert.Equal(t, kinds.Of(err), kinds.Ambiguous)
-				r, err := d.Read(t.Context(), at, "lookup", "")
+				r, err := f.Read(t.Context(), serverAddr, "lookup", "")
 				assert.NilError(t, err)
-				assert.Assert(t, r.Mark.Boot != held.Boot, "answered by the server that was lost")
-				_, err = d.Grant(t.Context(), at, grant(r.Mark))
+				assert.Assert(t, r.Mark.Boot != held.Boot, "the reply is from the lost server")
+				_, err = f.Grant(t.Context(), serverAddr, grant(r.Mark))
 				assert.NilError(t, err)
-				lost.shut(t)
-				d.close(t)
+				lost.stop(t)
+				f.close(t)
 			})
 		})
 	}
 }
 
-// warm makes the client know what the server takes, and returns a mark.
-func (d *desk) warm(t *testing.T) server.Mark {
+// warmUp makes calls until the protocol is negotiated, and returns a mark.
+func (f *fixture) warmUp(t *testing.T) server.Mark {
 	for range 2 {
-		_, err := d.Read(t.Context(), at, "lookup", "")
+		_, err := f.Read(t.Context(), serverAddr, "lookup", "")
 		assert.NilError(t, err)
 		// net/http hands a new HTTP/2 connection to the call that dialled it and
 		// offers it to others a moment later; a call in between dials another.
 		synctest.Wait()
 	}
-	r, err := d.Read(t.Context(), at, "lookup", "")
+	r, err := f.Read(t.Context(), serverAddr, "lookup", "")
 	assert.NilError(t, err)
-	assert.Equal(t, d.dials.Load(), int64(2))
+	assert.Equal(t, f.dials.Load(), int64(2))
 	return r.Mark
 }
 
-// A connection breaks after an order was sent on it. Whether it was obeyed is
-// not known: taken for a failure, its keys could be given to a second server
-// while the first one serves; sent a second time by itself, it would be an order
-// that the seat knows nothing of.
+// A connection breaks after an order was sent, so it is unknown whether the order was
+// obeyed. Taken for a failure, its keys could be given to a second server while the
+// first serves them; repeated by the client, it would be an order its sender does
+// not know of.
 func TestAnOrderWithoutAnAnswerIsInDoubtAndNotRepeated(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		d := newDesk(keyed(false))
-		mark := d.warm(t)
-		d.origin.Freeze(true)
-		calls := d.calls.Load()
+		f := newFixture(serverConfig(false))
+		mark := f.warmUp(t)
+		f.origin.Freeze(true)
+		calls := f.calls.Load()
 		broken := make(chan error, 1)
 		var caller group.Group
 		caller.Go(func(context.Context) error {
-			_, err := d.Grant(t.Context(), at, grant(mark))
+			_, err := f.Grant(t.Context(), serverAddr, grant(mark))
 			broken <- err
 			return nil
 		})
 		synctest.Wait()
-		assert.NilError(t, d.web.Close())
+		assert.NilError(t, f.web.Close())
 		assert.Equal(t, kinds.Of(<-broken), kinds.Ambiguous)
-		assert.Equal(t, d.calls.Load()-calls, int64(1))
+		assert.Equal(t, f.calls.Load()-calls, int64(1))
 
-		// Nobody listens any more: this one certainly did nothing.
-		_, err := d.Grant(t.Context(), at, grant(mark))
+		// The server no longer listens, so this order certainly had no effect.
+		_, err := f.Grant(t.Context(), serverAddr, grant(mark))
 		assert.Equal(t, kinds.Of(err), kinds.Unavailable)
-		_, err = d.Read(t.Context(), at, "lookup", "")
+		_, err = f.Read(t.Context(), serverAddr, "lookup", "")
 		assert.Equal(t, kinds.Of(err), kinds.Unavailable)
-		d.close(t)
+		f.close(t)
 	})
 }
 
-// A backend server of another version answers an order with 200 and something
-// that nobody here can read. The order was obeyed; a holder that took it for
-// refused would give the keys away while the server serves them.
+// A backend server of another version answers an order with status 200 and a body that
+// cannot be decoded. The order was obeyed; if the sender took it for refused, it
+// would give the keys to another server while this one serves them.
 func TestAnUnreadableAnswerToAnOrderIsInDoubt(t *testing.T) {
 	for name, kind := range map[string]string{"JSON": srvcli.TypeJSON, "CBOR": srvcli.TypeCBOR, "neither": "text/html; charset", "none": ""} {
 		for _, body := range []string{"", "{", "\xff", "\xa1\x01", "[7]", "\x9f\xff", `{"obeyed":true}`} {
