--- a/internal/plat/vmlist/vmlist.go
+++ b/internal/plat/vmlist/vmlist.go
@@ -1,6 +1,6 @@
-// Package vmlist is the narrow interface to the platform's list of VMs. The
-// list lags, so it is one witness among several; but a VM that it once showed
-// and that it then shows as gone does not come back under the same name.
+// Package vmlist defines the interface to the platform's list of VMs. The list can
+// be outdated, so it is only one of several sources for the state of a VM. But a VM
+// that was listed and is then listed as gone never returns under the same name.
 package vmlist
 
 import (
@@ -10,11 +10,11 @@
 	"hawthornfield.org/hawthornfield/internal/core/ident"
 )
 
-// State is what the platform says of a VM.
+// State is the state of a VM according to the platform.
 type State string
 
-// The states of the list. A VM that is missing was never listed, or is gone for
-// longer than the platform remembers.
+// The states of a VM. A VM that is not in the list was never listed, or has been gone
+// for longer than the platform remembers.
 const (
 	Live    State = "live"
 	Leaving State = "leaving"
@@ -29,7 +29,7 @@
 	State  State          `json:"state"`
 }
 
-// Lister reads the list. Errors carry kind Down or Malformed.
+// Lister reads the list. Its errors have kind Unavailable or Malformed.
 type Lister interface {
 	VMs(ctx context.Context) ([]VM, error)
 }
