--- a/internal/core/loop/loop_test.go
+++ b/internal/core/loop/loop_test.go
@@ -82,7 +82,7 @@
 	return f, nil
 }
 
-// Many peers send messages while the runner reports results from the loop's own
+// A hundred peers send messages while the runner reports results from the loop's own
 // goroutine. If a result had to wait for room in the full inbox, the loop would
 // deadlock, and the VM would hold its leases without ever renewing them.
 func TestCommandResultsBypassFullInbox(t *testing.T) {
