--- a/internal/edge/leases/batch_test.go
+++ b/internal/edge/leases/batch_test.go
@@ -121,7 +121,7 @@
 			if s.Server == "a" {
 				want = "watching"
 			}
-			assert.Equal(t, string(s.Standby), want, "%s", s.Server)
+			assert.Equal(t, string(s.DeputyState), want, "%s", s.Server)
 		}
 		assert.NilError(t, mgr.Close())
 	})
--- a/internal/edge/leases/commit.go
+++ b/internal/edge/leases/commit.go
@@ -18,7 +18,7 @@
 // startWriter starts the single writer of a service's table on this VM. The
 // decisions are made by owner/commit; the store calls are made here.
 func (mgr *Manager) startWriter(svc ident.Service, ts *tableState) {
-	model := commit.New(commit.Config{Self: mgr.VM, Service: svc, Store: mgr.Times.StoreTimeout})
+	model := commit.New(commit.Config{Self: mgr.VM, Service: svc, StoreTimeout: mgr.Times.StoreTimeout})
 	ts.writer = loop.New(model, loop.RunnerFunc(func(ctx context.Context, cmd loop.Cmd, send func(loop.Msg)) {
 		mgr.runWriter(ctx, svc, cmd, send)
 	}))
--- a/internal/owner/lessor/seat.go
+++ b/internal/owner/lessor/seat.go
@@ -41,11 +41,11 @@
 	FenceChecks bool
 	// Times of the service; the zero value means lease.Default().
 	Times lease.Times
-	// Patience is how long after its lease ran out a silent server keeps its
+	// MoveDelay is how long after its lease ran out a silent server keeps its
 	// keys. Zero moves them at once, for the shortest unavailable time; a
 	// service that fears churn more sets what a usual stall takes.
-	Patience time.Duration
-	// Standby lets another server stand by for a lost one while the store is down.
+	MoveDelay time.Duration
+	// DeputyState lets another server stand by for a lost one while the store is down.
 	// The service's servers must then keep one lease for each seat that grants
 	// them any.
 	Standby bool
@@ -165,23 +165,23 @@
 
 // Status is a seat's state for operators.
 type Status struct {
-	Authority chart.State  `json:"authority"`
-	Epoch     ident.Epoch  `json:"epoch"`
-	Holder    ident.VM     `json:"holder"` // as last read from the record
-	Deputy    ident.VM     `json:"deputy"`
-	Lease     chart.State  `json:"lease"`
-	Move      chart.State  `json:"move"`
-	Drain     chart.State  `json:"drain"`
-	Standby   chart.State  `json:"stand"`        // as deputy
-	By        ident.Server `json:"by,omitempty"` // who stands by for the server
-	Until     time.Time    `json:"until"`
+	Authority   chart.State  `json:"authority"`
+	Epoch       ident.Epoch  `json:"epoch"`
+	Holder      ident.VM     `json:"holder"` // as last read from the record
+	Deputy      ident.VM     `json:"deputy"`
+	Lease       chart.State  `json:"lease"`
+	Move        chart.State  `json:"move"`
+	Drain       chart.State  `json:"drain"`
+	DeputyState chart.State  `json:"stand"`        // as deputy
+	By          ident.Server `json:"by,omitempty"` // who stands by for the server
+	Until       time.Time    `json:"until"`
 }
 
 // Status returns the seat's state for operators.
 func (s Lessor) Status() Status {
 	return Status{
 		Authority: s.auth, Epoch: s.epoch, Holder: s.rec.Holder, Deputy: s.rec.Deputy,
-		Lease: s.lease, Move: s.move, Drain: s.drain, Standby: s.d.state, Until: s.until, By: s.by,
+		Lease: s.lease, Move: s.move, Drain: s.drain, DeputyState: s.d.state, Until: s.until, By: s.by,
 	}
 }
 
