--- a/internal/owner/lessor/lost.go
+++ b/internal/owner/lessor/lost.go
@@ -25,7 +25,7 @@
 	}
 	base := later(t.srv.heard, t.wonAt)
 	quietAt := base.Add(t.cfg.Times.SilenceTimeout)
-	lapseAt := later(t.srv.used.Expiry(t.cfg.Times), base.Add(t.cfg.Times.MaxRemaining())).Add(t.cfg.Patience)
+	lapseAt := later(t.srv.used.Expiry(t.cfg.Times), base.Add(t.cfg.Times.MaxRemaining())).Add(t.cfg.MoveDelay)
 	if t.lost() {
 		quietAt, lapseAt = base, base
 	}
--- a/internal/owner/lessor/seat.go
+++ b/internal/owner/lessor/seat.go
@@ -41,10 +41,10 @@
 	FenceChecks bool
 	// Times of the service; the zero value means lease.Default().
 	Times lease.Times
-	// Patience is how long after its lease ran out a silent server keeps its
+	// MoveDelay is how long after its lease ran out a silent server keeps its
 	// keys. Zero moves them at once, for the shortest unavailable time; a
 	// service that fears churn more sets what a usual stall takes.
-	Patience time.Duration
+	MoveDelay time.Duration
 	// Standby lets another server stand by for a lost one while the store is down.
 	// The service's servers must then keep one lease for each seat that grants
 	// them any.
