--- a/internal/edge/leases/share_test.go
+++ b/internal/edge/leases/share_test.go
@@ -120,7 +120,7 @@
 			if s.Server == "a" {
 				want = "watching"
 			}
-			assert.Equal(t, string(s.Standby), want, "%s", s.Server)
+			assert.Equal(t, string(s.DeputyState), want, "%s", s.Server)
 		}
 		assert.NilError(t, k.Close())
 	})
--- a/internal/fake/world/vm.go
+++ b/internal/fake/world/vm.go
@@ -209,7 +209,7 @@
 	involved := true
 	if s, ok := m.(interface{ Status() lessor.Status }); ok {
 		now := s.Status()
-		involved = now.Authority != "idle" || now.Standby != "off"
+		involved = now.Authority != "idle" || now.DeputyState != "off"
 	}
 	v.involved[v.w.server(srv).index] = involved
 }
--- a/internal/owner/lessor/seat.go
+++ b/internal/owner/lessor/seat.go
@@ -45,7 +45,7 @@
 	// keys. Zero moves them at once, for the shortest unavailable time; a
 	// service that fears churn more sets what a usual stall takes.
 	MoveDelay time.Duration
-	// Standby lets another server stand by for a lost one while the store is down.
+	// DeputyState lets another server stand by for a lost one while the store is down.
 	// The service's servers must then keep one lease for each seat that grants
 	// them any.
 	Standby bool
@@ -172,7 +172,7 @@
 	Lease     chart.State  `json:"lease"`
 	Move      chart.State  `json:"move"`
 	Drain     chart.State  `json:"drain"`
-	Standby   chart.State  `json:"stand"`        // as deputy
+	DeputyState   chart.State  `json:"stand"`        // as deputy
 	By        ident.Server `json:"by,omitempty"` // who stands by for the server
 	Until     time.Time    `json:"until"`
 }
@@ -181,7 +181,7 @@
 func (s Lessor) Status() Status {
 	return Status{
 		Authority: s.auth, Epoch: s.epoch, Holder: s.rec.Holder, Deputy: s.rec.Deputy,
-		Lease: s.lease, Move: s.move, Drain: s.drain, Standby: s.d.state, Until: s.until, By: s.by,
+		Lease: s.lease, Move: s.move, Drain: s.drain, DeputyState: s.d.state, Until: s.until, By: s.by,
 	}
 }
 
