--- a/internal/edge/leases/commit.go
+++ b/internal/edge/leases/commit.go
@@ -18,7 +18,7 @@
 // startWriter starts the one writer of a service's table on this VM. The
 // decisions are owner/commit's; here are its calls to the store.
 func (k *Manager) startWriter(svc ident.Service, b *book) {
-	model := commit.New(commit.Config{Self: k.VM, Service: svc, Store: k.Times.StoreTimeout})
+	model := commit.New(commit.Config{Self: k.VM, Service: svc, StoreTimeout: k.Times.StoreTimeout})
 	b.writer = loop.New(model, loop.RunnerFunc(func(ctx context.Context, cmd loop.Cmd, send func(loop.Msg)) {
 		k.runWriter(ctx, svc, cmd, send)
 	}))
--- a/internal/fake/world/commit.go
+++ b/internal/fake/world/commit.go
@@ -15,7 +15,7 @@
 	if v.w.Opt.NewWriter == nil {
 		return
 	}
-	v.writer = v.w.Opt.NewWriter(commit.Config{Self: v.ID, Service: Service, Store: v.w.times.StoreTimeout})
+	v.writer = v.w.Opt.NewWriter(commit.Config{Self: v.ID, Service: Service, StoreTimeout: v.w.times.StoreTimeout})
 	var hubs []ident.VM
 	for i := range min(v.w.Opt.VMs, 2) {
 		hubs = append(hubs, vmName(i))
--- a/internal/owner/commit/commit.go
+++ b/internal/owner/commit/commit.go
@@ -49,10 +49,10 @@
 type Config struct {
 	Self    ident.VM
 	Service ident.Service
-	// Store is how long a call to the store may take, and how long an edit waits
+	// StoreTimeout is how long a call to the store may take, and how long an edit waits
 	// to be sent before it is given back. Seats count a write as lost after
 	// twice that.
-	Store time.Duration
+	StoreTimeout time.Duration
 	// Rebase puts an edit on a table. Nil means table.Table.Edited; tests put a
 	// broken one here.
 	Rebase func(table.Table, table.Edit) (table.Table, error)
@@ -278,7 +278,7 @@
 func (t *turn) overdue() {
 	kept := t.wait[:0:0]
 	for _, e := range t.wait {
-		if t.now.Sub(e.at) > t.cfg.Store {
+		if t.now.Sub(e.at) > t.cfg.StoreTimeout {
 			t.answer(e, kinds.Conflict)
 			continue
 		}
@@ -316,7 +316,7 @@
 
 func (t *turn) begin() {
 	t.call++
-	t.busy, t.lost = true, t.now.Add(2*t.cfg.Store)
+	t.busy, t.lost = true, t.now.Add(2*t.cfg.StoreTimeout)
 }
 
 // succeed tells whoever made the edit that it was written as revision rev, and that
@@ -340,7 +340,7 @@
 
 func (t *turn) tellBack(e item, done bool, rev ident.Revision) {
 	m := ForwardedMsg{Born: e.born, ID: e.id, Done: done, Rev: rev}
-	t.do(SendCmd{Guard: lessor.Guard{Until: t.now.Add(t.cfg.Store)}, To: e.from, Msg: m})
+	t.do(SendCmd{Guard: lessor.Guard{Until: t.now.Add(t.cfg.StoreTimeout)}, To: e.from, Msg: m})
 }
 
 func (t *turn) giveBack(k kinds.Kind) {
--- a/internal/owner/commit/commit_test.go
+++ b/internal/owner/commit/commit_test.go
@@ -46,7 +46,7 @@
 		assert.NilError(t, err)
 	}
 	d := &desk{t: t, now: time.Unix(1000, 0), told: map[ident.Server]kinds.Kind{}, tab: tab, ver: 7}
-	d.w = New(Config{Self: "vm-1", Service: "lookup", Store: storeTime})
+	d.w = New(Config{Self: "vm-1", Service: "lookup", StoreTimeout: storeTime})
 	d.send(TableMsg{Table: tab, Version: d.ver})
 	return d
 }
--- a/internal/owner/commit/hub.go
+++ b/internal/owner/commit/hub.go
@@ -99,7 +99,7 @@
 // of our own, by this VM's clock.
 func (t *turn) onForward(m ForwardMsg) {
 	e := item{at: t.now, from: m.From, born: m.Born, id: m.ID}
-	e.cmd = lessor.PutTableCmd{Guard: lessor.Guard{Until: t.now.Add(2 * t.cfg.Store)}, Edit: m.Edit}
+	e.cmd = lessor.PutTableCmd{Guard: lessor.Guard{Until: t.now.Add(2 * t.cfg.StoreTimeout)}, Edit: m.Edit}
 	if len(t.wait) >= maxWait {
 		t.answer(e, kinds.Conflict)
 		return
@@ -156,7 +156,7 @@
 		switch {
 		case t.tab.Rev >= d.rev:
 			t.succeed(d.item, d.rev, t.tab, t.ver)
-		case t.now.Sub(d.at) > t.cfg.Store:
+		case t.now.Sub(d.at) > t.cfg.StoreTimeout:
 			t.answer(d.item, kinds.Ambiguous) // the seat reads it for itself
 		default:
 			kept = append(kept, d)
