--- a/internal/owner/lessor/move_test.go
+++ b/internal/owner/lessor/batch_test.go
@@ -13,11 +13,11 @@
 	"hawthornfield.org/hawthornfield/internal/owner/table"
 )
 
-// A server is lost while one of its keys is hot. The plan gives the key and the
-// slice that it hashes to to two servers, the slice first. Carried out in that
-// order the table refuses the whole batch, again and again, and every key of the
-// lost server has no owner until the hot one has cooled down.
-func TestAHotKeyAndItsSliceCanLeaveTogether(t *testing.T) {
+// A lost server has a hot key, and the plan moves the key and its slice to two
+// servers, the slice first. In that order the table refuses the whole batch
+// each time, and every key of the lost server has no owner until the hot key
+// has cooled down.
+func TestHotKeyAndItsSliceCanMoveTogether(t *testing.T) {
 	const key = ident.Key("scale-7")
 	x := ident.SliceOf(key, 2)
 	tab, err := table.New("lookup", 2, "a", "b", "c")
@@ -25,8 +25,8 @@
 	tab, err = tab.WithAssigned(table.Move{Slice: 0, To: "a"}, table.Move{Slice: 1, To: "a"})
 	assert.NilError(t, err)
 	at := &turn{}
-	at.tab, at.cfg.Server = tab, "a"
-	moves := at.sensible([]table.Move{{Slice: x, To: "b"}, {Slice: 1 - x, To: "c"}, {Slice: x, Key: key, To: "c"}})
+	at.table, at.cfg.Server = tab, "a"
+	moves := at.applicable([]table.Move{{Slice: x, To: "b"}, {Slice: 1 - x, To: "c"}, {Slice: x, Key: key, To: "c"}})
 	assert.Equal(t, len(moves), 3)
 	next, err := tab.WithMoves("a", 0, moves...)
 	assert.NilError(t, err)
@@ -36,12 +36,11 @@
 	assert.Equal(t, owner.Server, ident.Server("c"))
 }
 
-// A server is lost and its keys go to b, which is full at once and gives some of
-// them on to c. The VM that gave them to b was slow: when it hears that its write
-// took effect, the next one has already. If it names the table that it knows by
-// then, the history of ownership says that b gave a key away before it had it,
-// and whoever looks for the owner at some moment finds the wrong server.
-func TestAMoveIsReportedUnderTheTableThatGaveIt(t *testing.T) {
+// The keys of a lost server move to b, which is full at once and moves some on
+// to c before the first VM hears that its own write took effect. If that VM
+// reported the newest table it knows, the ownership history would say that b
+// gave a key away before it had it.
+func TestMoveIsReportedWithTheRevisionThatMadeIt(t *testing.T) {
 	first, err := table.New("lookup", 1, "a", "b", "c")
 	assert.NilError(t, err)
 	first, err = first.WithAssigned(table.Move{To: "a"})
@@ -65,9 +64,9 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			at := &turn{}
-			at.cfg.Server, at.auth, at.move = "a", holding, writing
-			at.tab, at.tabVer, at.tabBusy = first, 1, true
-			at.b = batch{moves: cmd.Edit.Moves, rev: given.Rev, doubt: true, edit: cmd.Edit}
+			at.cfg.Server, at.auth, at.move = "a", authHolding, moveWriting
+			at.table, at.tableVer, at.tableWritePending = first, 1, true
+			at.batch = batch{moves: cmd.Edit.Moves, writeRev: given.Rev, uncertain: true, edit: cmd.Edit}
 			for _, m := range answers {
 				at.handle(m)
 			}
@@ -78,10 +77,10 @@
 	}
 }
 
-// A VM that gives keys to another server loses its seat, or leaves, while the
-// store's answer is on its way. The keys have moved; unless somebody says so, an
-// operator who looks for the owner is told the server that gave them away.
-func TestAMoveIsReportedAfterItsSeatWasLost(t *testing.T) {
+// A VM that moves keys loses its authority, or shuts down, before the store's
+// answer arrives. The keys have moved; unless the move is reported, the
+// ownership history names the server that gave them away.
+func TestMoveIsReportedAfterTheAuthorityWasLost(t *testing.T) {
 	tab, err := table.New("lookup", 1, "a", "b")
 	assert.NilError(t, err)
 	tab, err = tab.WithAssigned(table.Move{To: "a"})
@@ -90,19 +89,19 @@
 	assert.NilError(t, err)
 	row, _ := tab.Row("a")
 	for name, end := range map[string]func(*turn){
-		"another VM took it": func(at *turn) { at.step("fenced", "another VM took the seat over") },
-		"this VM leaves":     func(at *turn) { at.leaving = true; at.now = at.now.Add(2 * leavePatience); at.runLeave() },
+		"another VM took it": func(at *turn) { at.stepDown("fenced", "another VM took over") },
+		"this VM leaves":     func(at *turn) { at.leaving = true; at.now = at.now.Add(2 * leaveWriteTimeout); at.runLeave() },
 	} {
 		t.Run(name, func(t *testing.T) {
 			at := &turn{Lessor: New(Config{Server: "a"}), now: time.Unix(1000, 0)}
-			at.leaveAt = at.now
-			at.auth, at.move, at.epoch = holding, writing, 3
-			at.tab, at.tabVer = tab, 1
-			at.b.moves = []table.Move{{To: "b"}}
+			at.leaveStartedAt = at.now
+			at.auth, at.move, at.epoch = authHolding, moveWriting, 3
+			at.table, at.tableVer = tab, 1
+			at.batch.moves = []table.Move{{To: "b"}}
 			at.writeBatch()
 			put := at.cmds[0].(PutTableCmd)
 			end(at)
-			assert.Equal(t, at.move, rest)
+			assert.Equal(t, at.move, moveIdle)
 			reports := func(msg loop.Msg) (all []MovedCmd) {
 				_, cmds := at.Update(at.now, msg)
 				for _, c := range cmds {
--- a/internal/owner/lessor/chart_test.go
+++ b/internal/owner/lessor/chart_test.go
@@ -12,14 +12,14 @@
 	"hawthornfield.org/hawthornfield/internal/core/chart"
 )
 
-// chart.MustParse has held each chart complete by the time this runs. What is
-// left is that the code and the files name the same triggers.
+// Checks that the code and the chart files name the same triggers.
+// chart.MustParse has checked by now that each chart is complete.
 func TestCodeFiresExactlyTheDrawnTriggers(t *testing.T) {
 	files, err := filepath.Glob("*.go")
 	assert.NilError(t, err)
 	fired := map[string][]string{}
 	direct := regexp.MustCompile(`fire\((\w+)Chart, &[\w.]+, "(\w+)"\)`)
-	given := regexp.MustCompile(`\.(?:step|drop)\("(\w+)"`)
+	given := regexp.MustCompile(`\.(?:stepDown|endAuthority)\("(\w+)"`)
 	for _, f := range files {
 		src, err := os.ReadFile(f)
 		assert.NilError(t, err)
--- a/internal/owner/lessor/charts.go
+++ b/internal/owner/lessor/charts.go
@@ -24,8 +24,8 @@
 //go:embed charts/stand.toml
 var standSrc []byte
 
-// The state charts. Each file is the single source of the states that the code
-// goes through.
+// The state charts. Each file is the only definition of the states and
+// transitions that the code uses.
 var (
 	authorityChart = chart.MustParse(authoritySrc)
 	leaseChart     = chart.MustParse(leaseSrc)
@@ -35,47 +35,53 @@
 	standChart     = chart.MustParse(standSrc)
 )
 
-// States that the code asks for.
+// States of the charts, by chart.
 const (
-	idle     chart.State = "idle"
-	reading  chart.State = "reading"
-	taking   chart.State = "taking"
-	doubting chart.State = "doubting"
-	barring  chart.State = "barring"
-	holding  chart.State = "holding"
-	closed   chart.State = "closed"
-
-	none   chart.State = "none"
-	held   chart.State = "held"
-	silent chart.State = "silent"
-	out    chart.State = "out"
-
-	rest     chart.State = "rest"
-	revoking chart.State = "revoking"
-	settling chart.State = "settling"
-	writing  chart.State = "writing"
-
-	serving  chart.State = "serving"
-	draining chart.State = "draining"
-	drained  chart.State = "drained"
-
-	home chart.State = "home"
-	away chart.State = "away"
-
-	off      chart.State = "off"
-	watching chart.State = "watching"
-	renewing chart.State = "renewing"
+	// authority.toml: whether this VM holds the authority.
+	authIdle    chart.State = "idle"
+	authReading chart.State = "reading"
+	authWriting chart.State = "taking"
+	authUnsure  chart.State = "doubting"
+	authFencing chart.State = "barring"
+	authHolding chart.State = "holding"
+	authClosed  chart.State = "closed"
+
+	// lease.toml: what the holder knows of the server's lease.
+	leaseNone    chart.State = "none"
+	leaseHeld    chart.State = "held"
+	leaseSilent  chart.State = "silent"
+	leaseExpired chart.State = "out"
+
+	// move.toml: progress of a batch of moving keys.
+	moveIdle     chart.State = "rest"
+	moveRevoking chart.State = "revoking"
+	moveSettling chart.State = "settling"
+	moveWriting  chart.State = "writing"
+
+	// drain.toml: whether the server is being drained.
+	drainOff    chart.State = "serving"
+	drainActive chart.State = "draining"
+	drainDone   chart.State = "drained"
+
+	// stand.toml: whether a standby is granted the keys.
+	standbyInactive chart.State = "home"
+	standbyActive   chart.State = "away"
+
+	// deputy.toml: whether this VM is the deputy, and renews the lease as such.
+	deputyOff      chart.State = "off"
+	deputyWatching chart.State = "watching"
+	deputyRenewing chart.State = "renewing"
 )
 
-// fire moves a chart. A trigger that is not drawn is a fault of this code: it
-// is reported, and the state stays, which is the safe side for every chart
-// here.
+// fire makes a chart's transition. A trigger that the chart does not allow in
+// this state is a programming error: it is reported and the state stays, which
+// is the safe side for every chart here.
 func (t *turn) fire(c *chart.Chart, s *chart.State, on chart.Trigger) {
 	next, err := c.Fire(*s, on)
 	if err != nil {
-		t.do(FaultCmd{Err: err})
+		t.emit(FaultCmd{Err: err})
 		return
 	}
 	*s = next
-	t.acted = true
+	t.changed = true
 }
--- a/internal/owner/lessor/cmd.go
+++ b/internal/owner/lessor/commands.go
@@ -11,9 +11,9 @@
 )
 
 // Guard is embedded in every command that needs an authority. A process can be
-// paused between the decision and the effect, so the runner asks Valid again on
-// its own clock immediately before it sends, and answers with kind Down without
-// sending when it is too late.
+// paused between the decision and the effect, so the runner calls Valid again
+// with its own clock immediately before it sends; if it is too late, it does
+// not send and answers with kind Unavailable.
 type Guard struct{ Until time.Time }
 
 // Valid reports whether the authority behind the command still lasts.
@@ -21,7 +21,7 @@
 
 // Commands to the store.
 type (
-	// ReadRecordCmd reads the seat's record.
+	// ReadRecordCmd reads the record.
 	ReadRecordCmd struct{ At time.Time }
 
 	// PutRecordCmd writes the record if the object's version is still Old.
@@ -38,9 +38,9 @@
 	// a success the runner also passes the table on to the request path and to
 	// peers.
 	//
-	// Edit is what the seat wants changed, from which Table was worked out. A
-	// runner of many seats may put the edits of several on one newer table with
-	// [table.Table.Edited] and write that, as package owner/commit does; the
+	// Edit is the change from which Table was derived. A runner of many lessors
+	// may apply the edits of several to a newer table with
+	// [table.Table.WithEdit] and write that, as package owner/commit does; the
 	// answer then carries the table that was written in place of Table.
 	PutTableCmd struct {
 		Guard
@@ -52,8 +52,8 @@
 
 // Commands to the backend server.
 type (
-	// OrderCmd sends an order to Order.Server: server.Control.Revoke when Revoke
-	// is set, Grant otherwise.
+	// OrderCmd sends an order to Order.Server: server.Control.Revoke when
+	// Revoke is set, Grant otherwise.
 	OrderCmd struct {
 		Guard
 		Order  server.Order
@@ -64,7 +64,7 @@
 	}
 
 	// ReadServerCmd asks the server what it holds (server.Control.Read). To is
-	// the stand-by when that is asked, "" for the seat's own server.
+	// the standby when that is asked, "" for the server itself.
 	ReadServerCmd struct {
 		At time.Time
 		To ident.Server
@@ -73,8 +73,8 @@
 
 // Other commands.
 type (
-	// SendCmd sends Msg to the same seat on another VM: a BeatMsg, AskMsg,
-	// YieldMsg or YieldedMsg. It is not answered.
+	// SendCmd sends Msg to the lessor of the same server on another VM: a
+	// HeartbeatMsg, ClockMsg, PrepareMsg or PromiseMsg. It is not answered.
 	SendCmd struct {
 		To  ident.VM
 		Msg loop.Msg
@@ -87,31 +87,32 @@
 		Lost   bool
 	}
 
-	// MovedCmd reports an acknowledged move: the table that gives it is
-	// confirmed by the store. It goes to the decision log. Rev is the revision
-	// that was written, or the first one seen with the move in it when the
-	// write's answer was lost.
+	// MovedCmd reports an acknowledged move: the store has confirmed the table
+	// that contains it. It goes to the decision log. Rev is the revision that
+	// was written, or, if the write's answer was lost, the first one seen that
+	// contains the move.
 	MovedCmd struct {
 		Moves []table.Move
 		Epoch ident.Epoch
 		Rev   ident.Revision
 	}
 
-	// AcquiredCmd reports that this VM took the seat.
+	// AcquiredCmd reports that this VM took the authority.
 	AcquiredCmd struct{ Epoch ident.Epoch }
 
-	// SteppedDownCmd reports that this VM no longer holds the seat, and why.
+	// SteppedDownCmd reports that this VM no longer holds the authority, and
+	// why.
 	SteppedDownCmd struct {
 		Epoch  ident.Epoch
 		Reason string
 	}
 
-	// DeputyActiveCmd reports that this VM renews as deputy, because the holder is
-	// silent.
+	// DeputyActiveCmd reports that this VM renews the lease as deputy, because
+	// the holder is silent.
 	DeputyActiveCmd struct{ Epoch ident.Epoch }
 
-	// StandbyCmd reports that another server stands by for the seat's own from now
-	// on, and that none does any more when To is "".
+	// StandbyCmd reports that a standby serves the server's keys from now on,
+	// or, when To is "", that none does any more.
 	StandbyCmd struct {
 		Epoch ident.Epoch
 		To    ident.Server
@@ -120,10 +121,11 @@
 	// DrainedCmd reports that a draining server owns nothing any more.
 	DrainedCmd struct{}
 
-	// LeftCmd answers LeaveMsg: the seat has handed over and sends no more.
+	// LeftCmd answers LeaveMsg: the authority is handed over, and the lessor
+	// sends no more.
 	LeftCmd struct{}
 
-	// FaultCmd reports a fault of the program: the code fired a trigger that
-	// the state chart does not draw. The state stays as it was.
+	// FaultCmd reports a programming error: the code fired a trigger that the
+	// state chart does not allow. The state stays as it was.
 	FaultCmd struct{ Err error }
 )
--- a/internal/owner/lessor/deputy.go
+++ b/internal/owner/lessor/deputy.go
@@ -8,199 +8,203 @@
 	"hawthornfield.org/hawthornfield/internal/plat/server"
 )
 
-// deputy is what a VM knows as deputy of a seat. Without one, a holder lost
-// during a store outage would take its servers' keys down until the store is
-// back: nobody could prove that it may renew their leases. The deputy may,
+// deputy is the state of a VM as deputy. Without a deputy, a holder that is
+// lost during a store outage would make its server's keys unavailable until the
+// store is back: no VM could prove that it may renew the lease. The deputy may,
 // because the holder told it so while it lived, and because a renewal changes
-// nobody's ownership (rule 10).
+// no ownership (rule 10).
 type deputy struct {
-	state  chart.State
-	epoch  ident.Epoch
-	holder ident.VM
-	until  time.Time // as the holder told, counted from before we asked
-	heard  time.Time
-	rev    ident.Revision
-	seq    uint64
-	next   time.Time
-	probe  time.Time // when we asked the server for a holder that cannot reach it
-	called bool      // the holder left, or we reach a server that it does not
-	sure   bool      // this very process was told of the epoch since it asked
-	clear  bool      // no stand-by of an earlier epoch can hold the keys
+	state            chart.State
+	epoch            ident.Epoch
+	holder           ident.VM
+	termEnd          time.Time // as the holder told, counted from before we sent our clock
+	heartbeatAt      time.Time
+	rev              ident.Revision
+	seq              uint64
+	sendAt           time.Time
+	probedAt         time.Time // when we read from the server for a holder that cannot reach it
+	takeOver         bool      // the holder left, or we reach a server that it does not
+	anchored         bool      // the holder has answered this very process under this epoch
+	noEarlierStandby bool      // no standby of an earlier epoch can hold the keys
 }
 
-// beat tells the deputy that its holder is there, until it is asked to stop.
-func (t *turn) beat() {
-	if !t.reigns() || t.rec.Deputy == "" || t.deputyEnded() || t.lent || t.stand == away || t.lease == silent || t.lease == out {
+// sendHeartbeat tells the deputy that its holder is alive, until the deputy is
+// asked to stop.
+func (t *turn) sendHeartbeat() {
+	if !t.actsAsHolder() || t.record.Deputy == "" || t.deputyEnded() || t.earlierStandby || t.standbyState == standbyActive || t.lease == leaseSilent || t.lease == leaseExpired {
 		return
 	}
-	if !t.due(t.beatAt) {
+	if !t.due(t.heartbeatAt) {
 		return
 	}
-	t.beatAt = t.nextBeat()
-	m := HeartbeatMsg{From: t.cfg.Self, Epoch: t.epoch, Mark: t.srv.mark.Mark, Rev: t.srv.want, NoStandby: t.rec.format() == RecordVersion}
-	if t.echo > 0 {
-		m.Left, m.Echo, m.Incarnation = t.until.Sub(t.now), t.echo, t.echoBorn
-		t.told = t.until
+	t.heartbeatAt = t.nextHeartbeat()
+	m := HeartbeatMsg{From: t.cfg.Self, Epoch: t.epoch, Mark: t.srv.mark.Mark, Rev: t.srv.targetRev, NoStandby: t.record.format() == RecordVersion}
+	if t.deputyClock > 0 {
+		m.Left, m.Echo, m.Incarnation = t.termEnd.Sub(t.now), t.deputyClock, t.deputyIncarnation
+		t.deputyTermEnd = t.termEnd
 	}
-	t.do(SendCmd{To: t.rec.Deputy, Msg: m})
+	t.emit(SendCmd{To: t.record.Deputy, Msg: m})
 }
 
-// nextBeat is the next multiple of the beat's period on this VM's clock, so that
-// the beats of all its seats fall due together and share packets. It is never
-// more than a period away: the deputy's count of silence stays what it was.
-func (t *turn) nextBeat() time.Time {
+// nextHeartbeat returns the next multiple of the heartbeat period on this VM's
+// clock, so that the heartbeats of all its lessors fall due together and share
+// packets. It is never more than one period away, so the deputy's silence
+// timeout still counts the same number of heartbeats.
+func (t *turn) nextHeartbeat() time.Time {
 	period := t.cfg.Times.Heartbeat
 	return t.now.Add(period - time.Duration(t.now.UnixNano())%period)
 }
 
-// onAsk notes the deputy's clock, for the next beat to echo.
-func (t *turn) onAsk(m ClockMsg) {
-	if !t.reigns() || m.Epoch != t.epoch || m.From != t.rec.Deputy {
+// onClock notes the deputy's clock, for the next heartbeat to echo.
+func (t *turn) onClock(m ClockMsg) {
+	if !t.actsAsHolder() || m.Epoch != t.epoch || m.From != t.record.Deputy {
 		return
 	}
-	if m.Incarnation != t.echoBorn {
-		t.twice = t.stands && (t.twice || t.echoBorn != 0)
-		t.echo, t.echoBorn = 0, m.Incarnation
+	if m.Incarnation != t.deputyIncarnation {
+		t.deputyRestarted = t.standbyAllowed && (t.deputyRestarted || t.deputyIncarnation != 0)
+		t.deputyClock, t.deputyIncarnation = 0, m.Incarnation
 	}
-	t.echo = max(t.echo, m.At)
+	t.deputyClock = max(t.deputyClock, m.At)
 }
 
-func (t *turn) onBeat(m HeartbeatMsg) {
+func (t *turn) onHeartbeat(m HeartbeatMsg) {
 	switch {
 	case t.epoch > m.Epoch:
-		t.do(SendCmd{To: m.From, Msg: PrepareMsg{From: t.cfg.Self, Below: t.epoch}})
+		t.emit(SendCmd{To: m.From, Msg: PrepareMsg{From: t.cfg.Self, Below: t.epoch}})
 		return
 	case t.epoch != 0 && t.epoch < m.Epoch:
-		t.step("fenced", "a beat came under a later epoch")
-	case m.Epoch < t.floor || m.Epoch < t.d.epoch:
+		t.stepDown("fenced", "a heartbeat arrived under a later epoch")
+	case m.Epoch < t.promisedBelow || m.Epoch < t.deputy.epoch:
 		return
 	}
 	if t.leaving {
-		t.promise(PrepareMsg{From: m.From, Below: m.Epoch + 1})
+		t.sendPromise(PrepareMsg{From: m.From, Below: m.Epoch + 1})
 		return
 	}
-	if m.Epoch > t.d.epoch {
+	if m.Epoch > t.deputy.epoch {
 		t.endDeputy()
-		t.d.epoch, t.d.holder = m.Epoch, m.From
+		t.deputy.epoch, t.deputy.holder = m.Epoch, m.From
 	}
-	if t.d.state != watching {
-		t.fire(deputyChart, &t.d.state, "beat")
+	if t.deputy.state != deputyWatching {
+		t.fire(deputyChart, &t.deputy.state, "beat")
 	}
-	t.d.heard, t.d.rev, t.d.clear = t.now, m.Rev, m.NoStandby
-	t.tells = 0
+	t.deputy.heartbeatAt, t.deputy.rev, t.deputy.noEarlierStandby = t.now, m.Rev, m.NoStandby
+	t.successorNoticesLeft = 0
 	if m.Mark.Boot != 0 || m.Mark.At != 0 {
-		t.srv.fromBeat(m.Mark, t.now)
+		t.srv.markFromHeartbeat(m.Mark, t.now)
 	}
-	if m.Echo > 0 && m.Incarnation == t.born.UnixNano() {
-		told := t.cfg.Times.AuthorityEnd(t.born.Add(m.Echo), m.Left)
-		t.d.until = later(t.d.until, told)
-		t.d.sure = true
+	if m.Echo > 0 && m.Incarnation == t.startedAt.UnixNano() {
+		termEnd := t.cfg.Times.AuthorityEnd(t.startedAt.Add(m.Echo), m.Left)
+		t.deputy.termEnd = later(t.deputy.termEnd, termEnd)
+		t.deputy.anchored = true
 	}
-	t.ask(m)
+	t.sendClock(m)
 }
 
-// askPart is the part of a term after which the deputy gives its holder a new
-// reading of its clock.
+// clockAgeDivisor is the fraction of a term after which the deputy sends its
+// holder a new reading of its clock.
 //
-// A reading serves for one thing: the term that a beat tells is counted from it.
-// An old one can only make the told term shorter, by its age. A sixtieth costs
-// 30 s of a term of 30 min, so the deputy still outlasts a store outage of
-// 19.5 min after the holder's last renewal of the term, instead of 20; asking
-// with each beat would double the messages of every seat for that.
-const askPart = 60
+// A reading serves for one thing: the remaining term in a heartbeat is counted
+// from it. An old reading can only make that term shorter, by its age. A
+// sixtieth costs 30 s of a term of 30 min, so the deputy still outlasts a store
+// outage of 19.5 min after the holder's last renewal of the term, instead of
+// 20; a reading with each heartbeat would double the messages of every lessor.
+const clockAgeDivisor = 60
 
-// ask gives the holder our clock when the one that its beat names is not ours or
-// is old. It looks at the beat alone, so a lost question is put again with the
-// next beat, and a holder or deputy that started anew is anchored at once: the
-// one names no reading, the other does not know the one that is named.
-func (t *turn) ask(m HeartbeatMsg) {
-	at := max(t.now.Sub(t.born), 1)
-	known := m.Echo > 0 && m.Incarnation == t.born.UnixNano()
-	if known && at-m.Echo < t.cfg.Times.Term/askPart {
+// sendClock sends the holder our clock when the reading that its heartbeat
+// echoes is missing, of an earlier process, or old. It depends on the heartbeat
+// alone, so a lost message is repeated with the next heartbeat, and a holder or
+// deputy that has just restarted gets a reading at once: the holder echoes
+// none, the deputy does not know the one that is echoed.
+func (t *turn) sendClock(m HeartbeatMsg) {
+	at := max(t.now.Sub(t.startedAt), 1)
+	known := m.Echo > 0 && m.Incarnation == t.startedAt.UnixNano()
+	if known && at-m.Echo < t.cfg.Times.Term/clockAgeDivisor {
 		return
 	}
-	t.do(SendCmd{To: m.From, Msg: ClockMsg{From: t.cfg.Self, Epoch: m.Epoch, At: at, Incarnation: t.born.UnixNano()}})
+	t.emit(SendCmd{To: m.From, Msg: ClockMsg{From: t.cfg.Self, Epoch: m.Epoch, At: at, Incarnation: t.startedAt.UnixNano()}})
 }
 
-// runDeputy goes from watching to renewing when the holder is silent. It tries to
-// take over at the same time (take.go), and does not wait for the outcome: a
-// lease that the holder renewed just before it was lost can have as little as
-// 350 ms left, and a store that does not answer takes 100 ms to show it.
+// runDeputy goes from watching to renewing when the holder is silent. It tries
+// to take over at the same time (acquire.go), and does not wait for the
+// outcome: a lease that the holder renewed just before it was lost can have as
+// little as 350 ms left, and it takes 100 ms to notice that the store does not
+// answer.
 func (t *turn) runDeputy() {
 	t.runProbe()
-	switch t.d.state {
-	case watching:
-		if t.due(t.d.heard.Add(t.cfg.Times.SilenceTimeout)) {
-			t.fire(deputyChart, &t.d.state, "silent")
-			t.storeAt, t.d.next = t.now, t.now
-			t.do(DeputyActiveCmd{Epoch: t.d.epoch})
+	switch t.deputy.state {
+	case deputyWatching:
+		if t.due(t.deputy.heartbeatAt.Add(t.cfg.Times.SilenceTimeout)) {
+			t.fire(deputyChart, &t.deputy.state, "silent")
+			t.storeRetryAt, t.deputy.sendAt = t.now, t.now
+			t.emit(DeputyActiveCmd{Epoch: t.deputy.epoch})
 		}
-	case renewing:
-		t.renewAlone()
+	case deputyRenewing:
+		t.renewAsDeputy()
 	}
 }
 
-// renewAlone extends what the server still holds, and nothing else. At a server
-// that checks fences, the first such order ends the silent holder.
-func (t *turn) renewAlone() {
-	if t.epoch != 0 || !t.now.Before(t.d.until) || !t.due(t.d.next) {
+// renewAsDeputy extends what the server still holds, and nothing else. At a
+// server that checks fences, the first such order ends the silent holder.
+func (t *turn) renewAsDeputy() {
+	if t.epoch != 0 || !t.now.Before(t.deputy.termEnd) || !t.due(t.deputy.sendAt) {
 		return
 	}
-	t.d.next = t.now.Add(t.cfg.Times.CallTimeout)
+	t.deputy.sendAt = t.now.Add(t.cfg.Times.CallTimeout)
 	if !t.srv.mark.Usable(t.now, t.cfg.Times) {
 		t.readServer()
 		return
 	}
-	t.d.seq++
+	t.deputy.seq++
 	o := server.Order{
 		Service: t.cfg.Service, Server: t.cfg.Server, Lessor: t.cfg.Server, Sender: t.cfg.Self,
-		Fence: ident.Fence{Epoch: t.d.epoch, Seq: deputySeq + t.d.seq},
-		Mark:  t.srv.mark.Mark, TTL: t.cfg.Times.TTL, Rev: t.d.rev,
+		Fence: ident.Fence{Epoch: t.deputy.epoch, Seq: deputySeqBase + t.deputy.seq},
+		Mark:  t.srv.mark.Mark, TTL: t.cfg.Times.TTL, Rev: t.deputy.rev,
 	}
 	if t.cfg.flaw == flawDeputy {
-		set := t.owned()
+		set := t.ownedSet()
 		o.Full, o.Rev, o.Slices, o.Keys, o.Except = true, t.row().Rev, set.Slices, set.Keys, set.Except
 	}
-	t.srv.use(false)
-	t.do(OrderCmd{Guard: Guard{Until: t.d.until}, Order: o, At: t.now, Read: t.srv.mark.Read})
+	t.srv.noteGrant(false)
+	t.emit(OrderCmd{Guard: Guard{Until: t.deputy.termEnd}, Order: o, At: t.now, Read: t.srv.mark.Read})
 }
 
-// onReply takes the answer to a deputy's order or question.
+// onReply handles the answer to a deputy's order or read.
 func (d *deputy) onReply(t *turn, m ReplyMsg) {
-	if d.state == off {
+	if d.state == deputyOff {
 		return
 	}
 	if m.Order.At.IsZero() {
-		d.next = t.now
-		if !d.probe.IsZero() && !m.Read.At.Before(d.probe) {
-			d.probe, d.called = time.Time{}, true
-			t.storeAt = t.now
+		d.sendAt = t.now
+		if !d.probedAt.IsZero() && !m.Read.At.Before(d.probedAt) {
+			d.probedAt, d.takeOver = time.Time{}, true
+			t.storeRetryAt = t.now
 		}
 		return
 	}
 	r := m.Reply
 	switch {
 	case r.Done || r.Reason == server.ReasonRev:
-		d.next = m.Order.At.Add(t.cfg.Times.Renew)
+		d.sendAt = m.Order.At.Add(t.cfg.Times.Renew)
 	case r.Reason == server.ReasonFence && r.Fence.Epoch > d.epoch:
 		t.endDeputy()
 	default:
-		d.next = t.now.Add(lateGap)
+		d.sendAt = t.now.Add(lateRetryDelay)
 	}
 }
 
-// runProbe promises to stop when the server did not answer us either.
+// runProbe promises to stop when the server did not answer this VM either.
 func (t *turn) runProbe() {
-	if t.d.probe.IsZero() || !t.due(t.d.probe.Add(2*t.cfg.Times.CallTimeout)) {
+	if t.deputy.probedAt.IsZero() || !t.due(t.deputy.probedAt.Add(2*t.cfg.Times.CallTimeout)) {
 		return
 	}
-	t.d.probe = time.Time{}
-	t.promise(PrepareMsg{From: t.d.holder, Below: t.d.epoch + 1, Silent: true})
+	t.deputy.probedAt = time.Time{}
+	t.sendPromise(PrepareMsg{From: t.deputy.holder, Below: t.deputy.epoch + 1, Silent: true})
 }
 
 func (t *turn) endDeputy() {
-	if t.d.state != off {
-		t.fire(deputyChart, &t.d.state, "end")
+	if t.deputy.state != deputyOff {
+		t.fire(deputyChart, &t.deputy.state, "end")
 	}
-	t.d = deputy{state: t.d.state}
+	t.deputy = deputy{state: t.deputy.state}
 }
--- a/internal/owner/lessor/export_test.go
+++ b/internal/owner/lessor/export_test.go
@@ -1,6 +1,6 @@
 package lessor
 
-// Flaw is a broken safety rule, for the tests that show it is noticed.
+// Flaw is a broken safety rule, for the tests that check its detection.
 type Flaw = flaw
 
 // WithFlaw returns cfg with one safety rule broken.
--- a/internal/owner/lessor/history_test.go
+++ b/internal/owner/lessor/history_test.go
@@ -16,25 +16,26 @@
 	"hawthornfield.org/hawthornfield/internal/owner/table"
 )
 
-// fault is one thing that goes wrong, or that an operator does.
+// fault is one fault, or one request of an operator.
 type fault struct {
 	Kind string
 	At   time.Duration
 	For  time.Duration
-	A, B int
+	A, B int // select the VMs and servers it applies to
 }
 
 func (f fault) String() string { return fmt.Sprintf("%s(%d,%d)@%v+%v", f.Kind, f.A, f.B, f.At, f.For) }
 
-// faultKinds are weighed by how often they stand here.
+// faultKinds lists some kinds several times, to draw them more often.
 var faultKinds = []string{
 	"pause", "pause", "killvm", "restartvm", "leavevm", "cutpeer", "cutpeer", "cutserver", "cutserver",
 	"cutstore", "freeze", "freeze", "killserver", "store", "store", "noise", "noise", "drain",
 	"move", "move", "move", "hot",
 }
 
-// settle is the bound on recovery once the faults have ended: a term that must
-// be waited out, the platform's lag, and what a take-over and a move need.
+// settleTime bounds the recovery after the faults have ended: a term that must
+// be waited out, the platform's lag in listing a lost VM as gone, and the time
+// of a take-over and a move.
 const (
 	faultsEnd  = 8 * time.Second
 	shortTerm  = 7 * time.Second
@@ -47,28 +48,29 @@
 	faults []fault
 }
 
-// mode is how a service's servers and its setting have it.
+// mode is how a service's servers and its settings are set up.
 type mode struct {
-	Checks bool // servers check fences
-	Stand  bool // stand-bys are allowed
+	Checks  bool // servers check fences
+	Standby bool // standbys are allowed
 }
 
-var modes = []mode{{}, {Checks: true}, {Stand: true}, {Checks: true, Stand: true}}
+var modes = []mode{{}, {Checks: true}, {Standby: true}, {Checks: true, Standby: true}}
 
-func (m mode) String() string { return fmt.Sprintf("checks=%v,stand=%v", m.Checks, m.Stand) }
+func (m mode) String() string { return fmt.Sprintf("checks=%v,stand=%v", m.Checks, m.Standby) }
 
-// A stand-by needs a lost server in a lost store, and the histories must reach
-// it often: so one such pair is drawn as a whole, and more comes together then.
+// A standby needs a lost server during a store outage, and the histories must
+// reach that often: so such a pair is drawn together, and further faults around
+// it.
 var (
-	storeKinds = []string{"store", "store", "holderstore", "holderstore"}
-	ownerKinds = []string{"killserver", "freeze", "loneserver", "holderserver"}
-	moreKinds  = []string{
+	storeFaultKinds = []string{"store", "store", "holderstore", "holderstore"}
+	ownerFaultKinds = []string{"killserver", "freeze", "loneserver", "holderserver"}
+	extraFaultKinds = []string{
 		"pause", "restartvm", "holderpause", "holderkill", "holderrestart", "deputyrestart", "deputykill",
 		"lendkill", "lendfreeze", "cutpeer", "freeze", "deputystore", "leavevm", "move", "drain", "store",
 	}
 )
 
-func drawLost(rt *rapid.T, faults []fault) []fault {
+func drawServerLoss(rt *rapid.T, faults []fault) []fault {
 	if rapid.IntRange(0, 9).Draw(rt, "lost") == 0 {
 		return faults
 	}
@@ -81,17 +83,17 @@
 			A:    rapid.IntRange(0, 3).Draw(rt, "vm"), B: b,
 		})
 	}
-	draw(storeKinds, 200, 1500, 5000)
-	draw(ownerKinds, 500, 1000, 5000)
+	draw(storeFaultKinds, 200, 1500, 5000)
+	draw(ownerFaultKinds, 500, 1000, 5000)
 	for range rapid.IntRange(0, 4).Draw(rt, "more") {
-		draw(moreKinds, 3500, 50, 4000)
+		draw(extraFaultKinds, 3500, 50, 4000)
 	}
 	return faults
 }
 
 func drawHistory(rt *rapid.T, m mode) history {
 	h := history{opt: world.Options{
-		Seed: rapid.Uint64().Draw(rt, "seed"), FenceChecks: m.Checks, Standby: m.Stand, Skew: 5, Term: shortTerm,
+		Seed: rapid.Uint64().Draw(rt, "seed"), FenceChecks: m.Checks, Standby: m.Standby, Skew: 5, Term: shortTerm,
 		VMs: rapid.IntRange(2, 4).Draw(rt, "vms"), Servers: rapid.IntRange(2, 3).Draw(rt, "servers"),
 	}}
 	if rapid.Bool().Draw(rt, "noisy") {
@@ -107,14 +109,14 @@
 			A:    rapid.IntRange(0, 3).Draw(rt, "a"), B: rapid.IntRange(0, 3).Draw(rt, "b"),
 		})
 	}
-	if m.Stand {
-		h.faults = drawLost(rt, h.faults)
+	if m.Standby {
+		h.faults = drawServerLoss(rt, h.faults)
 	}
 	return h
 }
 
-// play runs the faults, ends them, and lets the world settle.
-func (h history) play() *world.World {
+// run applies the faults, ends them, and lets the system recover.
+func (h history) run() *world.World {
 	w := world.New(h.opt)
 	w.Noise = h.noise
 	for _, f := range h.faults {
@@ -166,14 +168,14 @@
 		}
 		w.At(w.Now()+f.For, func() { w.Noise = world.Noise{} })
 	case "drain", "move", "hot":
-		applyWish(w, f)
+		applyRequest(w, f)
 	default:
-		applyLost(w, f, s)
+		applyToActor(w, f, s)
 	}
 }
 
-// applyLost hits whoever acts for a server at this moment.
-func applyLost(w *world.World, f fault, s *world.Server) {
+// applyToActor applies a fault to a VM or server that acts for a server now.
+func applyToActor(w *world.World, f fault, s *world.Server) {
 	rec := w.Store.Record(s.Name)
 	holder, deputy := vmOf(w, rec.Holder), vmOf(w, rec.Deputy)
 	switch f.Kind {
@@ -181,7 +183,7 @@
 		w.Partition(string(holder.ID), "store", f.For)
 	case "holderserver":
 		w.Partition(string(holder.ID), string(s.Name), f.For)
-	case "loneserver": // nobody but one VM reaches it
+	case "loneserver": // only one VM reaches it
 		for i, v := range w.VMs {
 			if i != f.A%len(w.VMs) {
 				w.Partition(string(v.ID), string(s.Name), f.For)
@@ -223,8 +225,8 @@
 	return w.VMs[0]
 }
 
-// applyWish is what operators and planners ask for.
-func applyWish(w *world.World, f fault) {
+// applyRequest applies a request of an operator or a planner.
+func applyRequest(w *world.World, f fault) {
 	s := w.Servers[f.A%len(w.Servers)]
 	to := w.Servers[f.B%len(w.Servers)]
 	var m lessor.MoveMsg
@@ -263,7 +265,7 @@
 	return n
 }
 
-// unserved lists slices of live servers without an owner at the end.
+// unserved lists slices of live servers that no server serves at the end.
 func unserved(w *world.World) []string {
 	var out []string
 	for x := range 6 {
@@ -274,39 +276,39 @@
 	return out
 }
 
-// Anything goes wrong at any moment, together or twice: VMs pause, die, restart
-// and leave, links and the store break, servers freeze or lose their memory,
-// messages are late or doubled. A user would see one truckload credited by two
-// servers, or a scale that nobody serves. Each seat writes the table for itself,
-// or one writer on each VM joins the edits of its seats.
+// Draws faults at any moment, also together: VMs pause, die, restart and leave,
+// links and the store fail, servers freeze or lose their memory, messages are
+// late or duplicated. Guards against two servers that serve one key, and
+// against keys that stay unserved. Each lessor writes the table itself, or one
+// writer on each VM batches the edits of its lessors.
 func TestHistoriesKeepOneOwner(t *testing.T) {
 	for _, m := range modes {
 		t.Run(m.String(), func(t *testing.T) {
 			t.Parallel()
-			stood := 0
+			withStandby := 0
 			seeds.Check(t, func(rt *rapid.T) {
 				h := drawHistory(rt, m)
-				w := h.play()
+				w := h.run()
 				if w.StandbyServed() {
-					stood++
+					withStandby++
 				}
 				bad := append(w.Check(), unserved(w)...)
 				assert.Assert(rt, len(bad) == 0, "%v\n%s", h, strings.Join(bad, "\n"))
 			})
-			t.Logf("a stand-by served in %d histories", stood)
-			assert.Equal(t, stood > 0, m.Stand)
+			t.Logf("a standby served in %d histories", withStandby)
+			assert.Equal(t, withStandby > 0, m.Standby)
 		})
 		t.Run(m.String()+"/joined", func(t *testing.T) {
 			t.Parallel()
 			shared, sent := 0, 0
 			defer func() {
-				t.Logf("%d edits shared a write, %d went to the hub", shared, sent)
-				assert.Assert(t, t.Failed() || shared > 0 && sent > 0, "the histories never joined edits")
+				t.Logf("%d edits shared a write, %d went to the coordinator", shared, sent)
+				assert.Assert(t, t.Failed() || shared > 0 && sent > 0, "the histories never batched edits")
 			}()
 			seeds.Check(t, func(rt *rapid.T) {
 				h := drawHistory(rt, m)
-				h.opt.NewWriter = joined
-				w := h.play()
+				h.opt.NewWriter = newBatchingWriter
+				w := h.run()
 				shared, sent = shared+w.Count.Joined, sent+w.Count.Forwarded
 				bad := append(w.Check(), unserved(w)...)
 				assert.Assert(rt, len(bad) == 0, "%v\n%s", h, strings.Join(bad, "\n"))
--- a/internal/owner/lessor/mutant_test.go
+++ b/internal/owner/lessor/mutant_test.go
@@ -16,15 +16,16 @@
 	"hawthornfield.org/hawthornfield/internal/owner/lessor"
 )
 
-// mutants names, for each broken safety rule, the property that notices it and
+// mutants names, for each broken safety rule, the property that detects it and
 // the number of a drawn history in which it does. When a change of the code
-// makes another history out of a number, find a new one with HAWTHORN_SCAN=flaw.
-// The flaw agree is noticed by TestAHolderLendsNothingAfterItsDeputyGaveItsWord.
+// changes the drawn histories, find a new number with HAWTHORN_SCAN=flaw. The
+// flaw agree is detected by
+// TestHolderActivatesNoStandbyAfterItsDeputyRuledItOut.
 var mutants = []struct {
-	flaw    string
-	mode    mode
-	history int
-	kills   string
+	flaw     string
+	mode     mode
+	history  int
+	property string
 }{
 	{"wait", mode{}, 394, "given away while"},
 	{"wait", mode{Checks: true}, 221, "given away while"},
@@ -41,12 +42,12 @@
 	{"late", mode{}, 2634, "two owners"},
 	{"term", mode{}, 400, "after its term"},
 	{"yield", mode{}, 1, "after its promise"},
-	{"eager", mode{Stand: true}, 684, "two owners"},
-	{"eager", mode{Checks: true, Stand: true}, 531, "two owners"},
-	{"forget", mode{Stand: true}, 37, "two owners"},
-	{"forget", mode{Checks: true, Stand: true}, 37, "two owners"},
-	{"return", mode{Stand: true}, 11, "given away while"},
-	{"return", mode{Checks: true, Stand: true}, 11, "given away while"},
+	{"eager", mode{Standby: true}, 684, "two owners"},
+	{"eager", mode{Checks: true, Standby: true}, 531, "two owners"},
+	{"forget", mode{Standby: true}, 37, "two owners"},
+	{"forget", mode{Checks: true, Standby: true}, 37, "two owners"},
+	{"return", mode{Standby: true}, 11, "given away while"},
+	{"return", mode{Checks: true, Standby: true}, 11, "given away while"},
 }
 
 func drawn(m mode, i int, f lessor.Flaw) history {
@@ -56,25 +57,25 @@
 	return h
 }
 
-// A safety rule that no test misses when it is broken is not tested. Each rule
-// is broken in turn, and one property must notice.
-func TestEachBrokenRuleIsNoticed(t *testing.T) {
+// Breaks each safety rule in turn and checks that a property detects it: a rule
+// that can be broken without a failing test is not tested.
+func TestEachBrokenSafetyRuleIsDetected(t *testing.T) {
 	for _, m := range mutants {
 		t.Run(fmt.Sprintf("%s/%v", m.flaw, m.mode), func(t *testing.T) {
 			t.Parallel()
-			w := drawn(m.mode, m.history, lessor.Flaws[m.flaw]).play()
+			w := drawn(m.mode, m.history, lessor.Flaws[m.flaw]).run()
 			all := strings.Join(w.Check(), "\n")
-			assert.Assert(t, strings.Contains(all, m.kills), "not noticed: %q", all)
-			whole := drawn(m.mode, m.history, lessor.Flaws["none"]).play()
+			assert.Assert(t, strings.Contains(all, m.property), "not noticed: %q", all)
+			whole := drawn(m.mode, m.history, lessor.Flaws["none"]).run()
 			assert.Equal(t, len(whole.Check()), 0, "the history is bad without the flaw")
 		})
 	}
 }
 
-// A server is cut off from every entry VM and serves on until its lease ends on
-// its own clock, which may run a little slower than the clock of whoever waits.
-// Without drift and margin in the wait, its keys are given away a few
-// milliseconds too early.
+// A server that is cut off from every entry VM serves until its lease ends on
+// its own clock, which may run slower than the clock of the VM that waits.
+// Without drift and margin in the wait, its keys move a few milliseconds too
+// early.
 func TestWaitCoversDriftOfClocks(t *testing.T) {
 	for name, early := range map[string]bool{"none": false, "margin": true} {
 		bad := 0
@@ -83,7 +84,7 @@
 			o.NewLessor = func(c lessor.Config) loop.Model { return lessor.New(lessor.WithFlaw(c, lessor.Flaws[name])) }
 			w := world.New(o)
 			w.Run(2 * time.Second)
-			cutAfterOrder(w)
+			partitionAfterOrder(w)
 			w.Run(4 * time.Second)
 			assert.Equal(t, w.Store.Table().OwnerOf(0), ident.Server("s1"), "the keys must have moved")
 			if len(w.Check()) > 0 {
@@ -95,10 +96,10 @@
 	}
 }
 
-// cutAfterOrder cuts s0 off while an order is on its way to it. The order is
-// obeyed and its answer lost: the lease is then the longest that the holder must
-// reckon with.
-func cutAfterOrder(w *world.World) {
+// partitionAfterOrder cuts s0 off while an order is on its way to it. The order
+// is obeyed and its answer lost: that leaves the longest lease that the holder
+// must allow for.
+func partitionAfterOrder(w *world.World) {
 	for s := w.Servers[0]; ; w.Heal() {
 		sent, end := w.Count.Orders, s.Until()
 		for w.Count.Orders == sent {
@@ -114,9 +115,10 @@
 	}
 }
 
-// TestScan looks for the histories of the table above; HAWTHORN_KILLS narrows it
-// to one property, HAWTHORN_MODE to one mode ("checks=true,stand=false").
-func TestScan(t *testing.T) {
+// TestScanFlaws searches for histories for the table above; HAWTHORN_KILLS
+// narrows it to one property, HAWTHORN_MODE to one mode
+// ("checks=true,stand=false").
+func TestScanFlaws(t *testing.T) {
 	name := os.Getenv("HAWTHORN_SCAN")
 	if name == "" {
 		t.Skip("a tool: set HAWTHORN_SCAN to the name of a flaw")
@@ -126,7 +128,7 @@
 			continue
 		}
 		for i := range 3000 {
-			bad := strings.Join(drawn(m, i, lessor.Flaws[name]).play().Check(), "; ")
+			bad := strings.Join(drawn(m, i, lessor.Flaws[name]).run().Check(), "; ")
 			if bad != "" && strings.Contains(bad, os.Getenv("HAWTHORN_KILLS")) {
 				t.Logf("%s %v history %d: %s", name, m, i, bad)
 				break
--- a/internal/owner/lessor/planned_test.go
+++ b/internal/owner/lessor/planned_move_test.go
@@ -10,10 +10,11 @@
 	"hawthornfield.org/hawthornfield/internal/owner/table"
 )
 
-// A planned move that followed a full grant left its keys without an owner until that grant's lease was over.
+// A planned move that followed a full grant left its keys without an owner
+// until that grant's lease was over.
 func TestAPlannedMoveWaitsForFullGrantsBeforeItRevokes(t *testing.T) {
 	for _, checks := range []bool{false, true} {
-		w := standing(checks, lessor.Flaws["none"])
+		w := newStandbyWorld(checks, lessor.Flaws["none"])
 		s, to := w.Servers[0], w.Servers[1].Name
 		rec := w.Store.Record(s.Name)
 		for _, v := range w.VMs {
@@ -26,7 +27,7 @@
 			for w.Store.Table().OwnerOf(mine[0]) != to {
 				w.Run(w.Now() + time.Millisecond)
 			}
-			w.Run(w.Now() + 20*time.Millisecond) // the rest is granted under the new table
+			w.Run(w.Now() + 20*time.Millisecond) // the remaining set is granted under the new table
 			asked := w.Now()
 			v.Send(s.Name, lessor.MoveMsg{Moves: []table.Move{{Slice: mine[1], To: to}}})
 			w.Run(asked + 3*time.Second)
--- a/internal/owner/lessor/level_test.go
+++ b/internal/owner/lessor/reassign_test.go
@@ -12,11 +12,11 @@
 	"hawthornfield.org/hawthornfield/internal/fake/world"
 )
 
-// Seats pass from one healthy VM to the next every second or so, while all the
-// faults of the other histories go on. Nothing else makes VMs that are both well
-// hold and claim the same seat so often; a mistake in it would credit one
-// truckload twice.
-func TestHistoriesKeepOneOwnerWhileSeatsPassOn(t *testing.T) {
+// Authorities move from one healthy VM to the next every second or so, during
+// all the faults of the other histories. Nothing else makes two healthy VMs
+// hold and claim the same authority so often; a mistake would let two servers
+// serve one key.
+func TestHistoriesKeepOneOwnerWhileAuthoritiesMove(t *testing.T) {
 	for _, m := range modes {
 		t.Run(m.String(), func(t *testing.T) {
 			t.Parallel()
@@ -24,9 +24,9 @@
 				h := drawHistory(rt, m)
 				h.opt.ReassignEvery = time.Duration(rapid.IntRange(400, 3000).Draw(rt, "level")) * time.Millisecond
 				if rapid.Bool().Draw(rt, "joined") {
-					h.opt.NewWriter = joined
+					h.opt.NewWriter = newBatchingWriter
 				}
-				w := h.play()
+				w := h.run()
 				bad := append(w.Check(), unserved(w)...)
 				assert.Assert(rt, len(bad) == 0, "%v level %v\n%s", h, h.opt.ReassignEvery, strings.Join(bad, "\n"))
 			})
@@ -34,8 +34,8 @@
 	}
 }
 
-// Without any other fault a seat that passes on costs no key a moment.
-func TestPassingASeatOnCostsNoTime(t *testing.T) {
+// Without any other fault, moving an authority must not make a key unavailable.
+func TestMovingAnAuthorityCausesNoUnavailability(t *testing.T) {
 	for seed := range uint64(50) {
 		w := world.New(world.Options{Seed: seed, Skew: 5, ReassignEvery: 2 * time.Second, FenceChecks: seed%2 == 0})
 		w.Run(3 * time.Second)
--- a/internal/owner/lessor/record.go
+++ b/internal/owner/lessor/record.go
@@ -9,20 +9,20 @@
 	"hawthornfield.org/hawthornfield/internal/core/wire"
 )
 
-// RecordVersion is the newest version of a record's encoding. A record that says
-// nothing about stand-bys is written as version 1; one that does must not be
-// taken over by a program that does not know what they are.
+// RecordVersion is the newest version of the record's encoding. A record
+// without standbys is written as version 1; a program that does not know
+// standbys must not take over from a record with one.
 const (
-	RecordVersion = 2
-	plainFormat   = 1
+	RecordVersion   = 2
+	formatNoStandby = 1
 )
 
-// maxPast bounds the members that a decoded record may list. Two are added by a
-// take-over and all leave the list within a term.
-const maxPast = 1024
+// maxPastMembers bounds the members that a decoded record may list. A take-over
+// adds two, and all leave the list within a term.
+const maxPastMembers = 1024
 
-// Record is the value of the object seat/<service>/<server>: who holds the
-// authority over one backend server's leases.
+// Record is the value of the object seat/<service>/<server>: it names the
+// holder of the authority over one backend server's leases.
 type Record struct {
 	V      uint          `cbor:"v"`
 	Epoch  ident.Epoch   `cbor:"epoch"`
@@ -30,13 +30,13 @@
 	Deputy ident.VM      `cbor:"deputy"` // "" when there is none
 	Term   time.Duration `cbor:"term"`
 	// Token differs for every write. A writer whose answer was lost reads the
-	// record back and knows its own write by it.
+	// record back and recognises its own write by it.
 	Token string `cbor:"token"`
 	// Past lists the members of earlier epochs that may still act.
 	Past []Member `cbor:"past,omitempty"`
-	// Stand says that the holder may grant the keys to another server while the
-	// store is down and the deputy agrees: see stand.go.
-	Stand bool `cbor:"stand,omitempty"`
+	// Standby says that the holder may grant the keys to another server while
+	// the store is down and the deputy agrees: see standby.go.
+	Standby bool `cbor:"stand,omitempty"`
 }
 
 // Member is a VM that could act under an epoch.
@@ -44,16 +44,16 @@
 	VM     ident.VM    `cbor:"vm"`
 	Epoch  ident.Epoch `cbor:"epoch"`
 	Deputy bool        `cbor:"deputy,omitempty"`
-	// Stand marks a holder that may have granted the keys to a stand-by.
-	Stand bool `cbor:"stand,omitempty"`
+	// Standby marks a holder that may have granted the keys to a standby.
+	Standby bool `cbor:"stand,omitempty"`
 }
 
 // format returns the version to write the record in.
 func (r Record) format() uint {
-	if r.Stand || slices.ContainsFunc(r.Past, func(m Member) bool { return m.Stand }) {
+	if r.Standby || slices.ContainsFunc(r.Past, func(m Member) bool { return m.Standby }) {
 		return RecordVersion
 	}
-	return plainFormat
+	return formatNoStandby
 }
 
 // Encode renders the record as the value of its object.
@@ -62,8 +62,8 @@
 	return wire.Encode(r)
 }
 
-// DecodeRecord reads a record. It fails with kind Newer for a later format: a
-// program that does not understand who may act must not act itself.
+// DecodeRecord decodes a record. It fails with kind NewerVersion for a later
+// format: a program that does not know who may act must not act itself.
 func DecodeRecord(b []byte) (Record, error) {
 	var v struct {
 		V uint `cbor:"v"`
@@ -72,14 +72,14 @@
 		return Record{}, err
 	}
 	if v.V > RecordVersion {
-		return Record{}, kinds.New(kinds.NewerVersion, "seat record in a later format")
+		return Record{}, kinds.New(kinds.NewerVersion, "lessor record is in a newer format")
 	}
 	var r Record
 	if err := wire.Decode(b, &r); err != nil {
 		return Record{}, err
 	}
-	if len(r.Past) > maxPast || r.Term < 0 || r.V < plainFormat {
-		return Record{}, kinds.New(kinds.Malformed, "seat record out of bounds")
+	if len(r.Past) > maxPastMembers || r.Term < 0 || r.V < formatNoStandby {
+		return Record{}, kinds.New(kinds.Malformed, "lessor record is out of bounds")
 	}
 	return r, nil
 }
--- a/internal/owner/lessor/bad_test.go
+++ b/internal/owner/lessor/record_test.go
@@ -11,9 +11,9 @@
 	"hawthornfield.org/hawthornfield/internal/owner/lessor"
 )
 
-// During an update of the fleet a newer program has written a seat's record. Who
-// may act by it is not known here: read half, it would make this VM give orders
-// beside the true holder.
+// During an upgrade of the fleet a newer program has written a record. An older
+// program cannot know from it who may act; half understood, it would make this
+// VM send orders beside the true holder.
 func TestARecordOfANewerFormatIsRefused(t *testing.T) {
 	newer, err := wire.Encode(map[string]any{"v": lessor.RecordVersion + 1, "epoch": 9, "holder": "vm-1", "term": time.Minute})
 	assert.NilError(t, err)
@@ -21,8 +21,8 @@
 	assert.Equal(t, kinds.Of(err), kinds.NewerVersion)
 }
 
-// FuzzRecord feeds the decoder of seats' records anything at all: what it takes
-// is within bounds and is read back the same.
+// FuzzRecord checks that whatever the record decoder accepts is within bounds
+// and survives encoding and decoding.
 func FuzzRecord(f *testing.F) {
 	good, err := lessor.Record{
 		Epoch: 4, Holder: "vm-1", Deputy: "vm-2", Term: time.Minute, Token: "vm-1/x/3",
--- a/internal/owner/lessor/kept_test.go
+++ b/internal/owner/lessor/regression_test.go
@@ -11,12 +11,14 @@
 
 const ms = time.Millisecond
 
-// kept are drawn histories that failed once, written out: a number of a drawn
-// history names another one as soon as the drawing changes.
-var kept = map[string]history{
-	// The network doubled a write of the table. The store refused the first copy,
-	// which promises that nothing was or will be written, and obeyed the second
-	// when it was back. The fake store was at fault (mended in world.request).
+// regressionHistories are drawn histories that failed once, written out in
+// full: the number of a drawn history names another one as soon as the drawing
+// changes.
+var regressionHistories = map[string]history{
+	// The network duplicated a write of the table. The store refused the first
+	// copy, which promises that nothing was or will be written, and obeyed the
+	// second when it was back. The fault was in the fake store (fixed in
+	// world.request).
 	"a refused write took effect": {
 		opt: world.Options{Seed: 20, VMs: 3, Servers: 3, FenceChecks: true, Standby: true, Skew: 5, Term: shortTerm},
 		faults: []fault{
@@ -36,9 +38,9 @@
 			{"lendkill", 313 * ms, 488 * ms, 3, 0},
 		},
 	},
-	// A process of vm1 sent its take-over of s1, ended, and the next process looked
-	// at the record before the write took effect. The record named vm1, which knew
-	// nothing of it, and nobody served the keys of s1 any more (tell.go).
+	// A process of vm1 sent its take-over of s1 and ended, and the next process
+	// read the record before the write took effect. The record named vm1, which
+	// did not know it, and the keys of s1 stayed unserved (successor.go).
 	"a holder that does not know": {
 		opt: world.Options{Seed: 5, VMs: 2, Servers: 3, Standby: true, Skew: 5, Term: shortTerm},
 		faults: []fault{
@@ -51,11 +53,10 @@
 	},
 }
 
-// Each of these histories broke a promise once, for the reason that stands
-// beside it.
-func TestKeptHistoriesStayWhole(t *testing.T) {
-	for name, h := range kept {
-		w := h.play()
+// Replays histories that once broke a property, for the reason beside each.
+func TestRegressionHistoriesPass(t *testing.T) {
+	for name, h := range regressionHistories {
+		w := h.run()
 		assert.Equal(t, len(w.Check()), 0, "%s: %v", name, w.Errs)
 		assert.Equal(t, len(unserved(w)), 0, "%s: %v", name, unserved(w))
 	}
--- a/internal/owner/lessor/settle_test.go
+++ b/internal/owner/lessor/settling_test.go
@@ -12,8 +12,8 @@
 	"hawthornfield.org/hawthornfield/internal/plat/server"
 )
 
-// settling returns a holder whose server has just confirmed that it gave slice
-// 0 up.
+// settlingTurn returns a holder whose server has just confirmed that it gave up
+// slice 0.
 func settlingTurn(t *testing.T, f flaw) *turn {
 	tab, err := table.New("lookup", 2, "a", "b")
 	assert.NilError(t, err)
@@ -23,16 +23,16 @@
 	assert.NilError(t, err)
 	now := time.Unix(1000, 0)
 	w := &turn{Lessor: New(Config{Self: "vm", Service: "lookup", Server: "a", flaw: f}), now: now}
-	w.auth, w.epoch, w.until = holding, 1, now.Add(time.Hour)
-	w.tab, w.tabVer = tab, 1
+	w.auth, w.epoch, w.termEnd = authHolding, 1, now.Add(time.Hour)
+	w.table, w.tableVer = tab, 1
 	w.srv.mark = lease.Mark{Mark: server.Mark{Boot: 1, At: time.Minute}, Read: now}
-	w.srv.used = w.srv.mark
-	w.move = settling
-	w.b = batch{moves: []table.Move{{Slice: 0, To: "b"}}, cut: cutRev | 1, confirmed: true}
+	w.srv.newestGrant = w.srv.mark
+	w.move = moveSettling
+	w.batch = batch{moves: []table.Move{{Slice: 0, To: "b"}}, remainingRev: reducedRevBit | 1, confirmed: true}
 	return w
 }
 
-func puts(cmds []loop.Cmd) int {
+func tableWrites(cmds []loop.Cmd) int {
 	n := 0
 	for _, c := range cmds {
 		if _, ok := c.(PutTableCmd); ok {
@@ -42,22 +42,22 @@
 	return n
 }
 
-// A full grant was sent twice by the network. The copy arrives after the server
-// confirmed a revocation; a server that does not check fences obeys it, and
-// serves the scale again that is about to get another owner. Only a second look
+// The network duplicated a full grant, and the copy arrives after the server
+// confirmed a revocation. A server that does not check fences obeys it, and
+// serves again a slice that is about to get another owner. Only the second read
 // shows it.
-func TestGrantObeyedAfterTheRevocationIsSeen(t *testing.T) {
+func TestGrantObeyedAfterTheRevocationIsDetected(t *testing.T) {
 	w := settlingTurn(t, flawNone)
 	w.runBatch()
-	assert.Equal(t, puts(w.cmds), 0, "gave the key away without a second look")
+	assert.Equal(t, tableWrites(w.cmds), 0, "moved the key without a second read")
 	w.onReply(ReplyMsg{
 		Read:  ReadServerCmd{At: w.now},
 		Reply: server.Reply{Done: true, Rev: 3, Left: time.Second / 2, Mark: server.Mark{Boot: 1, At: 2 * time.Minute}},
 	})
-	assert.Equal(t, w.move, revoking)
-	assert.Equal(t, puts(w.cmds), 0)
+	assert.Equal(t, w.move, moveRevoking)
+	assert.Equal(t, tableWrites(w.cmds), 0)
 
 	broken := settlingTurn(t, flawReadback)
 	broken.runBatch()
-	assert.Equal(t, puts(broken.cmds), 1, "the flaw must show in this test")
+	assert.Equal(t, tableWrites(broken.cmds), 1, "the flaw must show in this test")
 }
--- a/internal/owner/lessor/stand_test.go
+++ b/internal/owner/lessor/standby_test.go
@@ -13,9 +13,9 @@
 	"hawthornfield.org/hawthornfield/internal/owner/lessor"
 )
 
-// standing returns a world of three data centres whose seats allow stand-bys,
-// with one rule broken, once all of them are held.
-func standing(checks bool, f lessor.Flaw) *world.World {
+// newStandbyWorld returns a simulated fleet that allows standbys, with one rule
+// broken, once every server has a holder.
+func newStandbyWorld(checks bool, f lessor.Flaw) *world.World {
 	o := world.Options{Seed: 5, VMs: 4, FenceChecks: checks, Standby: true, Skew: 5}
 	o.NewLessor = func(c lessor.Config) loop.Model { return lessor.New(lessor.WithFlaw(c, f)) }
 	w := world.New(o)
@@ -23,20 +23,19 @@
 	return w
 }
 
-// cutOff breaks every link to a server. It lives, and serves until its lease
-// ends.
-func cutOff(w *world.World, s *world.Server, d time.Duration) {
+// partitionServer cuts every link to a server. The server lives, and serves
+// until its lease ends.
+func partitionServer(w *world.World, s *world.Server, d time.Duration) {
 	for _, v := range w.VMs {
 		w.Partition(string(v.ID), string(s.Name), d)
 	}
 }
 
-// A backend server dies while the store is down for twenty seconds. Another one
-// serves its scales within a second; when the store is back they are written to
-// that one, and a driver who stands at the scale notices no second change.
-func TestAStandByServesUntilTheStoreIsBack(t *testing.T) {
+// A server dies while the store is down for twenty seconds. A standby must
+// serve its keys within a second, and keep them when the store is back.
+func TestStandbyServesUntilTheStoreIsBack(t *testing.T) {
 	for _, checks := range []bool{false, true} {
-		w := standing(checks, lessor.Flaws["none"])
+		w := newStandbyWorld(checks, lessor.Flaws["none"])
 		s := w.Servers[0]
 		w.Store.Down(20 * time.Second)
 		w.Run(w.Now() + time.Second)
@@ -44,58 +43,57 @@
 		s.Kill(-1)
 		w.Run(lost + 5*time.Second)
 		by := w.StandBy(s.Name)
-		assert.Assert(t, by != nil, "nobody stands by")
+		assert.Assert(t, by != nil, "no standby is active")
 		assert.Equal(t, w.Store.Table().OwnerOf(0), s.Name, "the store is down and cannot know")
 		w.Run(lost + 40*time.Second)
 		assert.Equal(t, w.Store.Table().OwnerOf(0), by.Name)
-		assert.Assert(t, w.StandBy(s.Name) == nil, "it still serves under the other's seat")
+		assert.Assert(t, w.StandBy(s.Name) == nil, "it still serves as a standby")
 		assert.Assert(t, w.Unavailable(0, lost, w.Now()) < time.Second, "%v", w.Unavailable(0, lost, w.Now()))
 		assert.Equal(t, len(w.Check()), 0, "%v", w.Check())
 	}
 }
 
-// A holder's deputy is replaced, and the store goes down while the holder writes
-// down the next one. Whether that was written nobody can know before the store is
-// back, and meanwhile a backend server dies. Its scales must be served by a
-// stand-by all the same: a holder that only waits for the store leaves the drivers
-// at them with nothing for the whole outage.
-func TestAStandByServesWhenTheStoreWentDownInARetake(t *testing.T) {
+// A holder replaces its deputy, and the store fails during the write of the
+// next record, so its outcome stays unknown. A server that dies meanwhile must
+// still get a standby, or its keys are unavailable for the whole outage.
+func TestStandbyServesWhenTheStoreFailedDuringADeputyChange(t *testing.T) {
 	for _, written := range []bool{false, true} {
 		for _, checks := range []bool{false, true} {
-			w := standing(checks, lessor.Flaws["none"])
+			w := newStandbyWorld(checks, lessor.Flaws["none"])
 			s := w.Servers[0]
-			interruptRetake(t, w, s, written)
+			failStoreDuringDeputyChange(t, w, s, written)
 			w.Run(w.Now() + time.Second)
 			lost := w.Now()
 			s.Kill(-1)
 			w.Run(lost + 5*time.Second)
 			by := w.StandBy(s.Name)
-			assert.Assert(t, by != nil, "nobody stands by")
+			assert.Assert(t, by != nil, "no standby is active")
 			w.Run(lost + 40*time.Second)
 			assert.Equal(t, w.Store.Table().OwnerOf(0), by.Name)
-			assert.Assert(t, w.StandBy(s.Name) == nil, "it still serves under the other's seat")
+			assert.Assert(t, w.StandBy(s.Name) == nil, "it still serves as a standby")
 			assert.Assert(t, w.Unavailable(0, lost, w.Now()) < 1500*time.Millisecond, "%v", w.Unavailable(0, lost, w.Now()))
 			assert.Equal(t, len(w.Check()), 0, "%v", w.Check())
 		}
 	}
 }
 
-// interruptRetake takes the store away while the holder of a server's seat names
-// another deputy, before that is written or before it is told so.
-func interruptRetake(t *testing.T, w *world.World, s *world.Server, written bool) {
+// failStoreDuringDeputyChange fails the store while the holder of a server
+// names another deputy, before the record is written or before the holder is
+// told so.
+func failStoreDuringDeputyChange(t *testing.T, w *world.World, s *world.Server, written bool) {
 	t.Helper()
-	holder, rec := beginRetake(t, w, s)
+	holder, rec := beginDeputyChange(t, w, s)
 	if written {
-		w.Partition(string(holder.ID), "store", time.Second) // the answer, not what is on its way to the store
+		w.Partition(string(holder.ID), "store", time.Second) // cuts off the answer, not the write that is on its way to the store
 		w.Run(w.Now() + 100*time.Millisecond)
 	}
 	w.Store.Down(20 * time.Second)
 	assert.Equal(t, w.Store.Record(s.Name).Epoch > rec.Epoch, written)
 }
 
-// beginRetake makes the holder of a server's seat name another deputy. It returns
-// the holder when the write is on its way, and the record before it.
-func beginRetake(t *testing.T, w *world.World, s *world.Server) (*world.VM, lessor.Record) {
+// beginDeputyChange makes the holder of a server name another deputy. It
+// returns the holder when the write is on its way, and the record before it.
+func beginDeputyChange(t *testing.T, w *world.World, s *world.Server) (*world.VM, lessor.Record) {
 	t.Helper()
 	rec := w.Store.Record(s.Name)
 	holder, next := w.VMs[0], ident.VM("")
@@ -118,12 +116,13 @@
 	return nil, rec
 }
 
-// The store goes down a moment later in the same retake: the next epoch is written,
-// its bar in the table is not. Drivers must not wait for the store then either.
-func TestAStandByServesWhenTheStoreWentDownBeforeTheBar(t *testing.T) {
-	w := standing(false, lessor.Flaws["none"])
+// The store fails a moment later in the same change of deputy: the next epoch
+// is written, its minimum epoch in the table is not. A lost server must get a
+// standby then too.
+func TestStandbyServesWhenTheStoreFailedBeforeTheMinEpochWasRaised(t *testing.T) {
+	w := newStandbyWorld(false, lessor.Flaws["none"])
 	s := w.Servers[0]
-	holder, _ := beginRetake(t, w, s)
+	holder, _ := beginDeputyChange(t, w, s)
 	for holder.Lessor(s.Name).(lessor.Lessor).Status().Authority != "barring" {
 		w.Run(w.Now() + 50*time.Microsecond)
 	}
@@ -131,41 +130,41 @@
 	w.Run(w.Now() + time.Second)
 	s.Kill(-1)
 	w.Run(w.Now() + 5*time.Second)
-	assert.Assert(t, w.StandBy(s.Name) != nil, "nobody stands by")
+	assert.Assert(t, w.StandBy(s.Name) != nil, "no standby is active")
 }
 
-// The stand-by dies as well, in the same outage. The next one is not granted the
-// keys before its lease has run out, and then within a second.
-func TestAStandByThatIsLostIsStoodByFor(t *testing.T) {
-	w := standing(false, lessor.Flaws["none"])
+// The standby dies in the same outage. The next one is granted the keys only
+// after the first one's lease has expired, and then within a second.
+func TestLostStandbyIsReplaced(t *testing.T) {
+	w := newStandbyWorld(false, lessor.Flaws["none"])
 	s := w.Servers[0]
 	w.Store.Down(20 * time.Second)
 	w.Run(w.Now() + time.Second)
 	s.Kill(-1)
 	w.Run(w.Now() + 3*time.Second)
 	first := w.StandBy(s.Name)
-	assert.Assert(t, first != nil, "nobody stands by")
+	assert.Assert(t, first != nil, "no standby is active")
 	lost := w.Now()
 	first.Kill(-1)
 	w.Run(lost + 3*time.Second)
 	second := w.StandBy(s.Name)
-	assert.Assert(t, second != nil && second != first, "nobody stands by for the stand-by")
+	assert.Assert(t, second != nil && second != first, "the standby was not replaced")
 	assert.Assert(t, w.Unavailable(0, lost, w.Now()) < 1500*time.Millisecond, "%v", w.Unavailable(0, lost, w.Now()))
 	assert.Equal(t, len(w.Check()), 0, "%v", w.Check())
 }
 
-// A stand-by has the keys of a server that is lost. The platform then lists that
-// server as gone, and the store comes back. The keys must not go to others at
-// once because "their server is gone": the stand-by serves them.
-func TestAStandByIsNotGoneWithItsServer(t *testing.T) {
+// A standby has the keys of a lost server. The platform then lists that server
+// as gone, and the store comes back. The keys must not move at once because
+// their server is gone: the standby serves them.
+func TestStandbyKeepsTheKeysWhenItsServerIsListedAsGone(t *testing.T) {
 	for name, early := range map[string]bool{"none": false, "gone": true} {
-		w := standing(false, lessor.Flaws[name])
+		w := newStandbyWorld(false, lessor.Flaws[name])
 		s := w.Servers[0]
 		w.Store.Down(8 * time.Second)
 		w.Run(w.Now() + time.Second)
 		s.Kill(-1)
 		w.Run(w.Now() + 3*time.Second)
-		assert.Assert(t, w.StandBy(s.Name) != nil, "nobody stands by")
+		assert.Assert(t, w.StandBy(s.Name) != nil, "no standby is active")
 		for _, v := range w.VMs {
 			v.Send(s.Name, lessor.ServerGoneMsg{})
 		}
@@ -175,20 +174,20 @@
 	}
 }
 
-// The holder alone is cut off from the store and from its server, and lets
-// another one stand by. Its deputy, which agreed, reaches both, and the server
-// is well. Taking over, it must not renew or grant anything before the holder is
-// known to have ended: a scale would have two owners for seconds.
-func TestASuccessorWaitsForTheStandBy(t *testing.T) {
+// The holder alone is cut off from the store and its server, and activates a
+// standby. Its deputy, which agreed, reaches both and takes over. It must not
+// renew or grant anything before the holder is known to have ended, or a key
+// would have two owners for seconds.
+func TestSuccessorWaitsForTheEarlierStandby(t *testing.T) {
 	for name, early := range map[string]bool{"none": false, "forget": true} {
-		w := standing(false, lessor.Flaws[name])
+		w := newStandbyWorld(false, lessor.Flaws[name])
 		s := w.Servers[0]
 		rec := w.Store.Record(s.Name)
 		w.Partition(string(rec.Holder), "store", 20*time.Second)
-		cutOff(w, s, 1500*time.Millisecond)
+		partitionServer(w, s, 1500*time.Millisecond)
 		w.Partition(string(rec.Holder), string(s.Name), 20*time.Second)
 		w.Run(w.Now() + 1600*time.Millisecond)
-		assert.Assert(t, w.StandBy(s.Name) != nil, "nobody stands by")
+		assert.Assert(t, w.StandBy(s.Name) != nil, "no standby is active")
 		for _, v := range w.VMs {
 			w.Partition(string(rec.Holder), string(v.ID), 10*time.Second)
 		}
@@ -203,14 +202,14 @@
 	}
 }
 
-// The holder alone is cut off from the store and from its server. A third VM takes
-// the seat over, has the deputy's word that nobody stands by, and renews the server.
-// The holder then asks the same deputy. If it let another server stand by for all
-// that the deputy has not agreed, a scale would have two owners.
-func TestAHolderLendsNothingAfterItsDeputyGaveItsWord(t *testing.T) {
+// The holder alone is cut off from the store and its server. A third VM takes
+// over, has the deputy's declaration that there is no standby, and renews the
+// server's lease. The holder then asks the same deputy. If it activated a
+// standby although the deputy has not agreed, a key would have two owners.
+func TestHolderActivatesNoStandbyAfterItsDeputyRuledItOut(t *testing.T) {
 	for _, checks := range []bool{false, true} {
 		for name, two := range map[string]bool{"none": false, "agree": true} {
-			w := standing(checks, lessor.Flaws[name])
+			w := newStandbyWorld(checks, lessor.Flaws[name])
 			s := w.Servers[0]
 			rec := w.Store.Record(s.Name)
 			var third *world.VM
@@ -233,19 +232,19 @@
 	}
 }
 
-// The record says that a stand-by is allowed. A program of before stand-bys must
-// not take the seat over; a record without one it can still read.
+// A program that does not know standbys must not take over from a record that
+// allows one, and must still read a record that does not.
 func TestARecordWithAStandByIsOfALaterFormat(t *testing.T) {
 	for _, r := range []lessor.Record{
 		{Epoch: 3, Holder: "a", Deputy: "b"},
-		{Epoch: 3, Holder: "a", Deputy: "b", Stand: true},
-		{Epoch: 4, Holder: "a", Past: []lessor.Member{{VM: "b", Epoch: 3, Stand: true}}},
+		{Epoch: 3, Holder: "a", Deputy: "b", Standby: true},
+		{Epoch: 4, Holder: "a", Past: []lessor.Member{{VM: "b", Epoch: 3, Standby: true}}},
 	} {
 		b, err := r.Encode()
 		assert.NilError(t, err)
 		got, err := lessor.DecodeRecord(b)
 		assert.NilError(t, err)
-		plain := !r.Stand && len(r.Past) == 0
+		plain := !r.Standby && len(r.Past) == 0
 		assert.Equal(t, got.V == 1, plain)
 		got.V = 0
 		assert.DeepEqual(t, got, r)
