--- a/internal/owner/commit/commit.go
+++ b/internal/owner/commit/commit.go
@@ -1,22 +1,23 @@
-// Package commit writes one service's table for all seats of one entry VM.
+// Package commit writes one service's ownership table for all lessors of one
+// entry VM.
 //
-// The load pattern: a data centre is lost, and with it a hundred servers of one
-// service. Their seats want to change the one table object in the same moment.
-// When each writes for itself, each success makes the writes of all others come
-// second; measured with 440 servers and 10 VMs, the last of 60 lost servers' keys
-// waited 2.7 s. [Writer] is a group commit: the edits that arrive while a write
-// is under way go out together in the next one, so a VM needs two or three
-// writes however many of its seats are hit. An edit that finds no write under
-// way goes out at once.
+// When a data centre is lost, a hundred servers of one service are lost with
+// it, and their lessors all want to change the one table object at the same
+// moment. If each writes for itself, every success makes the writes of all
+// others conflict: with 440 servers and 10 VMs, the last of 60 lost servers'
+// keys waited 2.7 s. [Writer] is a group commit: the edits that arrive during a
+// write go out together in the next one, so a VM needs two or three writes
+// however many of its lessors are affected. An edit that arrives while no write
+// is in progress goes out at once.
 //
-// Safety rests on the edit's own rules, checked anew on every table that it is
-// put on: the bar is still the epoch of its holder, and the server's set is
-// still the one that the holder saw ([table.Table.Edited]). One that no longer
-// applies is given back with kind Conflict, and its seat looks again; the others
-// go on. What a write's outcome means for an edit is told to its seat as if the
-// seat had written alone: a write whose answer was lost is in doubt for each
-// edit in it, and none of them is tried again here (rule 13 of
-// docs/design/ownership.md).
+// Safety rests on the edit's own rules, checked again on every table that it is
+// applied to: the table's minimum epoch is still its holder's epoch, and the
+// server's set is still the one that the holder saw ([table.Table.WithEdit]).
+// An edit that no longer applies is returned with kind Conflict, and its lessor
+// reads the table again; the others proceed. Each lessor is told the outcome of
+// a write as if it had written alone: if the answer was lost, the outcome is
+// unknown for each edit in the write, and none of them is retried here (rule 13
+// of docs/design/ownership.md).
 //
 // Writer is a pure loop.Model.
 package commit
@@ -36,68 +37,69 @@
 	"hawthornfield.org/hawthornfield/internal/plat/object"
 )
 
-// Bounds of the wait after a write that came second. The writers of other VMs
-// write the same object: without a growing and scattered wait they would come
-// second again and again. The first is about one call to the store; the last
-// keeps a hundred writers at the rate that the store can answer.
+// Bounds of the delay after a write that lost to another writer. The writers of
+// other VMs write the same object: without a growing, scattered delay they
+// would conflict again and again. The first is about one call to the store; the
+// last keeps a hundred writers at the rate that the store can answer.
 const (
-	clashFirst = 4 * time.Millisecond
-	clashMost  = 256 * time.Millisecond
+	conflictDelayMin = 4 * time.Millisecond
+	conflictDelayMax = 256 * time.Millisecond
 )
 
-// Config says whose writer it is.
+// Config names the VM and the service of a writer.
 type Config struct {
 	Self    ident.VM
 	Service ident.Service
-	// StoreTimeout is how long a call to the store may take, and how long an edit waits
-	// to be sent before it is given back. Seats count a write as lost after
-	// twice that.
+	// StoreTimeout is how long a call to the store may take, and how long an
+	// edit waits to be sent before it is returned. Lessors count a write as
+	// lost after twice that.
 	StoreTimeout time.Duration
-	// Rebase puts an edit on a table. Nil means table.Table.Edited; tests put a
-	// broken one here.
+	// Rebase applies an edit to a table. Nil means table.Table.WithEdit; tests
+	// put a broken one here.
 	Rebase func(table.Table, table.Edit) (table.Table, error)
 }
 
-// item is an edit and when it came.
-type item struct {
-	cmd lessor.PutTableCmd
-	at  time.Time
+// pendingEdit is an edit and when it was queued.
+type pendingEdit struct {
+	cmd      lessor.PutTableCmd
+	queuedAt time.Time
 
-	// Where it came from, if not from a seat here: hub.go.
-	from ident.VM
-	born int64
-	id   uint64
+	// Origin of an edit of another VM: coordinator.go. Zero for an edit of a
+	// lessor on this VM.
+	sender            ident.VM
+	senderIncarnation int64
+	forwardID         uint64
 }
 
-// Writer is the state of one writer. Make it with New; it is a value, and Update
-// returns the next one.
+// Writer is the state of one writer. Make it with New; it is a value, and
+// Update returns the next one.
 type Writer struct {
 	cfg Config
 
-	tab table.Table
-	ver object.Version // zero: tab is not the newest, or its version is not known
-
-	wait []item // not sent yet
-	sent []item // in the write under way
-
-	call    uint64    // number of the call under way, or of the last one
-	busy    bool      // a call is under way
-	lost    time.Time // when that call counts as lost
-	clashes int       // writes in a row that came second
-	next    time.Time // no call before
-	armed   time.Time // when the timer that is set will fire
-
-	// The hub: hub.go.
-	hubs  []ident.VM
-	skip  []skipped
-	crowd time.Time // others write as well until then
-	born  int64     // when this process started
-	seq   uint64
-	away  []away
-	done  []written
+	table    table.Table
+	tableVer object.Version // zero: table is not the newest, or its version is not known
+
+	waiting []pendingEdit // not sent yet
+	writing []pendingEdit // in the write that is in progress
+
+	call         uint64    // number of the current or last call
+	callPending  bool      // a call is in progress
+	callDeadline time.Time // when that call counts as lost
+	conflicts    int       // consecutive writes that lost to another writer
+	notBefore    time.Time // no call before this time
+	timerAt      time.Time // when the pending timer fires
+
+	// The coordinator, which writes for all VMs: coordinator.go.
+	coordinators   []ident.VM
+	skipped        []skippedCoordinator
+	contendedUntil time.Time // other VMs write as well until then
+	incarnation    int64     // start of this process, in ns since the Unix epoch
+	forwardSeq     uint64
+	forwarded      []forwardedEdit
+	written        []writtenEdit
 }
 
-// New makes the writer of cfg.
+// New returns the writer of cfg.
 func New(cfg Config) Writer {
 	if cfg.Rebase == nil {
 		cfg.Rebase = table.Table.WithEdit
@@ -105,25 +107,25 @@
 	return Writer{cfg: cfg}
 }
 
-// turn is one Update at work.
+// turn is the working state of one Update call.
 type turn struct {
 	Writer
 	now  time.Time
 	cmds []loop.Cmd
 }
 
-// Update takes one message. See loop.Model.
+// Update handles one message. See loop.Model.
 func (w Writer) Update(now time.Time, msg loop.Msg) (loop.Model, []loop.Cmd) {
 	t := &turn{Writer: w, now: now}
-	if t.born == 0 {
-		t.born = now.UnixNano()
+	if t.incarnation == 0 {
+		t.incarnation = now.UnixNano()
 	}
 	t.handle(msg)
-	t.lose()
-	t.giveUp()
-	t.settle()
-	t.advance()
-	t.arm()
+	t.expireCall()
+	t.expireForwarded()
+	t.answerWritten()
+	t.sendNext()
+	t.setTimer()
 	return t.Writer, t.cmds
 }
 
@@ -132,93 +134,95 @@
 	case EditMsg:
 		t.onEdit(m)
 	case TableMsg:
-		t.learn(m.Table, m.Version)
+		t.noteTable(m.Table, m.Version)
 	case ReadResultMsg:
-		t.onRead(m)
+		t.onReadResult(m)
 	case WriteResultMsg:
-		t.onWrote(m)
+		t.onWriteResult(m)
 	case CoordinatorsMsg:
-		t.hubs = m.VMs
+		t.coordinators = m.VMs
 	case SuspectMsg:
-		t.leaveAlone(m.VM)
+		t.skipCoordinator(m.VM)
 	case ForwardMsg:
 		t.onForward(m)
 	case ForwardedMsg:
 		t.onForwarded(m)
 	case tickMsg:
-		if m.At.Equal(t.armed) {
-			t.armed = time.Time{} // it may have come early: see arm
+		if m.At.Equal(t.timerAt) {
+			t.timerAt = time.Time{} // it may have fired early: see setTimer
 		}
 	}
 }
 
-// onEdit queues an edit. A seat has one write under way at a time, so a second
-// one means that it gave the first up. That one gets no answer: the seat would
-// take it for the answer to the second.
+// onEdit queues an edit. A lessor has one write in progress at a time, so a
+// second one means that it gave up the first. The first gets no answer: the
+// lessor would take it for the answer to the second.
 func (t *turn) onEdit(m EditMsg) {
-	e := item{cmd: m.Cmd, at: t.now}
-	t.away = slices.DeleteFunc(slices.Clone(t.away), func(a away) bool { return a.same(e) })
-	t.done = slices.DeleteFunc(slices.Clone(t.done), func(d written) bool { return d.same(e) })
-	t.queue(e)
+	e := pendingEdit{cmd: m.Cmd, queuedAt: t.now}
+	t.forwarded = slices.DeleteFunc(slices.Clone(t.forwarded), func(a forwardedEdit) bool { return a.sameLessor(e) })
+	t.written = slices.DeleteFunc(slices.Clone(t.written), func(d writtenEdit) bool { return d.sameLessor(e) })
+	t.enqueue(e)
 }
 
-func (t *turn) queue(e item) {
-	t.wait = append(slices.DeleteFunc(slices.Clone(t.wait), e.same), e)
+func (t *turn) enqueue(e pendingEdit) {
+	t.waiting = append(slices.DeleteFunc(slices.Clone(t.waiting), e.sameLessor), e)
 }
 
-// same reports whether two edits are of one seat on one VM.
-func (e item) same(o item) bool { return e.from == o.from && e.cmd.Edit.Server == o.cmd.Edit.Server }
+// sameLessor reports whether two edits are of one lessor on one VM.
+func (e pendingEdit) sameLessor(o pendingEdit) bool {
+	return e.sender == o.sender && e.cmd.Edit.Server == o.cmd.Edit.Server
+}
 
-// learn takes a table that was seen. One whose version is not known still shows
-// that a write on an older one would come second.
-func (t *turn) learn(tab table.Table, ver object.Version) {
-	if tab.Rev > t.tab.Rev || tab.Rev == t.tab.Rev && ver != 0 {
-		t.tab, t.ver = tab, ver
+// noteTable stores a table that was seen. A newer table without a known version
+// still shows that a write based on an older one would conflict.
+func (t *turn) noteTable(tab table.Table, ver object.Version) {
+	if tab.Rev > t.table.Rev || tab.Rev == t.table.Rev && ver != 0 {
+		t.table, t.tableVer = tab, ver
 	}
 }
 
-func (t *turn) onRead(m ReadResultMsg) {
-	if !t.busy || m.Cmd.Call != t.call {
+func (t *turn) onReadResult(m ReadResultMsg) {
+	if !t.callPending || m.Cmd.Call != t.call {
 		return
 	}
-	t.busy = false
+	t.callPending = false
 	if m.Kind == kinds.None {
-		t.learn(m.Table, m.Version)
+		t.noteTable(m.Table, m.Version)
 		return
 	}
-	t.giveBack(kinds.Unavailable) // nothing was sent
-	for _, d := range t.done {
-		t.answer(d.item, kinds.Ambiguous) // the seat reads the table for itself
+	t.returnWaiting(kinds.Unavailable) // nothing was sent
+	for _, d := range t.written {
+		t.answer(d.pendingEdit, kinds.Ambiguous) // the lessor reads the table itself
 	}
-	t.done = nil
+	t.written = nil
 }
 
-func (t *turn) onWrote(m WriteResultMsg) {
-	if !t.busy || m.Cmd.Call != t.call || len(t.sent) == 0 {
+func (t *turn) onWriteResult(m WriteResultMsg) {
+	if !t.callPending || m.Cmd.Call != t.call || len(t.writing) == 0 {
 		return
 	}
-	t.busy = false
-	sent := t.sent
-	t.sent = nil
+	t.callPending = false
+	sent := t.writing
+	t.writing = nil
 	switch {
 	case m.Expired:
-		t.wait = slices.Concat(sent, t.wait)
+		t.waiting = slices.Concat(sent, t.waiting)
 	case m.Kind == kinds.None:
-		t.clashes = 0
-		t.learn(m.Cmd.Table, m.Version)
+		t.conflicts = 0
+		t.noteTable(m.Cmd.Table, m.Version)
 		for _, e := range sent {
-			t.succeed(e, m.Cmd.Table.Rev, m.Cmd.Table, m.Version)
+			t.answerDone(e, m.Cmd.Table.Rev, m.Cmd.Table, m.Version)
 		}
 	case m.Kind == kinds.Conflict:
-		if t.ver == m.Cmd.Old {
-			t.ver = 0 // the table that came first is not known yet
+		if t.tableVer == m.Cmd.Old {
+			t.tableVer = 0 // the table that was written first is not known yet
 		}
-		t.wait = slices.Concat(sent, t.wait)
-		t.crowd = t.now.Add(crowdTime)
-		t.clash()
+		t.waiting = slices.Concat(sent, t.waiting)
+		t.contendedUntil = t.now.Add(contentionTime)
+		t.delayAfterConflict()
 	default:
 		if m.Kind != kinds.Unavailable {
-			t.ver = 0
+			t.tableVer = 0
 		}
 		for _, e := range sent {
 			t.answer(e, m.Kind)
@@ -226,71 +230,73 @@
 	}
 }
 
-// lose notices a call that nobody answered. Its fate is not known.
-func (t *turn) lose() {
-	if !t.busy || t.now.Before(t.lost) {
+// expireCall handles a call that was not answered in time. Its outcome is
+// unknown.
+func (t *turn) expireCall() {
+	if !t.callPending || t.now.Before(t.callDeadline) {
 		return
 	}
-	if len(t.sent) > 0 {
-		t.onWrote(WriteResultMsg{Cmd: WriteCmd{Call: t.call}, Kind: kinds.Ambiguous})
+	if len(t.writing) > 0 {
+		t.onWriteResult(WriteResultMsg{Cmd: WriteCmd{Call: t.call}, Kind: kinds.Ambiguous})
 		return
 	}
-	t.onRead(ReadResultMsg{Cmd: ReadCmd{Call: t.call}, Kind: kinds.Unavailable})
+	t.onReadResult(ReadResultMsg{Cmd: ReadCmd{Call: t.call}, Kind: kinds.Unavailable})
 }
 
-// clash waits before the next try. The scatter comes from a hash of the name
-// and the try, since a decision module draws no random numbers. The hub tries
-// again at once: whoever came first is about to leave it the field.
-func (t *turn) clash() {
-	if t.hub() == t.cfg.Self {
-		t.next = t.now
+// delayAfterConflict delays the next attempt. The scatter comes from a hash of
+// the names and the attempt, since a loop.Model draws no random numbers. The
+// coordinator retries at once: the VM that wrote first is about to forward its
+// edits to it.
+func (t *turn) delayAfterConflict() {
+	if t.coordinator() == t.cfg.Self {
+		t.notBefore = t.now
 		return
 	}
-	most := min(clashFirst<<min(t.clashes, 10), clashMost)
-	t.clashes++
-	h := xxhash.Sum64String(string(t.cfg.Self) + "/" + string(t.cfg.Service) + "/" + strconv.Itoa(t.clashes) +
+	most := min(conflictDelayMin<<min(t.conflicts, 10), conflictDelayMax)
+	t.conflicts++
+	h := xxhash.Sum64String(string(t.cfg.Self) + "/" + string(t.cfg.Service) + "/" + strconv.Itoa(t.conflicts) +
 		"/" + strconv.FormatUint(t.call, 10))
-	t.next = t.now.Add(time.Duration(h % uint64(most)))
+	t.notBefore = t.now.Add(time.Duration(h % uint64(most)))
 }
 
-// advance sends what waits, once no call is under way.
-func (t *turn) advance() {
-	t.forward()
-	if t.busy {
+// sendNext sends the waiting edits, once no call is in progress.
+func (t *turn) sendNext() {
+	t.forwardEdits()
+	if t.callPending {
 		return
 	}
-	t.overdue()
+	t.returnOverdue()
 	switch {
-	case len(t.done) > 0:
-		t.begin()
-		t.do(ReadCmd{Call: t.call})
-	case len(t.wait) == 0 || t.now.Before(t.next):
-	case t.ver == 0:
-		t.begin()
-		t.do(ReadCmd{Call: t.call})
+	case len(t.written) > 0:
+		t.beginCall()
+		t.emit(ReadCmd{Call: t.call})
+	case len(t.waiting) == 0 || t.now.Before(t.notBefore):
+	case t.tableVer == 0:
+		t.beginCall()
+		t.emit(ReadCmd{Call: t.call})
 	default:
-		t.write()
+		t.writeBatch()
 	}
 }
 
-// overdue gives back what waited too long. Its seat then looks at the table
-// anew; nothing was sent, so it certainly did not happen.
-func (t *turn) overdue() {
-	kept := t.wait[:0:0]
-	for _, e := range t.wait {
-		if t.now.Sub(e.at) > t.cfg.StoreTimeout {
+// returnOverdue returns the edits that waited too long. Their lessors then read
+// the table again; nothing was sent, so the edits certainly did not happen.
+func (t *turn) returnOverdue() {
+	kept := t.waiting[:0:0]
+	for _, e := range t.waiting {
+		if t.now.Sub(e.queuedAt) > t.cfg.StoreTimeout {
 			t.answer(e, kinds.Conflict)
 			continue
 		}
 		kept = append(kept, e)
 	}
-	t.wait = kept
+	t.waiting = kept
 }
 
-// write joins the edits that still apply and sends them in one update.
-func (t *turn) write() {
-	next, until := t.tab, time.Time{}
-	for _, e := range t.wait {
+// writeBatch sends all edits that still apply in one write.
+func (t *turn) writeBatch() {
+	next, until := t.table, time.Time{}
+	for _, e := range t.waiting {
 		if !e.cmd.Valid(t.now) {
 			t.answer(e, kinds.Unavailable) // its authority has ended: rule 9
 			continue
@@ -304,69 +310,70 @@
 		if until.IsZero() || e.cmd.Until.Before(until) {
 			until = e.cmd.Until
 		}
-		t.sent = append(t.sent, e)
+		t.writing = append(t.writing, e)
 	}
-	t.wait = nil
-	if len(t.sent) == 0 {
+	t.waiting = nil
+	if len(t.writing) == 0 {
 		return
 	}
-	t.begin()
-	t.do(WriteCmd{Guard: lessor.Guard{Until: until}, Call: t.call, Table: next, Old: t.ver, Edits: len(t.sent)})
+	t.beginCall()
+	t.emit(WriteCmd{Guard: lessor.Guard{Until: until}, Call: t.call, Table: next, Old: t.tableVer, Edits: len(t.writing)})
 }
 
-func (t *turn) begin() {
+func (t *turn) beginCall() {
 	t.call++
-	t.busy, t.lost = true, t.now.Add(2*t.cfg.StoreTimeout)
+	t.callPending, t.callDeadline = true, t.now.Add(2*t.cfg.StoreTimeout)
 }
 
-// succeed tells whoever made the edit that it was written as revision rev, and that
-// tab, which may be a later one, contains it.
-func (t *turn) succeed(e item, rev ident.Revision, tab table.Table, ver object.Version) {
-	if e.from != "" {
-		t.tellBack(e, true, rev)
+// answerDone tells the origin of the edit that it was written as revision rev,
+// and that tab, which may be a later table, contains it.
+func (t *turn) answerDone(e pendingEdit, rev ident.Revision, tab table.Table, ver object.Version) {
+	if e.sender != "" {
+		t.sendForwarded(e, true, rev)
 		return
 	}
 	e.cmd.Table = tab
-	t.do(AnswerCmd{Server: e.cmd.Edit.Server, Msg: lessor.TablePutMsg{Cmd: e.cmd, Version: ver, Rev: rev}})
+	t.emit(AnswerCmd{Server: e.cmd.Edit.Server, Msg: lessor.TablePutMsg{Cmd: e.cmd, Version: ver, Rev: rev}})
 }
 
-func (t *turn) answer(e item, k kinds.Kind) {
-	if e.from != "" {
-		t.tellBack(e, false, 0)
+func (t *turn) answer(e pendingEdit, k kinds.Kind) {
+	if e.sender != "" {
+		t.sendForwarded(e, false, 0)
 		return
 	}
-	t.do(AnswerCmd{Server: e.cmd.Edit.Server, Msg: lessor.TablePutMsg{Cmd: e.cmd, Kind: k}})
+	t.emit(AnswerCmd{Server: e.cmd.Edit.Server, Msg: lessor.TablePutMsg{Cmd: e.cmd, Kind: k}})
 }
 
-func (t *turn) tellBack(e item, done bool, rev ident.Revision) {
-	m := ForwardedMsg{Born: e.born, ID: e.id, Done: done, Rev: rev}
-	t.do(SendCmd{Guard: lessor.Guard{Until: t.now.Add(t.cfg.StoreTimeout)}, To: e.from, Msg: m})
+func (t *turn) sendForwarded(e pendingEdit, done bool, rev ident.Revision) {
+	m := ForwardedMsg{Incarnation: e.senderIncarnation, ID: e.forwardID, Done: done, Rev: rev}
+	t.emit(SendCmd{Guard: lessor.Guard{Until: t.now.Add(t.cfg.StoreTimeout)}, To: e.sender, Msg: m})
 }
 
-func (t *turn) giveBack(k kinds.Kind) {
-	for _, e := range t.wait {
+func (t *turn) returnWaiting(k kinds.Kind) {
+	for _, e := range t.waiting {
 		t.answer(e, k)
 	}
-	t.wait = nil
+	t.waiting = nil
 }
 
-func (t *turn) do(c loop.Cmd) { t.cmds = append(t.cmds, c) }
+func (t *turn) emit(c loop.Cmd) { t.cmds = append(t.cmds, c) }
 
-// arm asks for a timer unless one that fires early enough is set.
-func (t *turn) arm() {
-	wake := t.due()
+// setTimer requests a timer unless a pending one fires early enough.
+func (t *turn) setTimer() {
+	wake := t.nextWake()
 	if wake.IsZero() {
 		return
 	}
-	if t.now.Before(t.armed) && !wake.Before(t.armed) {
+	if t.now.Before(t.timerAt) && !wake.Before(t.timerAt) {
 		return
 	}
-	t.armed = wake
-	t.do(loop.AfterCmd{D: wake.Sub(t.now), Msg: tickMsg{At: wake}})
+	t.timerAt = wake
+	t.emit(loop.AfterCmd{D: wake.Sub(t.now), Msg: tickMsg{At: wake}})
 }
 
-// due returns when the writer must look again by itself; zero is never.
-func (t *turn) due() time.Time {
+// nextWake returns when the writer must run again without a message; zero is
+// never.
+func (t *turn) nextWake() time.Time {
 	var at time.Time
 	sooner := func(x time.Time) {
 		if at.IsZero() || x.Before(at) {
@@ -374,12 +381,12 @@
 		}
 	}
 	switch {
-	case t.busy:
-		sooner(t.lost)
-	case len(t.wait) > 0:
-		sooner(t.next)
+	case t.callPending:
+		sooner(t.callDeadline)
+	case len(t.waiting) > 0:
+		sooner(t.notBefore)
 	}
-	for _, a := range t.away {
+	for _, a := range t.forwarded {
 		sooner(a.until)
 	}
 	return at
