--- a/internal/owner/outage/trial.go
+++ b/internal/owner/outage/outage.go
@@ -1,12 +1,12 @@
-// Package outage measures what faults cost: for each fault of the design note it
-// runs the seats in the stand-in world under many seeds, and reports how long a
-// key had no server that served it.
+// Package outage measures what faults cost: for each fault of the design note
+// it runs the lessors in the simulated fleet of package world under many seeds,
+// and reports how long a key had no server that served it.
 //
 // The time is that of the fake clock, so the figures do not depend on the
-// machine. They count from the moment of the fault, over the keys of the server
-// that is hit (or over all keys, where no server is), the worst key of each run.
-// Beside each stands the naive way: a lease for each server in the store,
-// renewed there (naive.go).
+// machine. They count from the moment of the fault, over the keys of the
+// affected server (or over all keys, if the fault affects no server), and give
+// the worst key of each run. Beside each stands a naive baseline: a lease for
+// each server in the store, renewed there (naive.go).
 package outage
 
 import (
@@ -32,16 +32,17 @@
 	P99   time.Duration
 	Max   time.Duration
 	Moves float64 // keys moved in a run, on average
-	// Violations counts runs in which a promise was broken. It must be zero.
+	// Violations counts runs in which a safety property was broken. It must be
+	// zero.
 	Violations int
-	// Naive is the naive baseline under the same fault.
+	// Unavailable time of the naive baseline under the same fault.
 	NaiveP50, NaiveP99, NaiveMax time.Duration
 }
 
-// Mode is what a service's servers and its settings have it.
+// Mode is how a service's servers and its settings are set up.
 type Mode struct {
 	FenceChecks bool // its servers check fences
-	Standby     bool // another server stands by for a lost one while the store is down
+	Standby     bool // a standby serves for a lost server while the store is down
 }
 
 // Modes are measured for every fault.
@@ -58,23 +59,23 @@
 	return name
 }
 
-// workers bounds how many worlds run at once.
+// workers bounds how many simulations run at once.
 const workers = 6
 
 type outcome struct {
-	gone  time.Duration
-	moves int
-	bad   bool
-	naive time.Duration
+	unavailable time.Duration
+	moves       int
+	violated    bool
+	naive       time.Duration
 }
 
-// Run measures every fault in every mode, but for stand-bys in the long histories:
-// no server is lost in those, and they take most of a run's time.
+// Run measures every fault in every mode, except standbys in the long
+// histories: no server is lost in those, and they take most of a run's time.
 func Run(seed uint64, runs int) []Row {
 	var rows []Row
 	for _, f := range Faults {
 		for _, m := range Modes {
-			if !m.Standby || !f.small {
+			if !m.Standby || !f.smallFleet {
 				rows = append(rows, Measure(f, seed, runs, m))
 			}
 		}
@@ -82,63 +83,64 @@
 	return rows
 }
 
-// Measure runs one fault under runs seeds, counted from seed.
+// Measure runs one fault under as many seeds as runs says, counted from seed.
 func Measure(f Fault, seed uint64, runs int, m Mode) Row {
 	got := make([]outcome, runs)
 	var g group.Group
 	for k := range workers {
 		g.Go(func(context.Context) error {
 			for i := k; i < runs; i += workers {
-				got[i] = once(f, seed+uint64(i), m)
+				got[i] = runOnce(f, seed+uint64(i), m)
 			}
 			return nil
 		})
 	}
-	_ = g.Wait() // the duties above return no error
+	_ = g.Wait() // the functions above return no error
 	return summary(f, m, got)
 }
 
-// once runs one history: start, fault at a random phase, and time to recover.
-func once(f Fault, seed uint64, m Mode) outcome {
+// runOnce runs one history: start, fault at a random phase, and time to
+// recover.
+func runOnce(f Fault, seed uint64, m Mode) outcome {
 	rng := rand.New(rand.NewPCG(seed, 7))
 	o := world.Options{
 		Seed: seed, FenceChecks: m.FenceChecks, Standby: m.Standby, Skew: 5, Term: f.term,
-		VMs: 6, Servers: 6, Slices: 18, Centres: 3, NewWriter: joined,
+		VMs: 6, Servers: 6, Slices: 18, Centres: 3, NewWriter: newBatchingWriter,
 	}
-	if f.small {
+	if f.smallFleet {
 		o.VMs, o.Servers, o.Slices = 3, 3, 3
 	}
 	w := world.New(o)
 	at := warmup + time.Duration(rng.Int64N(int64(time.Second)))
 	w.Run(at)
 	before := w.Count.Moves
-	hit := f.do(w, w.Servers[rng.IntN(len(w.Servers))])
+	hit := f.inject(w, w.Servers[rng.IntN(len(w.Servers))])
 	w.Run(at + f.horizon)
 	var out outcome
 	for x := range o.Slices {
 		if hit == nil || hit(x) {
-			out.gone = max(out.gone, w.Unavailable(x, at, at+f.horizon))
+			out.unavailable = max(out.unavailable, w.Unavailable(x, at, at+f.horizon))
 		}
 	}
 	out.moves = w.Count.Moves - before
-	out.bad = len(w.Check()) > 0
+	out.violated = len(w.Check()) > 0
 	out.naive = f.naive(rng)
 	return out
 }
 
-// joined gives each VM its one writer of the table, as the daemon has it.
-func joined(c commit.Config) loop.Model { return commit.New(c) }
+// newBatchingWriter gives each VM one writer of the table, as the daemon does.
+func newBatchingWriter(c commit.Config) loop.Model { return commit.New(c) }
 
-// warmup is long enough for every seat to be held and every server granted.
+// warmup is long enough for every server to have a holder and a grant.
 const warmup = 5 * time.Second
 
 func summary(f Fault, m Mode, got []outcome) Row {
 	r := Row{Fault: f.Name, Mode: m, Runs: len(got)}
 	ours, naive := make([]time.Duration, 0, len(got)), make([]time.Duration, 0, len(got))
 	for _, o := range got {
-		ours, naive = append(ours, o.gone), append(naive, o.naive)
+		ours, naive = append(ours, o.unavailable), append(naive, o.naive)
 		r.Moves += float64(o.moves) / float64(len(got))
-		if o.bad {
+		if o.violated {
 			r.Violations++
 		}
 	}
--- a/internal/owner/outage/table_test.go
+++ b/internal/owner/outage/table_test.go
@@ -9,7 +9,7 @@
 
 // TestTable prints the fault table of the design note:
 //
-//	HAWTHORN_TABLE=100 go test -v -run TestTable ./internal/owner/trial
+//	HAWTHORN_TABLE=100 go test -v -run TestTable ./internal/owner/outage
 //
 // HAWTHORN_FAULT narrows it to faults with that in their name.
 func TestTable(t *testing.T) {
@@ -29,14 +29,14 @@
 	t.Log("\n" + Markdown(rows))
 	for _, r := range rows {
 		if r.Violations > 0 {
-			t.Errorf("%s: %d runs broke a promise", r.Fault, r.Violations)
+			t.Errorf("%s: %d runs violated a safety property", r.Fault, r.Violations)
 		}
 	}
 }
 
 // TestCost prints the cost table of the design note:
 //
-//	HAWTHORN_COST=10,50,200 go test -v -run TestCost ./internal/owner/trial
+//	HAWTHORN_COST=10,50,200 go test -v -run TestCost ./internal/owner/outage
 func TestCost(t *testing.T) {
 	var rows []CostRow
 	for _, f := range strings.Split(os.Getenv("HAWTHORN_COST"), ",") {
