--- a/internal/owner/lessor/acquire.go
+++ b/internal/owner/lessor/acquire.go
@@ -188,7 +188,7 @@
 	if !t.putPending || m.Cmd.Record.Token != t.pendingPut.Record.Token {
 		return
 	}
-	if t.cfg.flaw == flawDoubt && m.Kind == kinds.Ambiguous {
+	if t.cfg.flaw == flawAssumeWritten && m.Kind == kinds.Ambiguous {
 		m.Kind, m.Version = kinds.None, t.pendingPut.Old+1
 	}
 	switch {
--- a/internal/owner/lessor/batch.go
+++ b/internal/owner/lessor/batch.go
@@ -211,7 +211,7 @@
 	if !known || !t.due(at) {
 		return
 	}
-	if t.cfg.FenceChecks || t.cfg.flaw == flawReadback {
+	if t.cfg.FenceChecks || t.cfg.flaw == flawNoReadBack {
 		t.fire(moveChart, &t.move, "clear")
 		t.writeBatch()
 		return
@@ -253,7 +253,7 @@
 		return
 	}
 	edit := table.Edit{Server: t.cfg.Server, Epoch: t.epoch, Rev: t.row().Rev, Moves: left}
-	if t.cfg.flaw == flawBar {
+	if t.cfg.flaw == flawMinEpoch {
 		edit.Epoch = t.row().MinEpoch
 	}
 	next, err := t.table.WithEdit(edit)
--- a/internal/owner/lessor/deputy.go
+++ b/internal/owner/lessor/deputy.go
@@ -161,7 +161,7 @@
 		Fence: ident.Fence{Epoch: t.deputy.epoch, Seq: deputySeqBase + t.deputy.seq},
 		Mark:  t.srv.mark.Mark, TTL: t.cfg.Times.TTL, Rev: t.deputy.rev,
 	}
-	if t.cfg.flaw == flawDeputy {
+	if t.cfg.flaw == flawDeputyGrants {
 		set := t.ownedSet()
 		o.Full, o.Rev, o.Slices, o.Keys, o.Except = true, t.row().Rev, set.Slices, set.Keys, set.Except
 	}
--- a/internal/owner/lessor/earlier_standby.go
+++ b/internal/owner/lessor/earlier_standby.go
@@ -67,7 +67,7 @@
 // another member.
 func (t *turn) declaredNoStandby(m Member) bool {
 	ours := m.VM == t.cfg.Self && t.firstEpoch != 0 && m.Epoch >= t.firstEpoch && m.Epoch > t.lastStandbyEpoch
-	if ours || m.Epoch == t.noStandbyEpoch || t.cfg.flaw == flawForget {
+	if ours || m.Epoch == t.noStandbyEpoch || t.cfg.flaw == flawIgnoreStandby {
 		return true
 	}
 	return slices.ContainsFunc(t.endNotices, func(n endNotice) bool { return n.noStandbyEpoch != 0 && n.noStandbyEpoch == m.Epoch })
--- a/internal/owner/lessor/export_test.go
+++ b/internal/owner/lessor/export_test.go
@@ -11,8 +11,8 @@
 
 // Flaws lists every flaw by name.
 var Flaws = map[string]Flaw{
-	"margin": flawMargin, "wait": flawWait, "doubt": flawDoubt, "fence": flawFence,
-	"bar": flawBar, "add": flawAdd, "deputy": flawDeputy, "others": flawOthers,
-	"late": flawLate, "readback": flawReadback, "term": flawTerm, "yield": flawYield,
-	"eager": flawEager, "agree": flawAgree, "forget": flawForget, "return": flawReturn, "gone": flawGone,
+	"margin": flawNoMargin, "wait": flawNoWait, "doubt": flawAssumeWritten, "fence": flawSameFence,
+	"bar": flawMinEpoch, "add": flawRenewGrants, "deputy": flawDeputyGrants, "others": flawIgnoreMembers,
+	"late": flawLateGrant, "readback": flawNoReadBack, "term": flawPastTerm, "yield": flawBreakPromise,
+	"eager": flawEarlyStandby, "agree": flawNoAgreement, "forget": flawIgnoreStandby, "return": flawStandbyNoRevoke, "gone": flawStandbyGone,
 }
--- a/internal/owner/lessor/flaws.go
+++ b/internal/owner/lessor/flaws.go
@@ -6,22 +6,22 @@
 
 // Each flaw breaks one safety rule.
 const (
-	flawNone     flaw = iota
-	flawMargin        // wait out a lease without drift and margin
-	flawWait          // do not wait for a silent server's lease
-	flawDoubt         // treat a write with an unknown outcome as done
-	flawFence         // send every order under the same fence
-	flawBar           // neither raise nor respect the minimum epoch
-	flawAdd           // renew by granting the whole set of the table
-	flawDeputy        // send full grants as deputy
-	flawOthers        // do not wait for other members to end
-	flawLate          // do not wait for a full grant that can be obeyed late
-	flawReadback      // do not read the server's set again after that wait
-	flawTerm          // go on after the term has ended
-	flawYield         // promise to stop, and go on
-	flawEager         // grant to a standby before the owner's lease has expired
-	flawAgree         // do not ask the deputy about a standby
-	flawForget        // take over without regard to an earlier standby
-	flawReturn        // write the keys to the standby without revoking them first
-	flawGone          // treat the standby's lease as ended because its server is gone
+	flawNone            flaw = iota
+	flawNoMargin             // wait out a lease without drift and margin
+	flawNoWait               // do not wait for a silent server's lease
+	flawAssumeWritten        // treat a write with an unknown outcome as done
+	flawSameFence            // send every order under the same fence
+	flawMinEpoch             // neither raise nor respect the minimum epoch
+	flawRenewGrants          // renew by granting the whole set of the table
+	flawDeputyGrants         // send full grants as deputy
+	flawIgnoreMembers        // do not wait for other members to end
+	flawLateGrant            // do not wait for a full grant that can be obeyed late
+	flawNoReadBack           // do not read the server's set again after that wait
+	flawPastTerm             // go on after the term has ended
+	flawBreakPromise         // promise to stop, and go on
+	flawEarlyStandby         // grant to a standby before the owner's lease has expired
+	flawNoAgreement          // do not ask the deputy about a standby
+	flawIgnoreStandby        // take over without regard to an earlier standby
+	flawStandbyNoRevoke      // write the keys to the standby without revoking them first
+	flawStandbyGone          // treat the standby's lease as ended because its server is gone
 )
--- a/internal/owner/lessor/lessor.go
+++ b/internal/owner/lessor/lessor.go
@@ -147,7 +147,7 @@
 	if cfg.Times == (lease.Times{}) {
 		cfg.Times = lease.Default()
 	}
-	if cfg.flaw == flawMargin {
+	if cfg.flaw == flawNoMargin {
 		cfg.Times.Drift, cfg.Times.Margin = 0, 0
 	}
 	return Lessor{
--- a/internal/owner/lessor/promise.go
+++ b/internal/owner/lessor/promise.go
@@ -154,7 +154,7 @@
 		t.agreeToStandby(m.Below - 1)
 	}
 	t.declareNoStandbyBelow(m.Below)
-	if t.cfg.flaw != flawYield {
+	if t.cfg.flaw != flawBreakPromise {
 		t.promisedBelow = max(t.promisedBelow, m.Below)
 		t.enforcePromise()
 	}
--- a/internal/owner/lessor/release.go
+++ b/internal/owner/lessor/release.go
@@ -12,13 +12,13 @@
 	switch {
 	case t.serverGone():
 		return true
-	case t.cfg.flaw == flawGone && t.platformGone, t.cfg.flaw == flawReturn && t.standbyState == standbyActive:
+	case t.cfg.flaw == flawStandbyGone && t.platformGone, t.cfg.flaw == flawStandbyNoRevoke && t.standbyState == standbyActive:
 		return true
-	case t.cfg.flaw == flawWait:
+	case t.cfg.flaw == flawNoWait:
 		return t.lease == leaseSilent || t.lease == leaseExpired
 	case !t.due(t.srv.newestGrant.Expiry(t.cfg.Times)):
 		return false
-	case t.cfg.flaw == flawOthers:
+	case t.cfg.flaw == flawIgnoreMembers:
 		return true
 	}
 	ready := true
@@ -44,7 +44,7 @@
 func (t *turn) revokedKeysFreeAt() (time.Time, bool) {
 	var at time.Time
 	for _, o := range t.others {
-		if o.Deputy || t.cfg.flaw == flawOthers {
+		if o.Deputy || t.cfg.flaw == flawIgnoreMembers {
 			continue
 		}
 		end, known := t.memberEnd(o)
@@ -55,7 +55,7 @@
 			at = later(at, end.Add(t.cfg.Times.MaxRemaining()))
 		}
 	}
-	if !t.cfg.FenceChecks && t.cfg.flaw != flawLate {
+	if !t.cfg.FenceChecks && t.cfg.flaw != flawLateGrant {
 		at = later(at, t.batch.newestFullGrant.Expiry(t.cfg.Times))
 	}
 	return at, true
--- a/internal/owner/lessor/server.go
+++ b/internal/owner/lessor/server.go
@@ -129,7 +129,7 @@
 func (t *turn) serverGone() bool { return t.platformGone && t.standby == "" }
 
 func (t *turn) renew() {
-	if t.cfg.flaw == flawAdd {
+	if t.cfg.flaw == flawRenewGrants {
 		t.grant()
 		return
 	}
@@ -141,7 +141,7 @@
 	set := t.grantableSet()
 	o := t.newOrder(t.srv.targetRev)
 	o.Full, o.Slices, o.Keys, o.Except = true, set.Slices, set.Keys, set.Except
-	if t.cfg.flaw == flawAdd {
+	if t.cfg.flaw == flawRenewGrants {
 		all := t.ownedSet()
 		o.Slices, o.Keys, o.Except = all.Slices, all.Keys, all.Except
 	}
@@ -161,7 +161,7 @@
 func (t *turn) newOrder(rev ident.Revision) server.Order {
 	t.srv.seq++
 	f := ident.Fence{Epoch: t.epoch, Seq: t.srv.seq}
-	if t.cfg.flaw == flawFence {
+	if t.cfg.flaw == flawSameFence {
 		f = ident.Fence{Epoch: 1, Seq: 1}
 	}
 	return server.Order{
@@ -224,7 +224,7 @@
 
 func (t *turn) onOrderReply(m ReplyMsg) {
 	r, o := m.Reply, m.Order.Order
-	if o.Fence.Epoch != t.epoch && t.cfg.flaw != flawFence {
+	if o.Fence.Epoch != t.epoch && t.cfg.flaw != flawSameFence {
 		return
 	}
 	switch {
--- a/internal/owner/lessor/settling_test.go
+++ b/internal/owner/lessor/settling_test.go
@@ -57,7 +57,7 @@
 	assert.Equal(t, w.move, moveRevoking)
 	assert.Equal(t, tableWrites(w.cmds), 0)
 
-	broken := settlingTurn(t, flawReadback)
+	broken := settlingTurn(t, flawNoReadBack)
 	broken.runBatch()
 	assert.Equal(t, tableWrites(broken.cmds), 1, "the flaw must show in this test")
 }
--- a/internal/owner/lessor/standby.go
+++ b/internal/owner/lessor/standby.go
@@ -37,16 +37,16 @@
 	if !t.standbyAllowed || t.leaving || !t.actsAsHolder() || !t.controlsRow() || t.ownedSet().Empty() {
 		return false
 	}
-	if t.lease != leaseExpired && (t.cfg.flaw != flawEager || t.lease != leaseSilent) {
+	if t.lease != leaseExpired && (t.cfg.flaw != flawEarlyStandby || t.lease != leaseSilent) {
 		return false
 	}
-	if t.deputyAgreedEpoch != t.epoch && t.cfg.flaw != flawAgree {
+	if t.deputyAgreedEpoch != t.epoch && t.cfg.flaw != flawNoAgreement {
 		return false
 	}
 	// A write that may take effect gives the keys to others.
 	mayBeWritten := t.tableWritePending && t.move != moveIdle || t.batch.uncertain || t.batch.earlierUncertain
 	planKnown := t.move == moveIdle || t.batch.serverLost && (t.move == moveRevoking || t.move == moveWriting)
-	leasesOver := t.cfg.flaw == flawEager || t.allLeasesOver()
+	leasesOver := t.cfg.flaw == flawEarlyStandby || t.allLeasesOver()
 	return planKnown && !mayBeWritten && leasesOver && t.storeUnavailable() && t.chooseStandby() != ""
 }
 
@@ -159,7 +159,7 @@
 // keys are unserved until no copy of that grant can be obeyed any more.
 func (t *turn) canWriteOnceRevoked() bool {
 	at, known := t.revokedKeysFreeAt()
-	if !t.cfg.FenceChecks && t.cfg.flaw != flawLate {
+	if !t.cfg.FenceChecks && t.cfg.flaw != flawLateGrant {
 		at = later(at, t.srv.newestFullGrant.Expiry(t.cfg.Times))
 	}
 	return known && t.due(at)
--- a/internal/owner/lessor/standby_test.go
+++ b/internal/owner/lessor/standby_test.go
@@ -13,7 +13,7 @@
 	"hawthornfield.org/hawthornfield/internal/owner/lessor"
 )
 
-// newStandbyWorld returns a simulated fleet that allows standbys, with one rule
+// newStandbyWorld returns a simulated fleet in three data centres that allows standbys, with one rule
 // broken, once every server has a holder.
 func newStandbyWorld(checks bool, f lessor.Flaw) *world.World {
 	o := world.Options{Seed: 5, VMs: 4, FenceChecks: checks, Standby: true, Skew: 5}
--- a/internal/owner/lessor/table.go
+++ b/internal/owner/lessor/table.go
@@ -22,7 +22,7 @@
 		t.readTable()
 	case !known:
 		t.storeRetryAt = t.now.Add(storeRetryDelay) // the server has not joined yet
-	case t.cfg.flaw == flawBar || row.MinEpoch == t.epoch:
+	case t.cfg.flaw == flawMinEpoch || row.MinEpoch == t.epoch:
 		t.fire(authorityChart, &t.auth, "barred")
 		t.checkRecord, t.prevEpoch = false, 0
 		t.emit(AcquiredCmd{Epoch: t.epoch})
@@ -98,7 +98,7 @@
 }
 
 func (t *turn) afterTable() {
-	if row, _ := t.table.Row(t.cfg.Server); t.epoch != 0 && row.MinEpoch > t.epoch && t.cfg.flaw != flawBar {
+	if row, _ := t.table.Row(t.cfg.Server); t.epoch != 0 && row.MinEpoch > t.epoch && t.cfg.flaw != flawMinEpoch {
 		if t.auth == authHolding || t.auth == authFencing {
 			t.stepDown("fenced", "the table names a later epoch")
 			return
@@ -181,8 +181,8 @@
 // epoch that names our previous epoch counts as well: only this VM may write
 // under it.
 func (t *turn) controlsRow() bool {
-	bar := t.row().MinEpoch
-	ours := bar == t.epoch || t.prevEpoch != 0 && bar == t.prevEpoch || t.cfg.flaw == flawBar
+	minEpoch := t.row().MinEpoch
+	ours := minEpoch == t.epoch || t.prevEpoch != 0 && minEpoch == t.prevEpoch || t.cfg.flaw == flawMinEpoch
 	return t.epoch >= t.promisedBelow && !t.earlierStandby && ours
 }
 
--- a/internal/owner/lessor/term.go
+++ b/internal/owner/lessor/term.go
@@ -76,7 +76,7 @@
 
 // expireTerm stops acting once the term is over (rule 9).
 func (t *turn) expireTerm() {
-	if t.epoch == 0 || t.cfg.flaw == flawTerm {
+	if t.epoch == 0 || t.cfg.flaw == flawPastTerm {
 		return
 	}
 	if t.due(t.termEnd) {
