--- a/internal/owner/lessor/standby_test.go
+++ b/internal/owner/lessor/standby_test.go
@@ -13,8 +13,8 @@
 	"hawthornfield.org/hawthornfield/internal/owner/lessor"
 )
 
-// newStandbyWorld returns a simulated fleet in three data centres that allows standbys, with one rule
-// broken, once every server has a holder.
+// newStandbyWorld returns a simulated fleet in three data centres that allows
+// standbys, with one rule broken, once every server has a holder.
 func newStandbyWorld(checks bool, f lessor.Flaw) *world.World {
 	o := world.Options{Seed: 5, VMs: 4, FenceChecks: checks, Standby: true, Skew: 5}
 	o.NewLessor = func(c lessor.Config) loop.Model { return lessor.New(lessor.WithFlaw(c, f)) }
