--- a/internal/rules/quorum/quorum.go
+++ b/internal/rules/quorum/quorum.go
@@ -225,7 +225,7 @@
 		return Record{}
 	}
 	slices.SortFunc(revs, func(a, b ident.Revision) int { return cmp.Compare(b, a) })
-	r := Record{Form: FormatVersion, Rev: revs[len(revs)/2], Live: len(revs)}
+	r := Record{FormatVersion: FormatVersion, Rev: revs[len(revs)/2], Live: len(revs)}
 	for _, rev := range revs {
 		if rev >= r.Rev {
 			r.Confirmed++
--- a/internal/rules/quorum/quorum_test.go
+++ b/internal/rules/quorum/quorum_test.go
@@ -146,7 +146,7 @@
 		f.send(vm, AppliedMsg{Rev: 2})
 	}
 	f.pass(Slow)
-	assert.Equal(t, f.record, Record{Form: FormatVersion, Rev: 2, Confirmed: 6, Live: 10, At: f.record.At})
+	assert.Equal(t, f.record, Record{FormatVersion: FormatVersion, Rev: 2, Confirmed: 6, Live: 10, At: f.record.At})
 }
 
 // The VM that counts is lost after all have told it, before it wrote anything.
@@ -270,21 +270,21 @@
 
 func TestRecordsThatMakeNoSenseAreRefused(t *testing.T) {
 	for _, bad := range []Record{
-		{}, {Form: FormatVersion, Rev: 1, Confirmed: 2, Live: 4}, {Form: FormatVersion, Confirmed: 3, Live: 4}, {Rev: 1, Confirmed: 3, Live: 4},
+		{}, {FormatVersion: FormatVersion, Rev: 1, Confirmed: 2, Live: 4}, {FormatVersion: FormatVersion, Confirmed: 3, Live: 4}, {Rev: 1, Confirmed: 3, Live: 4},
 	} {
 		raw, err := bad.Encode()
 		assert.NilError(t, err)
 		_, err = Decode(raw)
 		assert.Equal(t, kinds.Of(err), kinds.Malformed, "%+v", bad)
 	}
-	raw, err := Record{Form: FormatVersion + 1, Rev: 1, Confirmed: 3, Live: 4}.Encode()
+	raw, err := Record{FormatVersion: FormatVersion + 1, Rev: 1, Confirmed: 3, Live: 4}.Encode()
 	assert.NilError(t, err)
 	_, err = Decode(raw)
 	assert.Equal(t, kinds.Of(err), kinds.NewerVersion)
 }
 
 func FuzzRecord(f *testing.F) {
-	raw, err := Record{Form: FormatVersion, Rev: 3, Confirmed: 6, Live: 10, At: time.Unix(1000, 0)}.Encode()
+	raw, err := Record{FormatVersion: FormatVersion, Rev: 3, Confirmed: 6, Live: 10, At: time.Unix(1000, 0)}.Encode()
 	assert.NilError(f, err)
 	f.Add(raw)
 	f.Add([]byte{0xa1, 0x63, 'r', 'e', 'v', 0x20})
--- a/internal/rules/quorum/record.go
+++ b/internal/rules/quorum/record.go
@@ -17,11 +17,11 @@
 // Record says that a revision is accepted: Have of the Live entry VMs held it,
 // or a newer one, when it was written.
 type Record struct {
-	Form      uint           `cbor:"form"`
-	Rev       ident.Revision `cbor:"rev"`
-	Confirmed int            `cbor:"have"`
-	Live      int            `cbor:"live"`
-	At        time.Time      `cbor:"at"`
+	FormatVersion uint           `cbor:"form"`
+	Rev           ident.Revision `cbor:"rev"`
+	Confirmed     int            `cbor:"have"`
+	Live          int            `cbor:"live"`
+	At            time.Time      `cbor:"at"`
 }
 
 // Encode renders the record as it is stored.
@@ -35,9 +35,9 @@
 		return Record{}, err
 	}
 	switch {
-	case r.Form > FormatVersion:
+	case r.FormatVersion > FormatVersion:
 		return Record{}, kinds.New(kinds.NewerVersion, "accepted rules of a newer form")
-	case r.Form == 0 || r.Rev == 0 || r.Confirmed < 1 || 2*r.Confirmed <= r.Live:
+	case r.FormatVersion == 0 || r.Rev == 0 || r.Confirmed < 1 || 2*r.Confirmed <= r.Live:
 		return Record{}, kinds.New(kinds.Malformed, "accepted rules")
 	}
 	return r, nil
--- a/internal/rules/save/accept_test.go
+++ b/internal/rules/save/accept_test.go
@@ -17,7 +17,7 @@
 
 // record notes an acceptance as an entry VM does.
 func record(t *testing.T, s *objmem.Store, rev ident.Revision, old object.Version) {
-	raw, err := quorum.Record{Form: quorum.FormatVersion, Rev: rev, Confirmed: 2, Live: 3}.Encode()
+	raw, err := quorum.Record{FormatVersion: quorum.FormatVersion, Rev: rev, Confirmed: 2, Live: 3}.Encode()
 	assert.NilError(t, err)
 	_, err = s.Put(t.Context(), quorum.Object, raw, old)
 	assert.NilError(t, err)
