--- a/internal/audit/logbuf/lines.go
+++ b/internal/audit/logbuf/logbuf.go
@@ -1,10 +1,9 @@
-// Package logbuf writes log lines without ever making anybody wait for them.
+// Package logbuf buffers log lines, so that logging never blocks the caller.
 //
-// The pattern it answers is a reader of standard output that stops: a pipe fills, and
-// the next line blocks whoever writes it, a request or the decision who leads. Lines
-// go into a bounded ring instead, one duty writes them, and what finds no room is
-// counted. The count itself becomes a line: a gap that does not say that it is one
-// would be worse than the gap.
+// When the reader of standard output stops, the pipe fills, and the next line would block
+// whoever logs it, be it a request or the leader election. Lines go into a bounded ring
+// instead, and one goroutine writes them. Lines that do not fit are dropped and counted,
+// and the count is logged, so that a reader can see that lines are missing.
 package logbuf
 
 import (
@@ -16,27 +15,26 @@
 	"hawthornfield.org/hawthornfield/internal/core/ring"
 )
 
-// DefaultRing is how many lines may wait: about a second of the busiest VM's, in some
-// hundred kilobytes.
+// DefaultRing is the number of lines that may wait to be written: about a second of the
+// busiest VM's lines, in a few hundred kilobytes.
 const DefaultRing = 1024
 
-// Writer is the duty behind a handler. Make one with New.
+// Writer writes the buffered lines. Create one with New.
 type Writer struct {
-	inner slog.Handler
-	ring  *ring.Ring[line]
-	group group.Group
-	told  uint64
+	inner        slog.Handler
+	ring         *ring.Ring[line]
+	group        group.Group
+	reportedLost uint64
 }
 
 type line struct {
-	to  slog.Handler
-	rec slog.Record
+	handler slog.Handler
+	record  slog.Record
 }
 
-// New starts a writer in front of a handler, for a ring of n lines; zero takes
-// DefaultRing.
+// New starts a writer that buffers up to n lines for a handler; zero means DefaultRing.
 //
-//	w := lines.New(slog.NewJSONHandler(os.Stdout, nil), 0)
+//	w := logbuf.New(slog.NewJSONHandler(os.Stdout, nil), 0)
 //	defer w.Close()
 //	log := slog.New(w.Handler())
 func New(inner slog.Handler, n int) *Writer {
@@ -48,13 +46,13 @@
 	return w
 }
 
-// Handler returns the handler to log through.
+// Handler returns the handler that puts lines into the buffer.
 func (w *Writer) Handler() slog.Handler { return handler{w: w, inner: w.inner} }
 
-// Lost counts the lines that found no room.
+// Lost returns the number of lines dropped since the start.
 func (w *Writer) Lost() uint64 { return w.ring.Lost() }
 
-// Close writes what still waits, and waits for that.
+// Close writes the waiting lines and returns when that is done.
 func (w *Writer) Close() error {
 	err := w.group.Close()
 	for {
@@ -64,7 +62,7 @@
 		}
 		w.write(l)
 	}
-	w.report()
+	w.reportLosses()
 	return err
 }
 
@@ -76,38 +74,38 @@
 		}
 		w.write(l)
 		if w.ring.Len() == 0 {
-			w.report()
+			w.reportLosses()
 		}
 	}
 }
 
 func (w *Writer) write(l line) {
-	// A line that cannot be written has nowhere else to go: standard output is gone.
-	_ = l.to.Handle(context.Background(), l.rec)
+	// The error is ignored: without standard output there is nowhere else to log to.
+	_ = l.handler.Handle(context.Background(), l.record)
 }
 
-// report says how many lines were left out since the last time.
-func (w *Writer) report() {
-	lost := w.ring.Lost() - w.told
+// reportLosses logs how many lines were dropped since the last report.
+func (w *Writer) reportLosses() {
+	lost := w.ring.Lost() - w.reportedLost
 	if lost == 0 {
 		return
 	}
-	w.told += lost
+	w.reportedLost += lost
 	rec := slog.NewRecord(time.Now(), slog.LevelWarn, "lines left out", 0)
-	rec.AddAttrs(slog.Uint64("count", lost), slog.Uint64("total", w.told))
+	rec.AddAttrs(slog.Uint64("count", lost), slog.Uint64("total", w.reportedLost))
 	w.write(line{w.inner, rec})
 }
 
-// handler puts records into the ring.
+// handler is a [slog.Handler] that puts records into the ring.
 type handler struct {
 	w     *Writer
 	inner slog.Handler
 }
 
-// Enabled reports whether the handler behind would write such a line.
+// Enabled reports whether the wrapped handler logs at level l.
 func (h handler) Enabled(ctx context.Context, l slog.Level) bool { return h.inner.Enabled(ctx, l) }
 
-// Handle takes a line and returns at once.
+// Handle queues a line and returns at once.
 func (h handler) Handle(ctx context.Context, rec slog.Record) error {
 	h.w.ring.Push(ctx, line{h.inner, rec.Clone()})
 	return nil
@@ -118,5 +116,5 @@
 	return handler{h.w, h.inner.WithAttrs(attrs)}
 }
 
-// WithGroup returns a handler that puts attributes into a group.
+// WithGroup returns a handler that puts later attributes into a group.
 func (h handler) WithGroup(name string) slog.Handler { return handler{h.w, h.inner.WithGroup(name)} }
--- a/internal/audit/logbuf/lines_test.go
+++ b/internal/audit/logbuf/logbuf_test.go
@@ -12,25 +12,25 @@
 	"gotest.tools/v3/assert"
 )
 
-// stuck is an output whose reader has stopped until it is let go.
-type stuck struct {
+// blockedOutput is an output that blocks until its gate is closed.
+type blockedOutput struct {
 	mu   sync.Mutex
 	gate chan struct{}
 	buf  bytes.Buffer
 }
 
-func (s *stuck) Write(p []byte) (int, error) {
+func (s *blockedOutput) Write(p []byte) (int, error) {
 	<-s.gate
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.buf.Write(p)
 }
 
-// Whoever reads the log stops reading. Requests must not notice, memory must not
-// grow, and the log must say afterwards how much of it is missing.
-func TestNobodyWaitsForAReaderThatStopped(t *testing.T) {
+// The reader of the log stops reading. Logging must not block, memory must stay
+// bounded, and the log must say afterwards how many lines are missing.
+func TestLoggingDoesNotBlockWhenTheReaderStops(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		out := &stuck{gate: make(chan struct{})}
+		out := &blockedOutput{gate: make(chan struct{})}
 		w := New(slog.NewJSONHandler(out, nil), 8)
 		log := slog.New(w.Handler()).With("vm", "a")
 		start := time.Now()
--- a/internal/audit/record/record.go
+++ b/internal/audit/record/record.go
@@ -1,15 +1,13 @@
-// Package record takes down every routing and placement decision: what was
-// decided, for whom, under whose rule and revision, and why.
+// Package record records every routing and placement decision: what was decided,
+// for which caller, under which rule and rules revision, and why.
 //
-// The load pattern it answers is a decision for every request, several thousand
-// a second on one entry VM, each of which must end as a log line and, later, as
-// an answer to an auditor. Writing the line on the request path would make every
-// caller wait for the slowest reader of the log. Instead the request path puts a
-// value of fixed size into a bounded ring (BenchmarkRecord: no allocation) and
-// one duty renders and hands it on. When the ring is full the decision is
-// dropped and counted, and the count itself becomes a line and a record as soon
-// as there is room: a gap in the log that does not say that it is a gap would be
-// worse than the gap.
+// Every request yields a decision, several thousand a second on one entry VM, and
+// each decision must be logged and stay available to an auditor. Logging on the
+// request path would make every caller wait for a slow reader of the log. Instead
+// the request path puts a value of fixed size into a bounded ring (BenchmarkRecord:
+// no allocation), and one goroutine logs it and passes it to the sinks. When the
+// ring is full the decision is dropped and counted. The count is logged and recorded
+// as soon as there is room, so that a reader can see that decisions are missing.
 package record
 
 import (
@@ -21,20 +19,20 @@
 	"hawthornfield.org/hawthornfield/internal/core/retain"
 )
 
-// Action tells what was decided.
+// Action is the type of a decision.
 type Action string
 
-// The sorts of decisions.
+// Types of decisions.
 const (
 	Route  Action = "route"  // a request was answered or refused
 	Accept Action = "accept" // a request is about to be forwarded, under a durable rule
 	Place  Action = "place"  // a slice or a key got an owner
 	Lost   Action = "lost"   // Count decisions were not recorded
-	Skip   Action = "skip"   // Count decisions of a rule are not in the journal, as Keep says
+	Skip   Action = "skip"   // Count decisions of a rule were left out of the journal under its policy Keep
 )
 
 // Decision is one decision. Fields that do not apply stay zero. The names in
-// the log and in the journal are one word each.
+// the log and in the journal are one word each and differ from some field names.
 type Decision struct {
 	At           time.Time      `cbor:"at" json:"at"`
 	Action       Action         `cbor:"sort" json:"sort"`
@@ -45,37 +43,37 @@
 	Key          ident.Key      `cbor:"key,omitempty" json:"key,omitempty"`
 	Slice        ident.Slice    `cbor:"slice,omitempty" json:"slice,omitempty"`
 	Rule         string         `cbor:"rule,omitempty" json:"rule,omitempty"`
-	Rev          ident.Revision `cbor:"rev,omitempty" json:"rev,omitempty"`       // of the rules; of the table for Place
-	Newest       ident.Revision `cbor:"newest,omitempty" json:"newest,omitempty"` // revision that exists while Rev was still in force
+	Rev          ident.Revision `cbor:"rev,omitempty" json:"rev,omitempty"`       // revision of the rules; of the ownership table for Place
+	Newest       ident.Revision `cbor:"newest,omitempty" json:"newest,omitempty"` // newest rules revision that existed while Rev was still in force
 	Server       ident.Server   `cbor:"server,omitempty" json:"server,omitempty"`
-	PrevOwner    ident.Server   `cbor:"former,omitempty" json:"former,omitempty"` // owner before, for Place
+	PrevOwner    ident.Server   `cbor:"former,omitempty" json:"former,omitempty"` // previous owner, for Place
 	Epoch        ident.Epoch    `cbor:"epoch,omitempty" json:"epoch,omitempty"`
 	Kind         string         `cbor:"kind,omitempty" json:"kind,omitempty"`     // name of a kinds.Kind; the number may differ between versions
-	Ran          kinds.Ran      `cbor:"ran,omitempty" json:"ran,omitempty"`       // what the caller was promised
+	Ran          kinds.Ran      `cbor:"ran,omitempty" json:"ran,omitempty"`       // what the caller was told about whether the request ran
 	Status       int            `cbor:"code,omitempty" json:"code,omitempty"`     // HTTP status that the caller got
-	Reason       string         `cbor:"why,omitempty" json:"why,omitempty"`       // one sentence
-	Took         time.Duration  `cbor:"took,omitempty" json:"took,omitempty"`     // arrival to answer
-	PipelineWait time.Duration  `cbor:"unread,omitempty" json:"unread,omitempty"` // part of took in which it waited behind others on its connection
-	Pipelined    bool           `cbor:"ahead,omitempty" json:"ahead,omitempty"`   // worked on before those before it on its connection were answered
-	Wait         time.Duration  `cbor:"wait,omitempty" json:"wait,omitempty"`     // part of took in which it waited here for a place at a server
-	FirstByte    time.Duration  `cbor:"first,omitempty" json:"first,omitempty"`   // from sending to the first byte of the last attempt's answer: way and server
+	Reason       string         `cbor:"why,omitempty" json:"why,omitempty"`       // a sentence
+	Took         time.Duration  `cbor:"took,omitempty" json:"took,omitempty"`     // from arrival to answer
+	PipelineWait time.Duration  `cbor:"unread,omitempty" json:"unread,omitempty"` // part of Took spent waiting behind earlier requests on its connection
+	Pipelined    bool           `cbor:"ahead,omitempty" json:"ahead,omitempty"`   // processed before the earlier requests on its connection were answered
+	Wait         time.Duration  `cbor:"wait,omitempty" json:"wait,omitempty"`     // part of Took spent queued on this VM for a free slot at a server
+	FirstByte    time.Duration  `cbor:"first,omitempty" json:"first,omitempty"`   // last attempt: from sending to the first byte of the answer, network and server time
 	Remote       bool           `cbor:"far,omitempty" json:"far,omitempty"`       // the server is in another data centre
-	Load         int            `cbor:"load,omitempty" json:"load,omitempty"`     // the server's own word on requests there, as known when it was chosen
-	LoadAge      time.Duration  `cbor:"age,omitempty" json:"age,omitempty"`       // of that word
-	Bytes        int64          `cbor:"bytes,omitempty" json:"bytes,omitempty"`   // of the bodies, both ways
+	Load         int            `cbor:"load,omitempty" json:"load,omitempty"`     // number of requests at the server that it last reported when it was chosen
+	LoadAge      time.Duration  `cbor:"age,omitempty" json:"age,omitempty"`       // age of Load
+	Bytes        int64          `cbor:"bytes,omitempty" json:"bytes,omitempty"`   // size of the request and response bodies together
 	Attempts     int            `cbor:"tries,omitempty" json:"tries,omitempty"`
-	Fingerprint  string         `cbor:"print,omitempty" json:"print,omitempty"` // of a request under which a server broke off, the same for each repeat
-	// Of a refusal: how many requests of this VM ran and waited where it was to go, and
-	// how many may run there.
+	Fingerprint  string         `cbor:"print,omitempty" json:"print,omitempty"` // of a request during which a server failed; the same for each repetition
+	// For a refused request: how many requests of this VM were running (Busy) and queued
+	// (Queue) at its target, and how many may run there (Limit).
 	Busy  int           `cbor:"busy,omitempty" json:"busy,omitempty"`
 	Limit int           `cbor:"most,omitempty" json:"most,omitempty"`
 	Queue int           `cbor:"queue,omitempty" json:"queue,omitempty"`
 	Count uint64        `cbor:"count,omitempty" json:"count,omitempty"` // for Lost and Skip
-	Keep  retain.Policy `cbor:"keep,omitempty" json:"keep,omitempty"`   // of the rule; in the journal for Skip alone
-	Skip  bool          `cbor:"-" json:"-"`                             // the rule leaves it out of the journal
+	Keep  retain.Policy `cbor:"keep,omitempty" json:"keep,omitempty"`   // retention policy of the rule; in the journal only for Skip
+	Skip  bool          `cbor:"-" json:"-"`                             // the rule's policy leaves this decision out of the journal
 }
 
-// LogValue groups the fields that are set, so that a line stays short.
+// LogValue returns the fields that are set as a group, so that a line stays short.
 func (d *Decision) LogValue() slog.Value { return slog.GroupValue(d.attrs()...) }
 
 func (d *Decision) attrs() []slog.Attr {
--- a/internal/audit/record/record_test.go
+++ b/internal/audit/record/record_test.go
@@ -40,38 +40,37 @@
 	assert.Equal(t, w.Written(), uint64(2))
 }
 
-// The reader of the log stands still for a moment while requests go on, and the
-// ring fills. An auditor who counts lines later must be told how many are
-// missing, and that they are missing.
-func TestOverflowIsCountedLoggedAndHandedOn(t *testing.T) {
+// The reader of the log pauses while requests go on, and the ring fills. The number of
+// dropped decisions must be logged and passed to the sinks.
+func TestDroppedDecisionsAreCountedLoggedAndPassedToSinks(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var out bytes.Buffer
 		var kept []Decision
 		gate := make(chan struct{})
-		stuck := SinkFunc(func(d Decision) {
+		blocked := SinkFunc(func(d Decision) {
 			<-gate
 			kept = append(kept, d)
 		})
-		w := New("vm-1", slog.New(slog.NewJSONHandler(&out, nil)), WithRing(4), WithSink(stuck))
-		taken := 0
+		w := New("vm-1", slog.New(slog.NewJSONHandler(&out, nil)), WithRing(4), WithSink(blocked))
+		accepted := 0
 		for range 20 {
 			if w.Record(Decision{Action: Route}) {
-				taken++
+				accepted++
 			}
 			synctest.Wait()
 		}
-		assert.Equal(t, taken, 5) // four in the ring, one in the stuck sink
+		assert.Equal(t, accepted, 5) // four in the ring, one in the blocked sink
 		assert.Equal(t, w.Lost(), uint64(15))
 		assert.Equal(t, w.Waiting(), 4)
 		close(gate)
 		time.Sleep(2 * time.Second)
 		w.Record(Decision{Action: Route})
 		assert.NilError(t, w.Close())
-		var said uint64
+		var reported uint64
 		for _, d := range kept {
-			said += d.Count
+			reported += d.Count
 		}
-		assert.Equal(t, said, uint64(15))
+		assert.Equal(t, reported, uint64(15))
 		assert.Equal(t, len(kept), 6+1)
 		assert.Assert(t, strings.Contains(out.String(), `"msg":"decisions not recorded","count":15`))
 	})
@@ -84,7 +83,7 @@
 	assert.NilError(t, w.Close())
 }
 
-// BenchmarkRecord is what the request path pays.
+// BenchmarkRecord measures the cost on the request path.
 func BenchmarkRecord(b *testing.B) {
 	w := New("vm-1", slog.New(slog.NewJSONHandler(io.Discard, nil)), WithRing(1<<16))
 	defer w.Close()
@@ -96,7 +95,7 @@
 	b.ReportMetric(float64(w.Lost())/float64(b.N), "lost/op")
 }
 
-// BenchmarkLine is what the writing duty pays for each decision.
+// BenchmarkLine measures the cost of writing one decision.
 func BenchmarkLine(b *testing.B) {
 	w := &Writer{log: slog.New(slog.NewJSONHandler(io.Discard, nil))}
 	d := Decision{At: time.Now(), Action: Route, ID: "r-1", Key: "scale-7", Rule: "receipts", Rev: 12, Server: "ledger-3", Epoch: 4, Caller: "c"}
@@ -106,10 +105,10 @@
 	}
 }
 
-// A VM serves a thousand requests a second. A line for each would cost more than the
-// requests; without a rule that says which are left out and how many, a reader would
-// take the log for the whole.
-func TestPlainDecisionsAreSummedAboveARate(t *testing.T) {
+// A VM serves a thousand requests a second, and a log line for each would cost more than
+// the requests. The log must say how many decisions it leaves out, or a reader would take
+// it to be complete.
+func TestPlainDecisionsAboveTheRateAreOnlyCounted(t *testing.T) {
 	var out bytes.Buffer
 	w := New("vm-1", slog.New(slog.NewJSONHandler(&out, nil)), WithRate(10))
 	start := time.Unix(1000, 0)
@@ -126,9 +125,9 @@
 	assert.Assert(t, strings.Contains(out.String(), `"msg":"plain decisions summed","count":85`), out.String())
 }
 
-// Servers are away and every request is refused, thousands a second. With a line for
-// each, the lines that say why, those about what the VM believes, find no room.
-func TestAFloodOfFailuresLeavesRoomAndSaysHowMany(t *testing.T) {
+// Servers are down and thousands of requests a second are refused. A line for each would
+// crowd out the lines about the state of the VM, which explain the refusals.
+func TestFailureLinesAreLimitedAndTheRestCounted(t *testing.T) {
 	var out bytes.Buffer
 	w := New("vm-1", slog.New(slog.NewJSONHandler(&out, nil)), WithRate(10))
 	start := time.Unix(1000, 0)
@@ -141,20 +140,20 @@
 	assert.Assert(t, strings.Contains(out.String(), `"msg":"failures summed","count":900`), out.String())
 }
 
-// counted counts the bytes that go to a reader.
-type counted struct{ n int }
+// countingWriter counts the bytes written to it.
+type countingWriter struct{ n int }
 
-func (c *counted) Write(p []byte) (int, error) {
+func (c *countingWriter) Write(p []byte) (int, error) {
 	c.n += len(p)
 	return len(p), nil
 }
 
-// BenchmarkSecond is what a second's lines cost at two rates of requests, of which one
-// in a hundred fails: the processor time of the writing duty, and bytes.
+// BenchmarkSecond measures the processor time and bytes of one second of log lines at two
+// request rates, with one failure in a hundred requests.
 func BenchmarkSecond(b *testing.B) {
 	for _, rate := range []int{40, 1000} {
 		b.Run(strconv.Itoa(rate), func(b *testing.B) {
-			var out counted
+			var out countingWriter
 			w := &Writer{log: slog.New(slog.NewJSONHandler(&out, nil)), rate: 60}
 			d := Decision{
 				Action: Route, ID: "0c5f3d5d5c1e4b6f", VM: "vm-1", Key: "scale-70811", Rule: "receipts", Service: "ledger",
--- a/internal/audit/record/writer.go
+++ b/internal/audit/record/writer.go
@@ -13,14 +13,15 @@
 	"hawthornfield.org/hawthornfield/internal/core/ring"
 )
 
-// DefaultRing is how many decisions may wait. At 5,000 decisions a second it
-// bridges a pause of the reader of about 1.6 s, in about 3 MB.
+// DefaultRing is the number of decisions that may wait to be written. At 5,000
+// decisions a second it covers a pause of the log reader of about 1.6 s, in about
+// 3 MB.
 const DefaultRing = 8192
 
-// reportEvery is how often a loss that goes on is reported again.
-const reportEvery = time.Second
+// lossReportInterval is the time between reports while decisions keep being dropped.
+const lossReportInterval = time.Second
 
-// Sink takes decisions after they were logged, for example the journal. Take
+// Sink receives decisions after they were logged, for example the journal. Append
 // must not block for long: while it does, the ring fills.
 type Sink interface {
 	Append(d Decision)
@@ -32,72 +33,72 @@
 // Append calls f.
 func (f SinkFunc) Append(d Decision) { f(d) }
 
-// Writer logs decisions off the request path. Make one with New; a nil Writer
-// takes decisions and does nothing, so that parts can be used without one.
+// Writer logs decisions outside the request path. Create one with New. A nil Writer
+// accepts decisions and does nothing, so that components can be used without one.
 //
 //	w := record.New("vm-1", slog.New(slog.NewJSONHandler(os.Stdout, nil)))
 //	defer w.Close()
-//	w.Record(record.Decision{Sort: record.Route, Key: "scale-7", Server: "lookup-3"})
+//	w.Record(record.Decision{Action: record.Route, Key: "scale-7", Server: "lookup-3"})
 type Writer struct {
 	vm    ident.VM
 	log   *slog.Logger
 	ring  *ring.Ring[Decision]
 	sinks []Sink
 	quiet bool
-	rate  int // plain decisions that get a line of their own, a second; zero: all
+	rate  int // plain decisions logged per second; zero logs all
 	group group.Group
 
-	second time.Time // the present second of the rate; the writing duty's own
-	plain  tally     // plain decisions in it
-	fault  tally     // all others
+	secondStart time.Time // start of the current second of the rate limit; used by run and Close only
+	plainQuota  lineQuota // plain decisions in this second
+	faultQuota  lineQuota // all other decisions in this second
 
-	told    uint64    // losses already reported; the writing duty's own
-	toldAt  time.Time // when
-	written atomic.Uint64
+	reportedLost uint64    // losses already reported; used by run and Close only
+	reportedAt   time.Time // time of the last loss report
+	written      atomic.Uint64
 }
 
-// Option changes how a Writer works.
+// Option configures a Writer.
 type Option func(*Writer)
 
-// WithRing sets how many decisions may wait.
+// WithRing sets the number of decisions that may wait to be written.
 func WithRing(n int) Option {
 	return func(w *Writer) { w.ring = ring.New[Decision](n, ring.Refuse) }
 }
 
-// WithSink hands every decision to s as well.
+// WithSink also passes every decision to s.
 func WithSink(s Sink) Option { return func(w *Writer) { w.sinks = append(w.sinks, s) } }
 
-// WithoutLines hands decisions to the sinks only and logs nothing but losses.
+// WithoutLines passes decisions to the sinks only and logs nothing but losses.
 func WithoutLines() Option { return func(w *Writer) { w.quiet = true } }
 
-// tally counts the decisions of a second that had a line, and those that had none.
-type tally struct {
-	inIt   int
-	summed uint64
+// lineQuota limits the log lines of one second and counts the decisions left out.
+type lineQuota struct {
+	seen       int
+	suppressed uint64
 }
 
-// take reports whether one more decision gets a line, of n a second.
-func (t *tally) take(n int) bool {
-	t.inIt++
-	if t.inIt <= n {
+// allow reports whether one more decision may be logged, at n a second.
+func (t *lineQuota) allow(n int) bool {
+	t.seen++
+	if t.seen <= n {
 		return true
 	}
-	t.summed++
+	t.suppressed++
 	return false
 }
 
-// faultLines is how many lines a second failures get for each that plain decisions
-// get: a failure is worth ten successes to whoever reads, and a flood of refusals
-// still leaves room for the lines about what the VM believes.
-const faultLines = 10
+// faultRateFactor is the ratio of the line rate of failures to that of plain decisions.
+// Failures are more useful to a reader, but their rate is limited too, so that a flood of
+// refusals leaves room for the lines about the state of the VM.
+const faultRateFactor = 10
 
-// WithRate gives only n plain decisions a second a line of their own, and ten times as
-// many of the others; what is above that is summed up in a line a second for each of
-// the two. Plain is a request that was answered at its first attempt and without a
-// fault of the server. Sinks get all decisions.
+// WithRate limits the log to n plain decisions a second, and to ten times as many of the
+// others. One line a second for each of the two counts the decisions above the limit. A
+// decision is plain when its request was answered at the first attempt without a server
+// error. Sinks get all decisions.
 func WithRate(n int) Option { return func(w *Writer) { w.rate = n } }
 
-// New starts a writer for one VM. A nil log uses [slog.Default].
+// New starts the writer of one VM. A nil log means [slog.Default].
 func New(vm ident.VM, log *slog.Logger, opts ...Option) *Writer {
 	if log == nil {
 		log = slog.Default()
@@ -110,9 +111,9 @@
 	return w
 }
 
-// Record takes one decision and returns at once. It fills in the VM and the
-// time when they are left out. It reports whether there was room; a decision
-// without room is counted, and the count is logged and handed to the sinks.
+// Record queues one decision and returns at once. It fills in the VM and the
+// time when they are left out. It reports whether there was room. Dropped decisions
+// are counted, and the count is logged and passed to the sinks.
 func (w *Writer) Record(d Decision) bool {
 	if w == nil {
 		return true
@@ -129,7 +130,7 @@
 	return w.ring.Push(context.Background(), d)
 }
 
-// Lost counts the decisions that found no room since the start.
+// Lost returns the number of decisions dropped since the start.
 func (w *Writer) Lost() uint64 {
 	if w == nil {
 		return 0
@@ -137,7 +138,7 @@
 	return w.ring.Lost()
 }
 
-// Written counts the decisions that were logged and handed on.
+// Written returns the number of decisions that were logged and passed to the sinks.
 func (w *Writer) Written() uint64 {
 	if w == nil {
 		return 0
@@ -145,7 +146,7 @@
 	return w.written.Load()
 }
 
-// Waiting is how many decisions wait now, for a gauge.
+// Waiting returns the number of decisions waiting to be written.
 func (w *Writer) Waiting() int {
 	if w == nil {
 		return 0
@@ -153,8 +154,8 @@
 	return w.ring.Len()
 }
 
-// Close writes what still waits, reports the last losses and waits for both.
-// Record must not be called any more.
+// Close writes the waiting decisions, reports the last losses, and returns when both
+// are done. Record must not be called after Close.
 func (w *Writer) Close() error {
 	if w == nil {
 		return nil
@@ -167,8 +168,8 @@
 		}
 		w.write(d)
 	}
-	w.sum(time.Now())
-	w.report(time.Now())
+	w.startSecond(time.Now())
+	w.reportLosses(time.Now())
 	return err
 }
 
@@ -179,64 +180,64 @@
 			return nil
 		}
 		w.write(d)
-		if w.ring.Len() == 0 || d.At.Sub(w.toldAt) >= reportEvery {
-			w.report(d.At)
+		if w.ring.Len() == 0 || d.At.Sub(w.reportedAt) >= lossReportInterval {
+			w.reportLosses(d.At)
 		}
 	}
 }
 
-// report turns the losses since the last report into a line and a record of
-// their own. What goes wrong without it: after a burst the log shows fewer
-// requests than were served, and nobody can tell that from a quiet hour.
-func (w *Writer) report(now time.Time) {
-	lost := w.ring.Lost() - w.told
+// reportLosses logs and records how many decisions were dropped since the last report.
+// Without it, a log with dropped decisions could not be told from one of a time with
+// few requests.
+func (w *Writer) reportLosses(now time.Time) {
+	lost := w.ring.Lost() - w.reportedLost
 	if lost == 0 {
 		return
 	}
-	w.told += lost
-	w.toldAt = now
+	w.reportedLost += lost
+	w.reportedAt = now
 	w.log.LogAttrs(context.Background(), slog.LevelWarn, "decisions not recorded",
-		slog.Uint64("count", lost), slog.Uint64("total", w.told))
-	w.hand(Decision{At: now, Action: Lost, VM: w.vm, Count: lost, Reason: "the ring of decisions was full"})
+		slog.Uint64("count", lost), slog.Uint64("total", w.reportedLost))
+	w.passToSinks(Decision{At: now, Action: Lost, VM: w.vm, Count: lost, Reason: "the ring of decisions was full"})
 }
 
 func (w *Writer) write(d Decision) {
-	if !w.quiet && w.lineFor(&d) {
+	if !w.quiet && w.shouldLog(&d) {
 		w.log.LogAttrs(context.Background(), slog.LevelInfo, "decision", append(d.attrs(), slog.Time("at", d.At))...)
 	}
-	w.hand(d)
+	w.passToSinks(d)
 	w.written.Add(1)
 }
 
-// lineFor decides whether a decision gets a line of its own.
-func (w *Writer) lineFor(d *Decision) bool {
+// shouldLog reports whether a decision gets its own log line.
+func (w *Writer) shouldLog(d *Decision) bool {
 	if w.rate <= 0 {
 		return true
 	}
-	if d.At.Sub(w.second) >= time.Second {
-		w.sum(d.At)
+	if d.At.Sub(w.secondStart) >= time.Second {
+		w.startSecond(d.At)
 	}
 	if d.Action == Route && d.Kind == "" && d.Attempts <= 1 && d.Status < http.StatusInternalServerError {
-		return w.plain.take(w.rate)
+		return w.plainQuota.allow(w.rate)
 	}
-	return w.fault.take(faultLines * w.rate)
+	return w.faultQuota.allow(faultRateFactor * w.rate)
 }
 
-// sum begins another second, and says how many decisions the last one had without a
-// line.
-func (w *Writer) sum(now time.Time) {
-	w.tell(slog.LevelInfo, "plain decisions summed", w.plain.summed)
-	w.tell(slog.LevelWarn, "failures summed", w.fault.summed)
-	w.second, w.plain, w.fault = now, tally{}, tally{}
+// startSecond logs how many decisions of the last second were left out of the log, and
+// starts another second.
+func (w *Writer) startSecond(now time.Time) {
+	w.logSuppressed(slog.LevelInfo, "plain decisions summed", w.plainQuota.suppressed)
+	w.logSuppressed(slog.LevelWarn, "failures summed", w.faultQuota.suppressed)
+	w.secondStart, w.plainQuota, w.faultQuota = now, lineQuota{}, lineQuota{}
 }
 
-func (w *Writer) tell(l slog.Level, what string, n uint64) {
+func (w *Writer) logSuppressed(l slog.Level, msg string, n uint64) {
 	if n > 0 {
-		w.log.LogAttrs(context.Background(), l, what, slog.Uint64("count", n))
+		w.log.LogAttrs(context.Background(), l, msg, slog.Uint64("count", n))
 	}
 }
 
-func (w *Writer) hand(d Decision) {
+func (w *Writer) passToSinks(d Decision) {
 	for _, s := range w.sinks {
 		s.Append(d)
 	}
