--- a/internal/audit/ledger/compare_test.go
+++ b/internal/audit/ledger/compare_test.go
@@ -15,14 +15,14 @@
 	"hawthornfield.org/hawthornfield/internal/plat/object"
 )
 
-// appender is the way that was not taken: one object that is extended by a
-// conditional update. It is written with the same care: after an answer that
-// was lost it reads back and looks for its own mark.
+// appender implements the rejected alternative: one object that is extended by
+// conditional updates. It also handles lost answers: it reads the object back and looks
+// for its own mark.
 type appender struct {
-	store  *objmem.Store
-	rolled int
-	value  appended
-	ver    object.Version
+	store   *objmem.Store
+	objects int
+	value   appended
+	version object.Version
 }
 
 type appended struct {
@@ -32,25 +32,25 @@
 }
 
 func (a *appender) append(ctx context.Context, mark string, data []byte) {
-	if a.value.bytes+len(data) > compareRoll {
-		a.rolled++
-		a.value, a.ver = appended{}, 0
+	if a.value.bytes+len(data) > compareMaxObject {
+		a.objects++
+		a.value, a.version = appended{}, 0
 	}
-	name := fmt.Sprint("naive/", a.rolled)
+	name := fmt.Sprint("naive/", a.objects)
 	a.value.Marks = append(a.value.Marks, mark)
 	a.value.Data = append(a.value.Data, data)
 	a.value.bytes += len(data)
 	for {
 		b, _ := wire.Encode(a.value)
-		v, err := a.store.Put(ctx, name, b, a.ver)
+		v, err := a.store.Put(ctx, name, b, a.version)
 		if err == nil {
-			a.ver = v
+			a.version = v
 			return
 		}
 		o, err := a.store.Get(ctx, name)
 		var seen appended
 		if err == nil && wire.Decode(o.Value, &seen) == nil && len(seen.Marks) > 0 && seen.Marks[len(seen.Marks)-1] == mark {
-			a.ver = o.Version
+			a.version = o.Version
 			return
 		}
 		time.Sleep(retryMin)
@@ -63,19 +63,21 @@
 }
 
 const (
-	compareBatches = 200
-	compareBytes   = 20_000 // about 100 decisions
-	compareRoll    = 256 << 10
+	compareBatches   = 200
+	compareBytes     = 20_000 // about 100 decisions
+	compareMaxObject = 256 << 10
 )
 
-// noise does not compress, so that the comparison is about the way of writing.
-func noise(i int) []byte {
+// incompressible returns random bytes, so that compression has no effect on the comparison.
+func incompressible(i int) []byte {
 	b := make([]byte, compareBytes)
 	rng := rand.NewChaCha8([32]byte{byte(i)})
 	_, _ = rng.Read(b)
 	return b
 }
 
+// faulty returns a fault function that delays each call by 3 ms and loses the answer to
+// every n-th write; zero loses none.
 func faulty(every int) func(objmem.Op, string) objmem.Fault {
 	n := 0
 	return func(op objmem.Op, _ string) objmem.Fault {
@@ -95,21 +97,21 @@
 		start := time.Now()
 		a := &appender{store: store}
 		for i := range compareBatches {
-			a.append(t.Context(), fmt.Sprint(i), noise(i))
+			a.append(t.Context(), fmt.Sprint(i), incompressible(i))
 		}
 		c = cost{store.Usage(), time.Since(start)}
 	})
 	return c
 }
 
-func costOfRegisters(t *testing.T, every int) (c cost) {
+func costOfWriteOnce(t *testing.T, every int) (c cost) {
 	synctest.Test(t, func(t *testing.T) {
 		store := objmem.New()
 		store.SetFault(faulty(every))
 		start := time.Now()
-		j := Open(store, "log/x", WithLog(quiet), WithLimits(Limits{Batch: compareBytes + 100, Rate: 1e6, Budget: 1e9}))
+		j := Open(store, "log/x", WithLog(discardLog), WithLimits(Limits{Batch: compareBytes + 100, Rate: 1e6, Budget: 1e9}))
 		for i := range compareBatches {
-			item, err := wire.Encode(noise(i))
+			item, err := wire.Encode(incompressible(i))
 			assert.NilError(t, err)
 			j.loop.Send(AddMsg{Data: item, At: time.Now()})
 		}
@@ -119,11 +121,11 @@
 	return c
 }
 
-// Registers against appending, same batches, same faults. The log of this test
-// is the table in docs/design/audit.md.
-func TestRegistersCostLessThanAppending(t *testing.T) {
+// Compares write-once objects with appending to one object, for the same batches and
+// faults. The log of this test is the table in docs/design/audit.md.
+func TestWriteOnceObjectsCostLessThanAppending(t *testing.T) {
 	for _, every := range []int{0, 20, 3} {
-		a, r := costOfAppending(t, every), costOfRegisters(t, every)
+		a, r := costOfAppending(t, every), costOfWriteOnce(t, every)
 		for name, c := range map[string]cost{"appending": a, "registers": r} {
 			t.Logf("answers lost: 1 of %d; %s: %d writes, %d reads, %.1f MB in, %.1f MB out, %v",
 				every, name, c.usage.Writes, c.usage.Reads, float64(c.usage.In)/1e6, float64(c.usage.Out)/1e6, c.took)
--- a/internal/audit/ledger/sieve_test.go
+++ b/internal/audit/ledger/filter_test.go
@@ -17,16 +17,16 @@
 	"hawthornfield.org/hawthornfield/internal/fake/seeds"
 )
 
-// routed is a decision as the request path hands it over.
-func routed(id string, w retain.Policy, c retain.Case) record.Decision {
+// routedDecision returns a decision as the request path makes it.
+func routedDecision(id string, w retain.Policy, c retain.Case) record.Decision {
 	d := decision(id)
 	d.Rule, d.Rev, d.Service, d.Key, d.Keep = "rule-"+string(w), 3, "lookup", c.Key, w
 	d.Skip = !w.Retains(c)
 	return d
 }
 
-// kept reads what stands in the journals: ids, and counts by word.
-func kept(t *testing.T, store *objmem.Store) (ids map[string]bool, skips map[retain.Policy]uint64) {
+// readStored returns the ids in the journals, and the skip counts by retention policy.
+func readStored(t *testing.T, store *objmem.Store) (ids map[string]bool, skips map[retain.Policy]uint64) {
 	ids, skips = map[string]bool{}, map[retain.Policy]uint64{}
 	paths, err := Paths(t.Context(), store)
 	assert.NilError(t, err)
@@ -42,7 +42,7 @@
 					skips[d.Keep] += d.Count
 					continue
 				}
-				assert.Assert(t, !ids[string(d.ID)], "kept twice")
+				assert.Assert(t, !ids[string(d.ID)], "stored twice")
 				assert.Equal(t, d.Keep, retain.Policy(""))
 				ids[string(d.ID)] = true
 			}
@@ -51,10 +51,10 @@
 	return ids, skips
 }
 
-// Whatever rules and requests there are, the journal holds exactly the decisions
-// that the rules say, and says of all others how many they were. One entry too
-// few and an auditor is told that a request never was.
-func TestTheJournalHoldsExactlyWhatTheRulesSay(t *testing.T) {
+// For any policies and requests, the journal must hold exactly the decisions that the
+// policies retain, and the count of all others. With an entry missing, an auditor would
+// conclude that a request never took place.
+func TestTheJournalHoldsExactlyWhatThePoliciesRetain(t *testing.T) {
 	seeds.Check(t, func(rt *rapid.T) {
 		words := []retain.Policy{"", retain.All, retain.Submissions, retain.None, "1/2", "1/5"}
 		store := objmem.New()
@@ -79,42 +79,42 @@
 			j := open(store, "vm-1")
 			s := NewFilter(j)
 			for i := range n {
-				s.Append(routed(fmt.Sprint(i), chosen[i], cases[i]))
+				s.Append(routedDecision(fmt.Sprint(i), chosen[i], cases[i]))
 				time.Sleep(time.Duration(pause[i]) * time.Millisecond)
 			}
 			assert.NilError(t, s.Close())
 			assert.NilError(t, j.Close())
-			gotIDs, gotSkips := kept(t, store)
+			gotIDs, gotSkips := readStored(t, store)
 			assert.DeepEqual(t, gotIDs, want)
 			assert.DeepEqual(t, gotSkips, skips)
 		})
 	})
 }
 
-// The store is away for ten minutes while lookups go on that no rule keeps, and
-// the journal's small buffer fills with others and drops. Counts that were
-// dropped with them would make a report say "one entry lost" for thousands.
+// The store is down for ten minutes. The small buffer of the journal overflows with
+// retained decisions, while thousands of others are left out. If the skip counts were
+// dropped too, a report would show one lost entry instead of thousands of skipped ones.
 func TestCountsOutlastAnOutageAndAFullBuffer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := objmem.New()
 		j := open(store, "vm-1", WithLimits(Limits{Buffer: 20_000}))
 		s := NewFilter(j)
-		s.Append(routed("first", retain.All, retain.Case{}))
+		s.Append(routedDecision("first", retain.All, retain.Case{}))
 		time.Sleep(time.Second)
 		store.SetFault(func(objmem.Op, string) objmem.Fault { return objmem.Fault{Down: true} })
 		const lookups = 6000
 		for i := range lookups {
-			s.Append(routed(fmt.Sprint("l", i), retain.None, retain.Case{Safe: true, Succeeded: true}))
-			s.Append(routed(fmt.Sprint("s", i, strings.Repeat("x", 40)), retain.All, retain.Case{}))
+			s.Append(routedDecision(fmt.Sprint("l", i), retain.None, retain.Case{Safe: true, Succeeded: true}))
+			s.Append(routedDecision(fmt.Sprint("s", i, strings.Repeat("x", 40)), retain.All, retain.Case{}))
 			time.Sleep(100 * time.Millisecond)
 		}
-		assert.Assert(t, j.Status().Lost > 0, "the buffer never filled: nothing is shown")
+		assert.Assert(t, j.Status().Lost > 0, "the buffer never filled, so the test shows nothing")
 		assert.Equal(t, s.Skipped(), uint64(lookups))
 		store.SetFault(nil)
 		time.Sleep(time.Minute)
 		assert.NilError(t, s.Close())
 		assert.NilError(t, j.Close())
-		_, skips := kept(t, store)
+		_, skips := readStored(t, store)
 		assert.Equal(t, skips[retain.None], uint64(lookups))
 	})
 }
--- a/internal/audit/ledger/journal.go
+++ b/internal/audit/ledger/journal.go
@@ -16,68 +16,68 @@
 	"hawthornfield.org/hawthornfield/internal/plat/object"
 )
 
-// closeWait is how long Close goes on trying to write what is left.
-const closeWait = 5 * time.Second
+// closeTimeout is how long Close tries to write the remaining entries.
+const closeTimeout = 5 * time.Second
 
-// Journal is a running journal. Make one with Open.
+// Journal is a running journal. Create one with Open.
 //
 //	j := ledger.Open(store, ledger.LogPath("vm-1"))
 //	defer j.Close()
-//	j.Take(decision)                       // kept soon
-//	err := j.Commit(ctx, decision)         // kept before it returns
+//	j.Append(decision)                     // written in the background
+//	err := j.Commit(ctx, decision)         // durable when it returns nil
 type Journal struct {
-	store object.Store
-	path  string
-	tok   string
-	lim   Limits
-	log   *slog.Logger
-	loop  *loop.Loop
-	group group.Group
-	done  chan struct{} // closed when nothing is left to write
-	gone  chan struct{} // closed when the journal has ended
-	once  sync.Once
-	err   error
-
-	ticket atomic.Uint64
-	mu     sync.Mutex
-	waits  map[uint64]chan kinds.Kind
+	store    object.Store
+	path     string
+	token    string
+	limits   Limits
+	log      *slog.Logger
+	loop     *loop.Loop
+	group    group.Group
+	drained  chan struct{} // closed when no entries are left to write
+	ended    chan struct{} // closed when the journal has ended
+	once     sync.Once
+	closeErr error
+
+	lastTicket atomic.Uint64
+	mu         sync.Mutex
+	waiters    map[uint64]chan kinds.Kind
 }
 
 var _ record.Sink = (*Journal)(nil)
 
-// Option changes how a Journal works.
+// Option configures a Journal.
 type Option func(*Journal)
 
-// WithLimits sets the bounds.
-func WithLimits(l Limits) Option { return func(j *Journal) { j.lim = l } }
+// WithLimits sets the limits.
+func WithLimits(l Limits) Option { return func(j *Journal) { j.limits = l } }
 
-// WithLog sets where the journal reports what it had to drop.
+// WithLog sets the logger for entries that could not be encoded or written.
 func WithLog(l *slog.Logger) Option { return func(j *Journal) { j.log = l } }
 
-// WithToken sets the writer's token, which is random otherwise.
-func WithToken(tok string) Option { return func(j *Journal) { j.tok = tok } }
+// WithToken sets the writer token, which is random otherwise.
+func WithToken(token string) Option { return func(j *Journal) { j.token = token } }
 
-// Open starts the journal at path: see [LogPath] and [OwnPath]. It returns at
-// once; entries wait until the store has answered for the first time.
+// Open starts the journal at path; see [LogPath] and [OwnPath]. It returns at
+// once. Entries are buffered until the tail of the journal is found.
 //
 // A path that several VMs write, such as an ownership history, needs a Window
 // of one, which Open sets for every path under [OwnPrefix].
 func Open(store object.Store, path string, opts ...Option) *Journal {
-	j := &Journal{store: store, path: path, tok: rand.Text(), log: slog.Default(), done: make(chan struct{}), gone: make(chan struct{}), waits: map[uint64]chan kinds.Kind{}}
+	j := &Journal{store: store, path: path, token: rand.Text(), log: slog.Default(), drained: make(chan struct{}), ended: make(chan struct{}), waiters: map[uint64]chan kinds.Kind{}}
 	for _, opt := range opts {
 		opt(j)
 	}
-	j.lim = j.lim.fill()
-	j.lim.Window = min(j.lim.Window, MaxWindow)
-	if shared(path) {
-		j.lim.Window = 1
+	j.limits = j.limits.withDefaults()
+	j.limits.Window = min(j.limits.Window, MaxWindow)
+	if isShared(path) {
+		j.limits.Window = 1
 	}
-	j.loop = loop.New(NewModel(path, j.tok, j.lim), loop.RunnerFunc(j.run))
+	j.loop = loop.New(NewModel(path, j.token, j.limits), loop.RunnerFunc(j.run))
 	j.loop.Send(TickMsg{})
 	return j
 }
 
-// Append keeps a decision. It never waits for the store.
+// Append adds a decision. It never waits for the store.
 func (j *Journal) Append(d record.Decision) {
 	data, err := wire.Encode(&d)
 	if err != nil {
@@ -87,9 +87,9 @@
 	j.loop.Send(AddMsg{Data: data, At: d.At})
 }
 
-// Commit keeps a decision and waits until the store has confirmed it. Kind
-// Undurable means that it is not known to be kept, and that whatever depends on
-// it must not be done.
+// Commit adds a decision and waits until the store has confirmed it. An error of
+// kind NotDurable means that the decision may not be stored, and that the action
+// that depends on it must not be carried out.
 func (j *Journal) Commit(ctx context.Context, d record.Decision) error {
 	if d.At.IsZero() {
 		d.At = time.Now()
@@ -98,12 +98,12 @@
 	if err != nil {
 		return err
 	}
-	id := j.ticket.Add(1)
+	id := j.lastTicket.Add(1)
 	answer := make(chan kinds.Kind, 1)
 	j.mu.Lock()
-	j.waits[id] = answer
+	j.waiters[id] = answer
 	j.mu.Unlock()
-	defer j.forget(id)
+	defer j.removeWaiter(id)
 	j.loop.Send(AddMsg{Data: data, At: d.At, Ticket: id})
 	select {
 	case k := <-answer:
@@ -113,39 +113,39 @@
 		return nil
 	case <-ctx.Done():
 		return kinds.Wrap(kinds.NotDurable, ctx.Err(), "journal "+j.path)
-	case <-j.gone:
+	case <-j.ended:
 		return kinds.New(kinds.NotDurable, "journal "+j.path+" is closed")
 	}
 }
 
-// RecordDurable commits a decision of the request path before the request is forwarded,
-// as a decision of the sort [record.Accept].
+// RecordDurable commits a decision as [record.Accept] before its request is forwarded.
 func (j *Journal) RecordDurable(ctx context.Context, d *record.Decision) error {
 	accepted := *d
 	accepted.Action = record.Accept
 	return j.Commit(ctx, accepted)
 }
 
-// SetVMCount tells the journal how many VMs share the store's budget.
-func (j *Journal) SetVMCount(vms int) { j.loop.Send(FleetMsg{vms}) }
+// SetVMCount sets the number of VMs that share the write budget of the store.
+func (j *Journal) SetVMCount(vms int) { j.loop.Send(VMCountMsg{vms}) }
 
-// Status returns what is waiting, kept, lost and refused.
+// Status returns the counts of waiting, stored, lost and refused entries.
 func (j *Journal) Status() Status { return j.loop.Model().(Model).Status }
 
-// Close writes what is left, for at most five seconds, and waits. Entries that
-// could not be written are lost; the count is logged and returned as an error.
+// Close writes the remaining entries, for at most five seconds, and returns when that
+// is done. Entries that could not be written are lost: their count is logged and an
+// error of kind NotDurable is returned.
 func (j *Journal) Close() error {
-	j.once.Do(func() { j.err = j.shut() })
-	return j.err
+	j.once.Do(func() { j.closeErr = j.closeOnce() })
+	return j.closeErr
 }
 
-func (j *Journal) shut() error {
-	defer close(j.gone)
+func (j *Journal) closeOnce() error {
+	defer close(j.ended)
 	j.loop.Send(CloseMsg{})
-	t := time.NewTimer(closeWait)
+	t := time.NewTimer(closeTimeout)
 	defer t.Stop()
 	select {
-	case <-j.done:
+	case <-j.drained:
 	case <-t.C:
 	}
 	if err := j.loop.Close(); err != nil {
@@ -162,44 +162,45 @@
 	return kinds.New(kinds.NotDurable, "journal "+j.path+" closed with entries unwritten")
 }
 
-func (j *Journal) forget(id uint64) {
+func (j *Journal) removeWaiter(id uint64) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	delete(j.waits, id)
+	delete(j.waiters, id)
 }
 
-// run carries out the model's effects.
+// run executes the commands of the model.
 func (j *Journal) run(_ context.Context, cmd loop.Cmd, send func(loop.Msg)) {
 	switch cmd := cmd.(type) {
 	case AckCmd:
 		j.ack(cmd)
 	case DoneCmd:
-		close(j.done)
+		close(j.drained)
 	case TailCmd:
 		j.call(tailCalls, func(ctx context.Context) {
 			next, err := j.recoverTail(ctx, cmd.From)
-			send(TailMsg{Kind: kinds.Of(err), Next: next})
+			send(TailMsg{Kind: kinds.Of(err), NextAddress: next})
 		})
 	case PutCmd:
 		j.call(1, func(ctx context.Context) {
-			_, err := j.store.Put(ctx, nameOf(j.path, cmd.N), cmd.Value, 0)
-			send(PutMsg{N: cmd.N, Kind: kinds.Of(err)})
+			_, err := j.store.Put(ctx, objectName(j.path, cmd.Address), cmd.Value, 0)
+			send(PutMsg{Address: cmd.Address, Kind: kinds.Of(err)})
 		})
 	case ReadCmd:
 		j.call(1, func(ctx context.Context) {
-			s, err := Read(ctx, j.store, j.path, cmd.N)
-			send(ReadMsg{N: cmd.N, Kind: kinds.Of(err), Tok: s.Tok})
+			s, err := Read(ctx, j.store, j.path, cmd.Address)
+			send(ReadMsg{Address: cmd.Address, Kind: kinds.Of(err), WriterToken: s.WriterToken})
 		})
 	}
 }
 
-// tailCalls is about how many calls one after another finding a tail takes.
+// tailCalls is the approximate number of successive store calls needed to find a tail.
 const tailCalls = 32
 
-// call runs f, which makes n store calls one after another.
+// call runs f, which makes n successive store calls, with a timeout of n times
+// Limits.Call.
 func (j *Journal) call(n int, f func(ctx context.Context)) {
 	j.group.Go(func(ctx context.Context) error {
-		ctx, cancel := context.WithTimeout(ctx, time.Duration(n)*j.lim.Call)
+		ctx, cancel := context.WithTimeout(ctx, time.Duration(n)*j.limits.Call)
 		defer cancel()
 		f(ctx)
 		return nil
@@ -209,8 +210,8 @@
 func (j *Journal) ack(cmd AckCmd) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	if answer, ok := j.waits[cmd.Ticket]; ok {
+	if answer, ok := j.waiters[cmd.Ticket]; ok {
 		answer <- cmd.Kind
-		delete(j.waits, cmd.Ticket)
+		delete(j.waiters, cmd.Ticket)
 	}
 }
--- a/internal/audit/ledger/journal_test.go
+++ b/internal/audit/ledger/journal_test.go
@@ -22,10 +22,10 @@
 	"hawthornfield.org/hawthornfield/internal/fake/objmem"
 )
 
-var quiet = slog.New(slog.NewJSONHandler(io.Discard, nil))
+var discardLog = slog.New(slog.NewJSONHandler(io.Discard, nil))
 
 func open(store *objmem.Store, vm string, opts ...Option) *Journal {
-	return Open(store, LogPath(ident.VM(vm)), append([]Option{WithLog(quiet)}, opts...)...)
+	return Open(store, LogPath(ident.VM(vm)), append([]Option{WithLog(discardLog)}, opts...)...)
 }
 
 // readAll returns the ids of all decisions in all journals, and the errors.
@@ -53,9 +53,8 @@
 	return record.Decision{At: time.Now(), Action: record.Route, ID: ident.Request(id), Key: "scale-7"}
 }
 
-// The store's answers are lost after the write took effect, one time in two. A
-// hauler's receipt that was confirmed must be in the journal once, not missing
-// and not twice.
+// The store loses the answer to every second write after it took effect. An entry that
+// was confirmed must be in the journal exactly once.
 func TestCommitSurvivesLostAnswers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := objmem.New()
@@ -79,9 +78,8 @@
 	})
 }
 
-// An entry VM is lost in the middle of its work and its replacement starts
-// under a new name. Every receipt that was confirmed is still found; what was
-// not confirmed is at most what waited at that moment.
+// An entry VM is lost and its replacement starts under a new name. Every confirmed entry
+// must still be found; only the entries waiting at that moment may be missing.
 func TestLostVMLosesOnlyWhatWasNotConfirmed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := objmem.New()
@@ -94,7 +92,7 @@
 		}
 		synctest.Wait()
 		waiting := first.Status().Waiting
-		store.SetDown(true) // nothing of the lost VM arrives any more
+		store.SetDown(true) // no more writes of the lost VM arrive
 		assert.Equal(t, kinds.Of(first.Close()), kinds.NotDurable)
 		store.SetDown(false)
 		second := open(store, "vm-2")
@@ -109,18 +107,18 @@
 	})
 }
 
-// A process ends with writes in flight, so holes stay at its journal's tail,
-// and another one goes on under the same name. A reader that stopped at the
-// first hole would show an auditor nothing of what came later.
-func TestRestartClosesTheHolesItsPredecessorLeft(t *testing.T) {
+// A process ends with writes in flight, so holes stay at the tail of its journal, and
+// another process continues the same journal. A reader that stops at the first hole
+// would miss all later entries.
+func TestRestartFillsTheHolesOfThePreviousProcess(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := objmem.New()
 		path := LogPath("vm-1")
 		for _, n := range []uint64{0, 1, 3, 4} { // 2 was never written
-			s := Segment{Head: Head{V: Version, Path: path, N: n, Tok: "old", From: time.Now(), To: time.Now()}}
+			s := Segment{Head: Head{FormatVersion: Version, Path: path, Address: n, WriterToken: "old", From: time.Now(), To: time.Now()}}
 			value, err := s.Encode()
 			assert.NilError(t, err)
-			_, err = store.Put(t.Context(), nameOf(path, n), value, 0)
+			_, err = store.Put(t.Context(), objectName(path, n), value, 0)
 			assert.NilError(t, err)
 		}
 		j := open(store, "vm-1")
@@ -138,9 +136,8 @@
 	})
 }
 
-// A newer version of the program ran here before, and its segments mean
-// something else. The older one must say so, write behind them, and still show
-// everything that it can read.
+// A newer version of the program wrote segments that this one cannot decode. It must
+// report them, write after them, and still read all others.
 func TestNewerSegmentsAreLeftAloneAndReported(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := objmem.New()
@@ -148,9 +145,9 @@
 		value, err := wire.Encode(struct {
 			Head
 			Pack string `cbor:"pack"`
-		}{Head{V: Version + 1, Path: path, From: time.Now(), To: time.Now()}, "of another shape"})
+		}{Head{FormatVersion: Version + 1, Path: path, From: time.Now(), To: time.Now()}, "of another shape"})
 		assert.NilError(t, err)
-		_, err = store.Put(t.Context(), nameOf(path, 0), value, 0)
+		_, err = store.Put(t.Context(), objectName(path, 0), value, 0)
 		assert.NilError(t, err)
 		j := open(store, "vm-1")
 		assert.NilError(t, j.Commit(t.Context(), decision("mine")))
@@ -162,8 +159,8 @@
 	})
 }
 
-// The VMs that hold the seats of one service write one ownership history. They
-// race for each address, and every move must be in it once.
+// Several VMs write the ownership history of one service and race for each address.
+// Every move must be in it exactly once.
 func TestSharedHistoryKeepsEveryWritersMoves(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := objmem.New()
@@ -171,7 +168,7 @@
 		var g group.Group
 		for vm := range 3 {
 			g.Go(func(context.Context) error {
-				j := Open(store, OwnPath("lookup"), WithLog(quiet))
+				j := Open(store, OwnPath("lookup"), WithLog(discardLog))
 				for i := range 10 {
 					if err := j.Commit(t.Context(), decision(fmt.Sprint(vm, "/", i))); err != nil {
 						return err
@@ -206,8 +203,8 @@
 	})
 }
 
-// A question about the last minute must not read a month.
-func TestScanFindsItsPlaceByTime(t *testing.T) {
+// A query for the last minutes must not read the whole journal.
+func TestScanSkipsSegmentsByTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := objmem.New()
 		j := open(store, "vm-1")
@@ -225,13 +222,13 @@
 	})
 }
 
-// FuzzSegment decodes anything at all as a segment and as an index.
+// FuzzSegment decodes arbitrary bytes as a segment.
 func FuzzSegment(f *testing.F) {
-	good, _ := Segment{Head: Head{V: Version, Path: "log/x", N: 3}, Items: []cbor.RawMessage{entry(7)}}.Encode()
+	good, _ := Segment{Head: Head{FormatVersion: Version, Path: "log/x", Address: 3}, Items: []cbor.RawMessage{entry(7)}}.Encode()
 	f.Add(good)
-	bomb, _ := Segment{Items: []cbor.RawMessage{slices.Concat([]byte{0x5a, 1, 0, 0, 0}, make([]byte, maxPack))}}.Encode()
+	bomb, _ := Segment{Items: []cbor.RawMessage{slices.Concat([]byte{0x5a, 1, 0, 0, 0}, make([]byte, maxUnpacked))}}.Encode()
 	if _, err := decodeSegment(bomb); kinds.Of(err) != kinds.Malformed {
-		f.Fatal("a small segment unfolds without bound")
+		f.Fatal("a small segment decompresses without a limit")
 	}
 	f.Add([]byte(strings.Repeat("\x81", 64)))
 	f.Fuzz(func(t *testing.T, b []byte) {
@@ -243,9 +240,9 @@
 	})
 }
 
-// A VM was lost with writes in flight, so its journal ends in holes, wherever
-// they fall. The last written segment must be found all the same.
-func TestTailSeesPastEveryPatternOfHoles(t *testing.T) {
+// A VM was lost with writes in flight, so there are holes near the tail of its journal.
+// The last written segment must be found for every pattern of holes.
+func TestTailIsFoundForEveryPatternOfHoles(t *testing.T) {
 	const window = 4
 	for length := range 24 {
 		for holes := range 1 << (window - 1) { // the last address is written
@@ -255,7 +252,7 @@
 				if back >= 1 && back < window && holes>>(back-1)&1 == 1 {
 					continue
 				}
-				_, err := store.Put(t.Context(), nameOf("log/x", uint64(n)), []byte("x"), 0)
+				_, err := store.Put(t.Context(), objectName("log/x", uint64(n)), []byte("x"), 0)
 				assert.NilError(t, err)
 			}
 			end, err := Tail(t.Context(), store, "log/x", 0, window)
--- a/internal/audit/ledger/model.go
+++ b/internal/audit/ledger/model.go
@@ -1,25 +1,25 @@
-// Package ledger keeps decisions where they outlive every VM: in the platform's
-// object API, as numbered objects that are written once.
+// Package ledger stores decisions durably, so that they survive the loss of any VM: in
+// the platform's object API, as numbered objects that are written once.
 //
-// The load pattern it answers is thousands of decisions a second on each entry
-// VM against a store that takes several hundred writes a second from everybody,
-// that loses answers after a write took effect, and that is away for minutes.
-// Entries are batched into segments of bounded size and rate. Without the rate
-// bound the journal alone would use up the store as the fleet grows: with it,
-// the interval between a VM's writes grows with the number of VMs.
+// Each entry VM makes thousands of decisions a second, while the store takes several
+// hundred writes a second from all VMs together, may lose the answer to a write that
+// took effect, and may be unavailable for minutes. Entries are therefore batched into
+// segments of bounded size and rate. Without the rate limit the journals alone would
+// use up the store's capacity as VMs are added. With it, the interval between a VM's
+// writes grows with the number of VMs.
 //
-// The form is that of LogDrive (Balakrishnan, Vickers, Bradstreet and others,
+// The design follows LogDrive (Balakrishnan, Vickers, Bradstreet and others,
 // "The LogDrive: Composable Durability for Cloud-Based Shared Logs"): a flat
 // space of write-once registers at addresses that the writer chooses, with at
-// most K writes in flight, so that the tail is found again by looking at a
-// window of K addresses. A write whose answer was lost is simply repeated: it
-// either takes effect now or meets the writer's own token. The alternative, one
-// object that is read, extended and written back, rewrites every earlier entry
-// with each append; docs/design/audit.md has both measured. Quorums, striping
-// and sealing of that paper are not taken: the store replicates by itself, and
-// no two writers share a VM's journal.
+// most K writes in flight, so that the tail can be found by looking at a window of K
+// addresses. A write whose answer was lost is repeated: it either takes effect now,
+// or finds an object with the writer's own token. The alternative, one object that
+// is read, extended and written back, rewrites every earlier entry with each append;
+// docs/design/audit.md compares the measured costs. The quorums, striping and sealing
+// of that paper are not used: the store replicates by itself, and no two writers
+// share the journal of a VM.
 //
-// What a crash loses is bounded and said: see [Status] and docs/design/audit.md.
+// The loss in a crash is bounded and reported; see [Status] and docs/design/audit.md.
 package ledger
 
 import (
@@ -30,18 +30,18 @@
 	"hawthornfield.org/hawthornfield/internal/core/loop"
 )
 
-// Times and counts of the retry discipline.
+// Parameters of retries and bursts.
 const (
 	retryMin  = 50 * time.Millisecond
-	retryMax  = 2 * time.Second // an outage costs the store one call in two seconds and VM
-	downAfter = 3               // failures in a row after which the store counts as down
-	burst     = 2               // writes that may go out at once after a quiet time
+	retryMax  = 2 * time.Second // during an outage each VM makes one call to the store every two seconds
+	downAfter = 3               // successive failures after which the store counts as down
+	burst     = 2               // writes that may go out at once after an idle time
 )
 
-// The messages of the model.
+// Messages to the model.
 type (
-	// AddMsg adds one encoded entry. With a Ticket other than zero the answer
-	// is an AckCmd; Durable entries are refused while the store is down.
+	// AddMsg adds one encoded entry. An entry with a Ticket other than zero is
+	// durable: an AckCmd answers it, and it is refused while the store is down.
 	AddMsg struct {
 		Data   []byte
 		At     time.Time
@@ -49,85 +49,88 @@
 	}
 	// TailMsg is the answer to a TailCmd.
 	TailMsg struct {
-		Kind kinds.Kind
-		Next uint64
+		Kind        kinds.Kind
+		NextAddress uint64
 	}
 	// PutMsg is the answer to a PutCmd.
 	PutMsg struct {
-		N    uint64
-		Kind kinds.Kind
+		Address uint64
+		Kind    kinds.Kind
 	}
 	// ReadMsg is the answer to a ReadCmd.
 	ReadMsg struct {
-		N    uint64
-		Kind kinds.Kind
-		Tok  string
+		Address     uint64
+		Kind        kinds.Kind
+		WriterToken string
 	}
-	// FleetMsg tells how many VMs share the store's budget.
-	FleetMsg struct{ VMs int }
-	// TickMsg is the model's own timer.
+	// VMCountMsg sets the number of VMs that share the write budget of the store.
+	VMCountMsg struct{ VMs int }
+	// TickMsg reports that the timer of the model has fired.
 	TickMsg struct{}
-	// CloseMsg asks to write what is left without regard to the rate.
+	// CloseMsg asks to write all remaining entries regardless of the rate limit.
 	CloseMsg struct{}
 )
 
-// The effects that the model asks for.
+// Commands of the model.
 type (
-	// TailCmd asks for the first free address from From on.
+	// TailCmd asks for the end of the journal, searching from address From.
 	TailCmd struct{ From uint64 }
-	// PutCmd asks to create the object at address N.
+	// PutCmd asks to create the object at an address.
 	PutCmd struct {
-		N     uint64
-		Value []byte
+		Address uint64
+		Value   []byte
 	}
-	// ReadCmd asks who wrote the object at address N.
-	ReadCmd struct{ N uint64 }
-	// AckCmd answers a ticket: None when its entry is durable, else Undurable.
+	// ReadCmd asks for the writer token of the object at an address.
+	ReadCmd struct{ Address uint64 }
+	// AckCmd answers a ticket: Kind is None when its entry is durable, else NotDurable.
 	AckCmd struct {
 		Ticket uint64
 		Kind   kinds.Kind
 	}
-	// DoneCmd says, after CloseMsg, that nothing is left.
+	// DoneCmd reports, after CloseMsg, that no entries are left.
 	DoneCmd struct{}
 )
 
-// Status is what an operator sees of a journal.
+// Status is the state of a journal as shown to operators.
 type Status struct {
-	Waiting int       `json:"waiting"`         // entries not yet confirmed: what a crash now would lose
-	Bytes   int       `json:"bytes"`           // their size
+	Waiting int       `json:"waiting"`         // entries not yet confirmed; a crash would lose them
+	Bytes   int       `json:"bytes"`           // size of the waiting entries in bytes
 	Written uint64    `json:"written"`         // segments confirmed
 	Kept    uint64    `json:"kept"`            // entries confirmed
 	Lost    uint64    `json:"lost"`            // entries dropped because the buffer was full
 	Refused uint64    `json:"refused"`         // durable entries refused
 	Down    bool      `json:"down"`            // the store counts as down
-	Oldest  time.Time `json:"oldest,omitzero"` // of the oldest entry not yet confirmed
+	Oldest  time.Time `json:"oldest,omitzero"` // time of the oldest entry not yet confirmed
 }
 
+// phase is the state of a batch.
 type phase uint8
 
 const (
-	writing phase = iota // a PutCmd is out
-	reading              // a ReadCmd is out
-	waiting              // to be written again at the next try
-	moving               // its address belongs to another writer: needs a new one
+	writing      phase = iota // a PutCmd is in flight
+	reading                   // a ReadCmd is in flight
+	retryPending              // the write failed and is to be repeated
+	needsAddress              // another writer has taken its address; it needs a new one
 )
 
+// item is one encoded entry that waits to be written.
 type item struct {
 	data   []byte
 	at     time.Time
 	ticket uint64
 }
 
+// batch is a group of entries that are written as one segment.
 type batch struct {
-	n     uint64
-	phase phase
-	items []item
-	bytes int
-	lost  uint64
-	value []byte
+	address uint64
+	phase   phase
+	items   []item
+	bytes   int
+	lost    uint64
+	value   []byte
 }
 
-// Model decides what is written when. It is a [loop.Model]; only its loop may
+// Model decides what is written and when. It is a [loop.Model]; only its loop may
 // call Update. Status is a copy for readers.
 type Model struct {
 	Status Status
@@ -135,31 +138,32 @@
 }
 
 type state struct {
-	lim   Limits
-	path  string
-	tok   string
-	found bool // the tail is known
-	ask   bool // a TailCmd is out
-	next  uint64
+	limits        Limits
+	path          string
+	token         string
+	tailKnown     bool // the tail is known
+	tailRequested bool // a TailCmd is in flight
+	nextAddress   uint64
 
-	items  []item
-	bytes  int // of items
-	flight []*batch
-	lost   uint64 // to be told in the next segment
-	vms    int
-	slot   time.Time // theoretical time of the next write
-	fails  int
-	again  time.Time // no retry before
-	tick   time.Time // when the outstanding timer fires
-	closed bool
-	done   bool
+	items          []item
+	bytes          int // of items
+	inFlight       []*batch
+	unreportedLost uint64 // entries lost but not yet counted in a segment
+	vmCount        int
+	nextWriteAt    time.Time // theoretical time of the next write under the rate limit
+	failures       int
+	retryAt        time.Time // earliest time of the next retry
+	timerAt        time.Time // when the pending timer fires; zero without one
+	closed         bool
+	done           bool
 }
 
 var _ loop.Model = Model{}
 
-// NewModel makes the model of the journal at path, written by the process tok.
-func NewModel(path, tok string, lim Limits) Model {
-	return Model{state: &state{path: path, tok: tok, lim: lim.fill()}}
+// NewModel returns the model of the journal at path; token is the writer token of this
+// process.
+func NewModel(path, token string, limits Limits) Model {
+	return Model{state: &state{path: path, token: token, limits: limits.withDefaults()}}
 }
 
 // Update applies one message.
@@ -167,35 +171,35 @@
 	var cmds []loop.Cmd
 	switch msg := msg.(type) {
 	case AddMsg:
-		cmds = m.add(msg)
+		cmds = m.onAdd(msg)
 	case TailMsg:
-		cmds = m.tail(now, msg)
+		cmds = m.onTail(now, msg)
 	case PutMsg:
-		cmds = m.put(now, msg)
+		cmds = m.onPut(now, msg)
 	case ReadMsg:
-		cmds = m.read(now, msg)
-	case FleetMsg:
-		m.vms = msg.VMs
+		cmds = m.onRead(now, msg)
+	case VMCountMsg:
+		m.vmCount = msg.VMs
 	case TickMsg:
-		m.tick = time.Time{}
+		m.timerAt = time.Time{}
 	case CloseMsg:
 		m.closed = true
 	}
-	cmds = append(cmds, m.act(now)...)
-	m.fill()
+	cmds = append(cmds, m.nextCmds(now)...)
+	m.updateStatus()
 	return m, cmds
 }
 
-// add takes an entry, or refuses it for want of room. The newest is refused:
-// what was taken before may have been promised to somebody.
-func (m *Model) add(msg AddMsg) []loop.Cmd {
-	full := m.bytes+len(msg.Data) > m.lim.Buffer || len(msg.Data) > m.lim.Batch
-	if msg.Ticket != 0 && (full || m.down() || m.closed) {
+// onAdd buffers an entry, or refuses it when the buffer is full. It drops the new entry
+// rather than an old one, because callers may wait for the old ones to become durable.
+func (m *Model) onAdd(msg AddMsg) []loop.Cmd {
+	full := m.bytes+len(msg.Data) > m.limits.Buffer || len(msg.Data) > m.limits.Batch
+	if msg.Ticket != 0 && (full || m.storeDown() || m.closed) {
 		m.Status.Refused++
 		return []loop.Cmd{AckCmd{msg.Ticket, kinds.NotDurable}}
 	}
 	if full {
-		m.lost++
+		m.unreportedLost++
 		m.Status.Lost++
 		return nil
 	}
@@ -204,73 +208,73 @@
 	return nil
 }
 
-func (m *Model) tail(now time.Time, msg TailMsg) []loop.Cmd {
-	m.ask = false
+func (m *Model) onTail(now time.Time, msg TailMsg) []loop.Cmd {
+	m.tailRequested = false
 	if msg.Kind != kinds.None {
-		return m.failed(now)
+		return m.storeFailed(now)
 	}
-	m.works()
-	m.found = true
-	m.next = max(m.next, msg.Next)
-	for _, b := range m.flight {
-		if b.phase == moving {
-			m.number(b)
-			b.phase = waiting
+	m.storeAnswered()
+	m.tailKnown = true
+	m.nextAddress = max(m.nextAddress, msg.NextAddress)
+	for _, b := range m.inFlight {
+		if b.phase == needsAddress {
+			m.readdress(b)
+			b.phase = retryPending
 		}
 	}
 	return nil
 }
 
-// put handles the answer to a write. A conflict may be our own earlier write
-// whose answer was lost, so it is looked at before anything is concluded. After
-// a lost answer a look at the address is cheaper than the same write again, and
-// needs no pause; during an outage it would only double the calls.
-func (m *Model) put(now time.Time, msg PutMsg) []loop.Cmd {
-	b := m.at(msg.N, writing)
+// onPut handles the answer to a write. A conflict may come from this writer's own
+// earlier write whose answer was lost, so the object is read first. After a lost answer
+// reading the address is cheaper than repeating the write, and needs no delay. During an
+// outage the read is left out, as it would only double the calls.
+func (m *Model) onPut(now time.Time, msg PutMsg) []loop.Cmd {
+	b := m.batchAt(msg.Address, writing)
 	if b == nil {
 		return nil
 	}
 	switch msg.Kind {
 	case kinds.None:
-		return m.confirmed(b)
+		return m.onConfirmed(b)
 	case kinds.Conflict:
 	case kinds.Ambiguous:
-		if m.down() {
-			b.phase = waiting
-			return m.failed(now)
+		if m.storeDown() {
+			b.phase = retryPending
+			return m.storeFailed(now)
 		}
 	default:
-		b.phase = waiting
-		return m.failed(now)
+		b.phase = retryPending
+		return m.storeFailed(now)
 	}
 	b.phase = reading
-	return []loop.Cmd{ReadCmd{b.n}}
+	return []loop.Cmd{ReadCmd{b.address}}
 }
 
-// read handles the look at a taken address.
-func (m *Model) read(now time.Time, msg ReadMsg) []loop.Cmd {
-	b := m.at(msg.N, reading)
+// onRead handles the answer to reading an address that is taken, or may be.
+func (m *Model) onRead(now time.Time, msg ReadMsg) []loop.Cmd {
+	b := m.batchAt(msg.Address, reading)
 	if b == nil {
 		return nil
 	}
 	switch msg.Kind {
 	case kinds.None, kinds.NewerVersion, kinds.Malformed:
-		if msg.Kind == kinds.None && msg.Tok == m.tok {
-			return m.confirmed(b)
+		if msg.Kind == kinds.None && msg.WriterToken == m.token {
+			return m.onConfirmed(b)
 		}
-		b.phase = moving
-		m.found = false
-		m.works()
+		b.phase = needsAddress
+		m.tailKnown = false
+		m.storeAnswered()
 		return nil
 	default:
-		b.phase = waiting
-		return m.failed(now)
+		b.phase = retryPending
+		return m.storeFailed(now)
 	}
 }
 
-func (m *Model) confirmed(b *batch) []loop.Cmd {
-	m.works()
-	m.flight = slices.DeleteFunc(m.flight, func(o *batch) bool { return o == b })
+func (m *Model) onConfirmed(b *batch) []loop.Cmd {
+	m.storeAnswered()
+	m.inFlight = slices.DeleteFunc(m.inFlight, func(o *batch) bool { return o == b })
 	m.Status.Written++
 	m.Status.Kept += uint64(len(b.items))
 	var cmds []loop.Cmd
@@ -282,14 +286,14 @@
 	return cmds
 }
 
-// failed counts a failure. Once the store counts as down, whoever waits for a
-// durable entry gets a final answer at once: the outage may last for minutes,
-// and the caller can be told when to come back. The entries themselves stay and
-// are written later; they then tell of a request that was not run.
-func (m *Model) failed(now time.Time) []loop.Cmd {
-	m.fails++
-	m.again = now.Add(min(retryMin<<min(m.fails-1, 10), retryMax))
-	if !m.down() {
+// storeFailed counts a failed call. Once the store counts as down, all callers that wait
+// for a durable entry are refused at once: the outage may last for minutes, and they can
+// be told when to try again. The entries themselves stay in the buffer and are written
+// later, although their requests were not run.
+func (m *Model) storeFailed(now time.Time) []loop.Cmd {
+	m.failures++
+	m.retryAt = now.Add(min(retryMin<<min(m.failures-1, 10), retryMax))
+	if !m.storeDown() {
 		return nil
 	}
 	var cmds []loop.Cmd
@@ -302,21 +306,22 @@
 			}
 		}
 	}
-	for _, b := range m.flight {
+	for _, b := range m.inFlight {
 		refuse(b.items)
 	}
 	refuse(m.items)
 	return cmds
 }
 
-// works notes that the store answered.
-func (m *Model) works() { m.fails, m.again = 0, time.Time{} }
+// storeAnswered resets the count of failures.
+func (m *Model) storeAnswered() { m.failures, m.retryAt = 0, time.Time{} }
 
-func (m *Model) down() bool { return m.fails >= downAfter }
+func (m *Model) storeDown() bool { return m.failures >= downAfter }
 
-func (m *Model) at(n uint64, p phase) *batch {
-	for _, b := range m.flight {
-		if b.n == n && b.phase == p {
+// batchAt returns the batch at address n in phase p, or nil.
+func (m *Model) batchAt(n uint64, p phase) *batch {
+	for _, b := range m.inFlight {
+		if b.address == n && b.phase == p {
 			return b
 		}
 	}
--- a/internal/audit/ledger/reader.go
+++ b/internal/audit/ledger/reader.go
@@ -11,20 +11,21 @@
 	"hawthornfield.org/hawthornfield/internal/plat/object"
 )
 
-func shared(path string) bool { return strings.HasPrefix(path, OwnPrefix) }
+// isShared reports whether several VMs write the journal at path.
+func isShared(path string) bool { return strings.HasPrefix(path, OwnPrefix) }
 
-// Read returns one segment: kind Absent when nothing was written there, Newer
-// when a newer program wrote it (the head is still valid then).
+// Read returns one segment. The error is of kind NotFound when nothing was written
+// there, and of kind NewerVersion when a newer program wrote it; the head is valid then.
 func Read(ctx context.Context, store object.Store, path string, n uint64) (Segment, error) {
-	o, err := store.Get(ctx, nameOf(path, n))
+	o, err := store.Get(ctx, objectName(path, n))
 	if err != nil {
 		return Segment{}, err
 	}
 	return decodeSegment(o.Value)
 }
 
-// Paths lists all journals that were ever begun, in name order, also those of
-// VMs that are gone.
+// Paths lists all journals ever created, sorted by path, including those of VMs that
+// no longer exist.
 func Paths(ctx context.Context, store object.Store) ([]Index, error) {
 	objects, _, err := store.List(ctx, IndexPrefix)
 	if err != nil {
@@ -32,19 +33,19 @@
 	}
 	all := make([]Index, 0, len(objects))
 	for _, o := range objects {
-		x := Index{Path: strings.TrimPrefix(o.Name, IndexPrefix)}
-		if err := wire.Decode(o.Value, &x); err != nil {
-			x = Index{Path: strings.TrimPrefix(o.Name, IndexPrefix)}
+		idx := Index{Path: strings.TrimPrefix(o.Name, IndexPrefix)}
+		if err := wire.Decode(o.Value, &idx); err != nil {
+			idx = Index{Path: strings.TrimPrefix(o.Name, IndexPrefix)}
 		}
-		all = append(all, x)
+		all = append(all, idx)
 	}
 	slices.SortFunc(all, func(a, b Index) int { return strings.Compare(a.Path, b.Path) })
 	return all, nil
 }
 
-// head reads the head at an address; ok is false when nothing is there. A
-// segment that is newer or damaged is there.
-func head(ctx context.Context, store object.Store, path string, n uint64) (h Head, ok bool, err error) {
+// readHead reads the head of the segment at an address; ok is false when there is none.
+// A segment that is newer or damaged counts as present.
+func readHead(ctx context.Context, store object.Store, path string, n uint64) (h Head, ok bool, err error) {
 	s, err := Read(ctx, store, path, n)
 	switch kinds.Of(err) {
 	case kinds.None, kinds.NewerVersion, kinds.Malformed:
@@ -56,20 +57,19 @@
 	}
 }
 
-// Tail finds the end of a journal: the first address from from on after which
-// window addresses are free. It reads about twice the logarithm of the length,
-// then the window.
+// Tail finds the end of a journal: the first address, not below from, at which window
+// successive addresses are free. It makes about twice the binary logarithm of the
+// length in reads, and then reads the window.
 //
-// Every address below the window is written, so a search by halves is led
-// astray by holes no further than the window, and the last look over the window
-// sees past them.
+// Holes occur only in the last window addresses, so the exponential and binary search
+// can stop too early by at most the window. Reading the window afterwards corrects that.
 func Tail(ctx context.Context, store object.Store, path string, from uint64, window int) (uint64, error) {
 	end, err := search(ctx, store, path, from, func(Head) bool { return true })
 	if err != nil {
 		return 0, err
 	}
 	for free := uint64(0); free < uint64(max(window, 1)); {
-		_, ok, err := head(ctx, store, path, end+free)
+		_, ok, err := readHead(ctx, store, path, end+free)
 		if err != nil {
 			return 0, err
 		}
@@ -82,14 +82,14 @@
 	return end, nil
 }
 
-// search returns the first address from from on that is free or whose head does
-// not pass, by steps that double and then by halves.
+// search returns the first address, not below from, that is free or whose head does not
+// pass. It doubles the step until it finds one, then does a binary search.
 func search(ctx context.Context, store object.Store, path string, from uint64, pass func(Head) bool) (uint64, error) {
 	probe := func(n uint64) (bool, error) {
-		h, ok, err := head(ctx, store, path, n)
+		h, ok, err := readHead(ctx, store, path, n)
 		return ok && pass(h), err
 	}
-	low, high, step := from, from, uint64(1) // below low all pass
+	low, high, step := from, from, uint64(1) // all addresses below low pass
 	for {
 		ok, err := probe(high)
 		if err != nil {
@@ -115,22 +115,21 @@
 	return low, nil
 }
 
-// Scan hands every segment of a journal with entries between since and until to
-// visit, in address order; a zero until means to the end. Segments before since
-// are skipped by a search over their heads, so a short question about a long
-// journal reads few of them. A segment that cannot be decoded is handed on with
-// its error.
+// Scan calls visit with every segment of a journal that has entries between since and
+// until, in address order; a zero until means to the end. Segments before since are
+// skipped by a search over their heads, so a query for a short time in a long journal
+// reads few of them. A segment that cannot be decoded is passed with its error.
 //
-// VMs' clocks differ, and entries may be recorded slightly out of order, so
-// callers widen the span by what they allow for that.
-func Scan(ctx context.Context, store object.Store, x Index, since, until time.Time, visit func(Segment, error)) error {
+// The clocks of VMs differ, and entries may be recorded slightly out of order, so
+// callers widen the span by their tolerance for that.
+func Scan(ctx context.Context, store object.Store, idx Index, since, until time.Time, visit func(Segment, error)) error {
 	before := func(h Head) bool { return !h.To.IsZero() && h.To.Before(since) }
-	n, err := search(ctx, store, x.Path, 0, before)
+	n, err := search(ctx, store, idx.Path, 0, before)
 	if err != nil {
 		return err
 	}
-	for free := 0; free < x.window(); n++ {
-		s, err := Read(ctx, store, x.Path, n)
+	for free := 0; free < idx.windowOrMax(); n++ {
+		s, err := Read(ctx, store, idx.Path, n)
 		switch kinds.Of(err) {
 		case kinds.NotFound:
 			free++
@@ -150,13 +149,13 @@
 	return nil
 }
 
-// MaxWindow is the largest window that any writer uses, and so how far a reader
-// looks past a hole when a journal's index does not say.
+// MaxWindow is the largest window that any writer uses. Readers look this many addresses
+// past a hole when the index of a journal does not state its window.
 const MaxWindow = 16
 
-func (x Index) window() int {
-	if x.Window < 1 || x.Window > MaxWindow {
+func (idx Index) windowOrMax() int {
+	if idx.Window < 1 || idx.Window > MaxWindow {
 		return MaxWindow
 	}
-	return x.Window
+	return idx.Window
 }
--- a/internal/audit/ledger/segment.go
+++ b/internal/audit/ledger/segment.go
@@ -18,109 +18,110 @@
 	"hawthornfield.org/hawthornfield/internal/core/wire"
 )
 
-// Version is the format of segments that this program writes. It reads this
-// one and older ones; a newer one is left alone and reported as such.
+// Version is the format version of the segments that this program writes. It reads this
+// and older versions; segments of a newer version are left unchanged and reported.
 const Version = 1
 
-// The prefixes of the objects that this package writes.
+// Name prefixes of the objects that this package writes.
 const (
 	LogPrefix   = "log/"  // log/<vm>/<n>: decisions of one entry VM
 	OwnPrefix   = "own/"  // own/<service>/<n>: ownership history of one service
-	IndexPrefix = "logs/" // logs/<path>: one small object for each journal there ever was
+	IndexPrefix = "logs/" // logs/<path>: an index object for each journal ever created
 )
 
-// LogPath is the journal of one entry VM.
+// LogPath returns the path of the journal of one entry VM.
 func LogPath(vm ident.VM) string { return LogPrefix + string(vm) }
 
-// OwnPath is the ownership history of one service.
+// OwnPath returns the path of the ownership history of one service.
 func OwnPath(s ident.Service) string { return OwnPrefix + string(s) }
 
-// nameOf is the object at one address of a journal.
-func nameOf(path string, n uint64) string { return path + "/" + strconv.FormatUint(n, 10) }
+// objectName returns the name of the object at one address of a journal.
+func objectName(path string, n uint64) string { return path + "/" + strconv.FormatUint(n, 10) }
 
-// Head is what every version of a segment begins with, so that an older reader
-// still finds its way past a newer one.
+// Head holds the fields that segments of every version have, so that an older program
+// can read past a newer segment.
 type Head struct {
-	V    int       `cbor:"v"`
-	Path string    `cbor:"path"`
-	N    uint64    `cbor:"n"`
-	Tok  string    `cbor:"tok"`  // the writing process; recognises an own write whose answer was lost
-	From time.Time `cbor:"from"` // of the first entry
-	To   time.Time `cbor:"to"`   // of the last entry
-	Lost uint64    `cbor:"lost"` // entries dropped since the segment before
+	FormatVersion int       `cbor:"v"`
+	Path          string    `cbor:"path"`
+	Address       uint64    `cbor:"n"`
+	WriterToken   string    `cbor:"tok"`  // token of the writing process; it recognises its own write by it when the answer was lost
+	From          time.Time `cbor:"from"` // time of the first entry
+	To            time.Time `cbor:"to"`   // time of the last entry
+	Lost          uint64    `cbor:"lost"` // entries dropped since the previous segment
 }
 
 // Segment is one write-once object of a journal.
 type Segment struct {
 	Head
-	Items []cbor.RawMessage `cbor:"-"`
-	Pack  []byte            `cbor:"pack"` // the items, encoded and compressed (DEFLATE, RFC 1951)
+	Items  []cbor.RawMessage `cbor:"-"`
+	Packed []byte            `cbor:"pack"` // the items, encoded and compressed (DEFLATE, RFC 1951)
 }
 
-// maxPack bounds what a segment's items unfold to. A damaged or hostile segment
-// of a megabyte could otherwise claim a gigabyte of a reader's memory.
-const maxPack = 16 << 20
+// maxUnpacked is the largest size in bytes of the decompressed items of a segment. A
+// damaged or malicious segment of a megabyte could otherwise take a gigabyte of memory
+// in a reader.
+const maxUnpacked = 16 << 20
 
-// packers are compressors that are used again: each holds a megabyte of tables.
-var packers = sync.Pool{New: func() any {
+// compressors is a pool, because each compressor holds a megabyte of tables.
+var compressors = sync.Pool{New: func() any {
 	w, err := flate.NewWriter(nil, flate.BestSpeed)
 	if err != nil {
-		panic(err) // only an unknown level fails
+		panic(err) // happens only for an unknown compression level
 	}
 	return w
 }}
 
-// Encode renders the segment as it is stored. Decisions repeat the same names
-// of services, rules and servers, so they compress to a fraction.
+// Encode encodes the segment in its stored form. The items are compressed, because
+// decisions repeat the same names of services, rules and servers and shrink a lot.
 func (s Segment) Encode() ([]byte, error) {
 	plain, err := wire.Encode(s.Items)
 	if err != nil {
 		return nil, err
 	}
 	var packed bytes.Buffer
-	w := packers.Get().(*flate.Writer)
-	defer packers.Put(w)
+	w := compressors.Get().(*flate.Writer)
+	defer compressors.Put(w)
 	w.Reset(&packed)
-	_, _ = w.Write(plain) // a buffer takes everything
+	_, _ = w.Write(plain) // writing to a bytes.Buffer does not fail
 	if err := w.Close(); err != nil {
 		return nil, kinds.Wrap(kinds.Internal, err, "compress segment")
 	}
-	s.Pack = packed.Bytes()
+	s.Packed = packed.Bytes()
 	return wire.Encode(s)
 }
 
 func (s *Segment) unpack() error {
-	if len(s.Pack) == 0 {
+	if len(s.Packed) == 0 {
 		return nil
 	}
-	r := flate.NewReader(bytes.NewReader(s.Pack))
-	plain, err := io.ReadAll(io.LimitReader(r, maxPack+1))
+	r := flate.NewReader(bytes.NewReader(s.Packed))
+	plain, err := io.ReadAll(io.LimitReader(r, maxUnpacked+1))
 	if err != nil {
-		return kinds.Wrap(kinds.Malformed, err, "unfold segment")
+		return kinds.Wrap(kinds.Malformed, err, "decompress segment")
 	}
-	if len(plain) > maxPack {
-		return kinds.New(kinds.Malformed, "segment unfolds to more than 16 MiB")
+	if len(plain) > maxUnpacked {
+		return kinds.New(kinds.Malformed, "segment decompresses to more than 16 MiB")
 	}
 	return wire.Decode(plain, &s.Items)
 }
 
 // Index is the value of a journal's index object.
 type Index struct {
-	V    int       `cbor:"v"`
-	Path string    `cbor:"path"`
-	At   time.Time `cbor:"at"` // when the journal began
-	// Window is the writer's: no hole lies further from the tail.
+	FormatVersion int       `cbor:"v"`
+	Path          string    `cbor:"path"`
+	Created       time.Time `cbor:"at"` // time of creation
+	// Window is the window of the writer: holes lie at most this far from the tail.
 	Window int `cbor:"window"`
 }
 
-// decodeSegment reads a segment. Kind Newer carries a head that is still valid.
+// decodeSegment decodes a segment. With an error of kind NewerVersion the head is valid.
 func decodeSegment(b []byte) (Segment, error) {
 	var s Segment
 	if err := wire.Decode(b, &s.Head); err != nil {
 		return s, err
 	}
-	if s.V > Version {
-		return s, kinds.New(kinds.NewerVersion, "segment "+nameOf(s.Path, s.N)+" has version "+strconv.Itoa(s.V))
+	if s.FormatVersion > Version {
+		return s, kinds.New(kinds.NewerVersion, "segment "+objectName(s.Path, s.Address)+" has version "+strconv.Itoa(s.FormatVersion))
 	}
 	if err := wire.Decode(b, &s); err != nil {
 		return s, err
@@ -128,8 +129,8 @@
 	return s, s.unpack()
 }
 
-// Decisions decodes the entries. An entry that cannot be decoded is counted,
-// not fatal: one bad entry must not hide the others from an auditor.
+// Decisions decodes the entries. Entries that cannot be decoded are counted in bad, so
+// that one damaged entry does not hide the others from an auditor.
 func (s Segment) Decisions() (all []record.Decision, bad int) {
 	for _, item := range s.Items {
 		var d record.Decision
@@ -142,22 +143,22 @@
 	return all, bad
 }
 
-// Limits bound a journal. The zero value works.
+// Limits bounds the size, rate and memory of a journal. Zero fields take the defaults.
 type Limits struct {
-	Batch  int           // most bytes of entries in one object, before they are compressed
-	Rate   float64       // objects a second that one VM writes at most
-	Budget float64       // objects a second that all VMs together write at most
-	Window int           // writes in flight; also bounds the holes at the tail
-	Buffer int           // most bytes of entries held while the store does not answer
-	Call   time.Duration // longest wait for one call
+	Batch  int           // largest size in bytes of the entries in one object, before compression
+	Rate   float64       // largest number of objects that one VM writes a second
+	Budget float64       // largest number of objects that all VMs together write a second
+	Window int           // largest number of writes in flight; holes lie at most this far from the tail
+	Buffer int           // largest size in bytes of the entries buffered while the store does not answer
+	Call   time.Duration // timeout of one store call
 }
 
 // Defaults of Limits.
 //
-// The store takes several hundred writes a second from everybody. The budget
-// leaves most of that to ownership and claims: 100 a second are ten for each of
-// ten VMs, so that a durable submission waits about 50 ms for its record, and
-// one every 5 s for each of 520.
+// The store takes several hundred writes a second from all VMs together. The budget
+// leaves most of that to ownership and claims. With ten VMs, 100 writes a second are
+// ten for each VM, so that a durable submission waits about 50 ms for its record. With
+// 520 VMs each one writes once every 5 s.
 const (
 	DefaultBatch  = 2 << 20
 	DefaultRate   = 10.0
@@ -167,13 +168,13 @@
 	DefaultCall   = 2 * time.Second
 )
 
-// LimitsFrom takes the bounds from the settings; call is the longest wait for
-// one store call.
+// LimitsFrom returns the limits from the settings; call is the timeout of one store
+// call.
 func LimitsFrom(c config.Journal, call time.Duration) Limits {
 	return Limits{Batch: c.Batch, Rate: c.Rate, Budget: c.Budget, Window: c.Window, Buffer: c.Buffer, Call: call}
 }
 
-func (l Limits) fill() Limits {
+func (l Limits) withDefaults() Limits {
 	l.Batch = cmp.Or(l.Batch, DefaultBatch)
 	l.Rate = cmp.Or(l.Rate, DefaultRate)
 	l.Budget = cmp.Or(l.Budget, DefaultBudget)
@@ -183,7 +184,7 @@
 	return l
 }
 
-// interval is the mean time between the writes of one VM among n.
+// interval returns the mean time between the writes of one VM among n.
 func (l Limits) interval(n int) time.Duration {
 	rate := min(l.Rate, l.Budget/float64(max(n, 1)))
 	return time.Duration(float64(time.Second) / rate)
--- a/internal/audit/report/report.go
+++ b/internal/audit/report/report.go
@@ -93,7 +93,7 @@
 	g, ctx := errgroup.WithContext(ctx)
 	g.SetLimit(parallel)
 	for _, x := range paths {
-		if !q.wants(x.Path) || !q.Until.IsZero() && x.At.After(q.Until.Add(Slack)) {
+		if !q.wants(x.Path) || !q.Until.IsZero() && x.Created.After(q.Until.Add(Slack)) {
 			continue
 		}
 		c.journals++
--- a/internal/audit/report/report_test.go
+++ b/internal/audit/report/report_test.go
@@ -179,7 +179,7 @@
 	b.Helper()
 	for n := range segments {
 		at := start.Add(time.Duration(n) * time.Minute)
-		s := ledger.Segment{Head: ledger.Head{V: ledger.Version, Path: path, N: uint64(n), From: at, To: at}}
+		s := ledger.Segment{Head: ledger.Head{FormatVersion: ledger.Version, Path: path, Address: uint64(n), From: at, To: at}}
 		for i := range entries {
 			d := record.Decision{At: at, Action: record.Route, ID: ident.Request(fmt.Sprint(path, n, i)), Key: ident.Key(fmt.Sprint("scale-", i%10))}
 			item, err := wire.Encode(&d)
@@ -191,7 +191,7 @@
 		_, err = store.Put(b.Context(), fmt.Sprint(path, "/", n), value, 0)
 		assert.NilError(b, err)
 	}
-	value, err := wire.Encode(ledger.Index{V: ledger.Version, Path: path, At: start, Window: ledger.DefaultWindow})
+	value, err := wire.Encode(ledger.Index{FormatVersion: ledger.Version, Path: path, Created: start, Window: ledger.DefaultWindow})
 	assert.NilError(b, err)
 	_, err = store.Put(b.Context(), ledger.IndexPrefix+path, value, 0)
 	assert.NilError(b, err)
