--- a/internal/audit/dedup/cost_test.go
+++ b/internal/audit/dedup/cost_test.go
@@ -18,9 +18,9 @@
 	"hawthornfield.org/hawthornfield/internal/plat/object"
 )
 
-// batcher is the way that was not taken: ids fall into buckets, each one object
-// that is extended by a conditional update, and a VM gathers the claims of a
-// bucket for a moment before it writes them together.
+// batcher implements the rejected alternative: ids are hashed to buckets, each one object
+// that is extended by conditional updates, and a VM collects the claims of a bucket for
+// a short time before it writes them together.
 type batcher struct {
 	store *objmem.Store
 	group *group.Group
@@ -28,20 +28,21 @@
 	open  map[uint64]*bucketBatch
 }
 
+// bucketBatch collects the ids that are written to a bucket together.
 type bucketBatch struct {
 	ids  []string
 	done chan struct{}
 }
 
 const (
-	costVMs     = 10
-	costBuckets = 64
-	costLinger  = 20 * time.Millisecond
-	costCall    = 3 * time.Millisecond
-	costFor     = 5 * time.Second
+	costVMs        = 10
+	costBuckets    = 64
+	costBatchDelay = 20 * time.Millisecond
+	costStoreDelay = 3 * time.Millisecond
+	costDuration   = 5 * time.Second
 )
 
-// claim returns a channel that closes once the id stands in its bucket.
+// claim returns a channel that is closed once the id is written to its bucket.
 func (b *batcher) claim(id string) <-chan struct{} {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -50,7 +51,7 @@
 		batch := &bucketBatch{done: make(chan struct{})}
 		b.open[n] = batch
 		b.group.Go(func(ctx context.Context) error {
-			time.Sleep(costLinger)
+			time.Sleep(costBatchDelay)
 			b.write(ctx, n, batch)
 			return nil
 		})
@@ -79,13 +80,14 @@
 	}
 }
 
+// claimCost is the load on the store and the wait of the caller.
 type claimCost struct {
 	writes, reads, bytes, wait float64 // per receipt; wait in milliseconds
 }
 
 func slowStore() *objmem.Store {
 	store := objmem.New()
-	store.SetFault(func(objmem.Op, string) objmem.Fault { return objmem.Fault{Delay: costCall} })
+	store.SetFault(func(objmem.Op, string) objmem.Fault { return objmem.Fault{Delay: costStoreDelay} })
 	return store
 }
 
@@ -107,12 +109,12 @@
 		for i := range guards {
 			guards[i] = newGuard(store, fmt.Sprint("vm-", i))
 		}
-		n := int(costFor.Seconds()) * rate
+		n := int(costDuration.Seconds()) * rate
 		waits := make([]time.Duration, n)
 		for i := range n {
 			g.Go(func(ctx context.Context) error {
 				start := time.Now()
-				ticket, err := guards[i%costVMs].Claim(ctx, ask(fmt.Sprint(i)))
+				ticket, err := guards[i%costVMs].Claim(ctx, claimRequest(fmt.Sprint(i)))
 				waits[i] = time.Since(start)
 				if err == nil {
 					ticket.Done(201)
@@ -138,7 +140,7 @@
 		for i := range vms {
 			vms[i] = &batcher{store: store, group: &g, open: map[uint64]*bucketBatch{}}
 		}
-		n := int(costFor.Seconds()) * rate
+		n := int(costDuration.Seconds()) * rate
 		waits := make([]time.Duration, n)
 		for i := range n {
 			vm := vms[i%costVMs]
@@ -165,9 +167,9 @@
 	return total
 }
 
-// The two ways side by side, by what they ask of the store. The log of this
-// test is the table in docs/design/audit.md. At the rates of today's users one
-// create for each receipt asks for less, and its caller waits less.
+// Compares the load on the store of one create for each request and of batched claims.
+// The log of this test is the table in docs/design/audit.md. At the request rates of
+// current users one create for each request costs less, and its caller waits less.
 func TestCostOfClaims(t *testing.T) {
 	for _, rate := range []int{5, 20, 100, 500} {
 		create, batch := costOfCreates(t, rate), costOfBatches(t, rate)
@@ -176,28 +178,28 @@
 				rate, name, c.writes, c.reads, c.bytes, c.writes*float64(rate), c.wait)
 		}
 		assert.Assert(t, create.wait < batch.wait)
-		assert.Assert(t, create.writes*float64(rate) <= float64(rate+noteRate*costVMs+1+noteBurst*costVMs))
+		assert.Assert(t, create.writes*float64(rate) <= float64(rate+doneRate*costVMs+1+doneBurst*costVMs))
 		assert.Equal(t, create.reads, 0.0)
 	}
 }
 
-// Claims older than a week go, younger ones and unreadable ones stay.
+// Claims older than a week are deleted; newer and undecodable ones stay.
 func TestSweepDeletesOnlyWhatIsOld(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := objmem.New()
 		guard := newGuard(store, "vm-1")
 		for i := range 200 {
-			_, err := guard.Claim(t.Context(), ask(fmt.Sprint("old", i)))
+			_, err := guard.Claim(t.Context(), claimRequest(fmt.Sprint("old", i)))
 			assert.NilError(t, err)
 		}
 		assert.NilError(t, guard.Close())
 		time.Sleep(Retention + time.Hour)
 		guard = newGuard(store, "vm-2")
-		_, err := guard.Claim(t.Context(), ask("young"))
+		_, err := guard.Claim(t.Context(), claimRequest("young"))
 		assert.NilError(t, err)
 		_, err = store.Put(t.Context(), Prefix+"00/x", []byte{0xff}, 0)
 		assert.NilError(t, err)
-		time.Sleep(shards * (sweepEvery + time.Minute))
+		time.Sleep(shards * (sweepInterval + time.Minute))
 		left, _, err := store.List(t.Context(), Prefix)
 		assert.NilError(t, err)
 		assert.Equal(t, len(left), 2)
--- a/internal/audit/dedup/guard.go
+++ b/internal/audit/dedup/guard.go
@@ -18,82 +18,83 @@
 	"hawthornfield.org/hawthornfield/internal/plat/object"
 )
 
-// Bounds of a Guard.
+// Limits of a Guard.
 const (
-	// settleRing is how many claims may wait to be settled: at 100 receipts a
-	// second, 40 s of a store outage.
-	settleRing = 4096
-	// retryEvery is the pause after the store did not answer a settling.
-	retryEvery = time.Second
-	// noteRate is how many answers a second one VM notes. The note is a second
-	// write for each receipt that only makes the answer to a repeat clearer, so
-	// under load it goes first: at ten VMs the notes never take more than 50
-	// writes a second of the store's several hundred.
-	noteRate  = 5
-	noteBurst = 5
-	// settleCall is the longest wait for one settling call.
-	settleCall = 2 * time.Second
+	// finalizeQueueSize is the number of claims that may wait to be finalized: at 100
+	// receipts a second, enough for a store outage of 40 s.
+	finalizeQueueSize = 4096
+	// retryDelay is the pause after the store did not answer.
+	retryDelay = time.Second
+	// doneRate is the largest number of requests a second that one VM marks as done.
+	// The mark is a second write for each request, and only makes the answer to a
+	// repeated request clearer, so it is dropped under load. With ten VMs the marks take
+	// at most 50 of the several hundred writes a second that the store handles.
+	doneRate  = 5
+	doneBurst = 5
+	// finalizeTimeout is the timeout of one try to finalize a claim.
+	finalizeTimeout = 2 * time.Second
 )
 
-// Guard claims request ids. Make one for each entry VM with New.
+// Guard claims request ids. Create one for each entry VM with New.
 //
-//	t, err := guard.Claim(ctx, once.Ask{Service: "ledger", ID: id, Rule: rule})
+//	t, err := guard.Claim(ctx, dedup.Request{Service: "ledger", ID: id, Rule: rule})
 //	if err != nil {
-//		return err // Repeated or Undurable: nothing is forwarded
+//		return err // Repeated or NotDurable: do not forward the request
 //	}
 //	answer, err := forward(ctx)
 //	if certainlyNotRun(err) {
-//		t.Release(ctx) // before the caller is told so, and sends it again
+//		t.Release(ctx) // before the caller gets its answer and may repeat the request
 //	} else if err == nil {
 //		t.Done(answer.Status)
-//	} // otherwise it may have run: the claim stays as it is
+//	} // otherwise it may have run, and the claim stays as it is
 type Guard struct {
-	store object.Store
-	vm    ident.VM
-	log   *slog.Logger
-	queue *ring.Ring[task]
-	notes *rate.Limiter
-	group group.Group
-	stuck atomic.Uint64
+	store       object.Store
+	vm          ident.VM
+	log         *slog.Logger
+	queue       *ring.Ring[task]
+	doneLimiter *rate.Limiter
+	group       group.Group
+	stuck       atomic.Uint64
 }
 
-// task is a settling that is done off the request path.
+// task is a claim to be finalized outside the request path.
 type task struct {
 	name    string
-	done    *Receipt // written as it is, when set
+	done    *Receipt // if set, written unchanged; otherwise release is run
 	old     object.Version
 	release Release
 }
 
-// Request is what is claimed.
+// Request identifies the request to be claimed.
 type Request struct {
 	Service ident.Service
 	ID      ident.Request
 	Rule    string
 }
 
-// Ticket is a claim that this VM owns. Exactly one of Release and Done is
-// called, or neither when it is not known whether the request ran.
+// Ticket is a claim that this VM owns. Call exactly one of Release and Done, or neither
+// when it is not known whether the request ran.
 type Ticket struct {
 	guard *Guard
 	name  string
 	claim Claim
 }
 
-// New starts a guard. A nil log uses [slog.Default].
+// New starts a guard. A nil log means [slog.Default].
 func New(store object.Store, vm ident.VM, log *slog.Logger) *Guard {
 	if log == nil {
 		log = slog.Default()
 	}
-	g := &Guard{store: store, vm: vm, log: log, queue: ring.New[task](settleRing, ring.Refuse)}
-	g.notes = rate.NewLimiter(noteRate, noteBurst)
-	g.group.Go(g.run)
-	g.group.Go(g.sweep)
+	g := &Guard{store: store, vm: vm, log: log, queue: ring.New[task](finalizeQueueSize, ring.Refuse)}
+	g.doneLimiter = rate.NewLimiter(doneRate, doneBurst)
+	g.group.Go(g.finalizeLoop)
+	g.group.Go(g.sweepLoop)
 	return g
 }
 
-// Close stops settling and waits. Claims that were not settled stay: their ids
-// are answered as "unknown", and do not run again.
+// Close tries once more to finalize the waiting claims. Those that still are not
+// finalized stay as claimed: repeated requests with their ids are answered "unknown"
+// and do not run.
 func (g *Guard) Close() error {
 	err := g.group.Close()
 	for {
@@ -101,60 +102,61 @@
 		if !ok {
 			return err
 		}
-		g.settle(context.Background(), t)
+		g.finalize(context.Background(), t)
 	}
 }
 
-// Stuck counts the claims that found no room to be settled. Their ids stay
-// claimed although the request did not run, or is known to have run.
+// Stuck returns the number of claims that could not be queued to be finalized. Their ids
+// stay claimed although the request did not run, or is known to have run.
 func (g *Guard) Stuck() uint64 { return g.stuck.Load() }
 
-// Claim claims an id, and returns only when this VM alone may forward the
-// request. Kind Repeated means that an earlier attempt has it; the message says
-// what is known of it. Kind Undurable means that the store did not answer: the
-// request did not run, and whatever was written of the claim is taken back.
-func (g *Guard) Claim(ctx context.Context, ask Request) (*Ticket, error) {
-	t := &Ticket{guard: g, name: NameOf(ask.Service, ask.ID)}
-	t.claim = NewClaim(Receipt{Service: ask.Service, ID: ask.ID, Tok: rand.Text(), VM: g.vm, Rule: ask.Rule})
-	g.drive(ctx, t.name, t.claim)
+// Claim claims the id of a request. Without an error, this VM alone may forward the
+// request. An error of kind Repeated means that an earlier attempt has the claim; its
+// message states the stage and the VM. An error of kind NotDurable means that the store
+// did not answer: the request did not run, and a claim that may have been written is
+// released.
+func (g *Guard) Claim(ctx context.Context, req Request) (*Ticket, error) {
+	t := &Ticket{guard: g, name: ObjectName(req.Service, req.ID)}
+	t.claim = NewClaim(Receipt{Service: req.Service, ID: req.ID, AttemptToken: rand.Text(), VM: g.vm, Rule: req.Rule})
+	g.runModel(ctx, t.name, t.claim)
 	if t.claim.Owned() {
 		return t, nil
 	}
 	if earlier, ok := t.claim.Taken(); ok {
-		return nil, kinds.New(kinds.Repeated, "request "+string(ask.ID)+" is "+string(earlier.Stage)+" through "+string(earlier.VM))
+		return nil, kinds.New(kinds.Repeated, "request "+string(req.ID)+" is "+string(earlier.Stage)+" through "+string(earlier.VM))
 	}
-	if t.claim.touched {
+	if t.claim.mayBeWritten {
 		g.enqueue(task{name: t.name, release: NewRelease(t.claim)})
 	}
-	return nil, kinds.New(kinds.NotDurable, "request "+string(ask.ID)+" could not be claimed")
+	return nil, kinds.New(kinds.NotDurable, "request "+string(req.ID)+" could not be claimed")
 }
 
-// Release gives the claim back because the request certainly did not run. It
-// waits for the store once, so that a caller who repeats the request right away
-// is not told that it was accepted before; if the store does not answer, it
-// goes on off the request path.
+// Release releases the claim because the request certainly did not run. It waits for
+// one try at the store, so that a caller who repeats the request at once is not told
+// that it was accepted before. If the store does not answer, the release goes on
+// outside the request path.
 func (t *Ticket) Release(ctx context.Context) {
 	r := NewRelease(t.claim)
-	t.guard.drive(ctx, t.name, r)
+	t.guard.runModel(ctx, t.name, r)
 	if r.Left() || !r.Ended() {
 		t.guard.enqueue(task{name: t.name, release: r})
 	}
 }
 
-// Done notes, off the request path, that the request ran and how it was
-// answered, so that a repeat is told so. Beyond a few a second it does nothing:
-// the claim alone keeps the request from running again.
+// Done records, outside the request path, that the request ran and the HTTP status of
+// its answer, so that a caller who repeats the request is told so. Above a few calls a
+// second it does nothing, as the claim alone prevents a second run.
 func (t *Ticket) Done(code int) {
-	if !t.guard.notes.Allow() {
+	if !t.guard.doneLimiter.Allow() {
 		return
 	}
-	r := t.claim.mine
-	r.Stage, r.Code = Done, code
-	t.guard.enqueue(task{name: t.name, done: &r, old: t.claim.ver})
+	r := t.claim.receipt
+	r.Stage, r.Status = Done, code
+	t.guard.enqueue(task{name: t.name, done: &r, old: t.claim.version})
 }
 
-// drive carries out a model's effects until it has its answer.
-func (g *Guard) drive(ctx context.Context, name string, m loop.Model) {
+// runModel executes the commands of a model until it is finished.
+func (g *Guard) runModel(ctx context.Context, name string, m loop.Model) {
 	_, cmds := m.Update(time.Now(), StartMsg{})
 	for len(cmds) > 0 {
 		var msg loop.Msg
@@ -170,22 +172,23 @@
 	}
 }
 
+// enqueue queues a claim to be finalized, or drops and counts it when the queue is full.
 func (g *Guard) enqueue(t task) {
 	if !g.queue.Push(context.Background(), t) {
 		g.stuck.Add(1)
-		g.log.Error("claim not settled", slog.String("name", t.name))
+		g.log.Error("claim not finalized: the queue is full", slog.String("name", t.name))
 	}
 }
 
-// run settles claims one after another, and pauses while the store is down.
-func (g *Guard) run(ctx context.Context) error {
+// finalizeLoop finalizes claims one after another, and waits while the store is down.
+func (g *Guard) finalizeLoop(ctx context.Context) error {
 	for {
 		t, ok := g.queue.Pop(ctx)
 		if !ok {
 			return nil
 		}
-		for !g.settle(ctx, t) {
-			pause := time.NewTimer(retryEvery)
+		for !g.finalize(ctx, t) {
+			pause := time.NewTimer(retryDelay)
 			select {
 			case <-pause.C:
 			case <-ctx.Done():
@@ -196,20 +199,20 @@
 	}
 }
 
-// settle tries once and reports whether nothing is left to do.
-func (g *Guard) settle(ctx context.Context, t task) bool {
-	ctx, cancel := context.WithTimeout(ctx, settleCall)
+// finalize tries once to finalize a claim and reports whether nothing is left to do.
+func (g *Guard) finalize(ctx context.Context, t task) bool {
+	ctx, cancel := context.WithTimeout(ctx, finalizeTimeout)
 	defer cancel()
 	if t.done == nil {
-		g.drive(ctx, t.name, t.release)
+		g.runModel(ctx, t.name, t.release)
 		return !t.release.Left()
 	}
 	value, err := wire.Encode(t.done)
 	if err != nil {
 		return true
 	}
-	// Conflict is as good: only our own write, whose answer was lost, can have
-	// changed a claim that we own.
+	// A conflict counts as success: only an own write whose answer was lost can have
+	// changed a claim that this VM owns.
 	_, err = g.store.Put(ctx, t.name, value, t.old)
 	kind := kinds.Of(err)
 	return kind != kinds.Ambiguous && kind != kinds.Unavailable
--- a/internal/audit/dedup/guard_test.go
+++ b/internal/audit/dedup/guard_test.go
@@ -22,12 +22,12 @@
 	return New(store, ident.VM(vm), slog.New(slog.NewJSONHandler(io.Discard, nil)))
 }
 
-func ask(id string) Request {
+func claimRequest(id string) Request {
 	return Request{Service: "ledger", ID: ident.Request(id), Rule: "receipts"}
 }
 
-// A clerk presses the button again because the first answer did not come, and
-// the balancer sends each attempt to another entry VM. One of them runs.
+// A caller repeats a request that got no answer, and the load balancer sends each attempt
+// to another entry VM. Exactly one of them must run.
 func TestOneOfManyRacingAttemptsWins(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := objmem.New()
@@ -42,7 +42,7 @@
 			g.Go(func(context.Context) error {
 				guard := newGuard(store, fmt.Sprint("vm-", vm))
 				for id := range 20 {
-					_, err := guard.Claim(t.Context(), ask(fmt.Sprint(id)))
+					_, err := guard.Claim(t.Context(), claimRequest(fmt.Sprint(id)))
 					switch kinds.Of(err) {
 					case kinds.None:
 						won[vm]++
@@ -63,47 +63,46 @@
 	})
 }
 
-// The request was refused by the backend server as not run, and the caller
-// sends it again at once through another VM. It must not hear that it was
-// accepted before.
+// The backend server refused the request as not run, and the caller repeats it at once
+// through another VM. It must not be told that the request was accepted before.
 func TestReleaseIsSeenByTheNextAttempt(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := objmem.New()
 		a, b := newGuard(store, "vm-1"), newGuard(store, "vm-2")
-		ticket, err := a.Claim(t.Context(), ask("r"))
+		ticket, err := a.Claim(t.Context(), claimRequest("r"))
 		assert.NilError(t, err)
 		ticket.Release(t.Context())
-		ticket, err = b.Claim(t.Context(), ask("r"))
+		ticket, err = b.Claim(t.Context(), claimRequest("r"))
 		assert.NilError(t, err)
 		ticket.Done(201)
 		assert.NilError(t, b.Close())
-		_, err = a.Claim(t.Context(), ask("r"))
+		_, err = a.Claim(t.Context(), claimRequest("r"))
 		assert.Equal(t, kinds.Of(err), kinds.Repeated)
 		assert.Assert(t, strings.Contains(err.Error(), "done"), "%v", err)
 		assert.NilError(t, a.Close())
 	})
 }
 
-// The store goes away. A receipt is refused at once as not run; one that was
-// claimed just before and did not run is given back when the store returns.
-func TestOutageRefusesAtOnceAndGivesBackLater(t *testing.T) {
+// During a store outage a request is refused at once as not run. One that was claimed just
+// before and did not run is released when the store is back.
+func TestOutageRefusesAtOnceAndReleasesLater(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := objmem.New()
 		a, b := newGuard(store, "vm-1"), newGuard(store, "vm-2")
-		ticket, err := a.Claim(t.Context(), ask("r"))
+		ticket, err := a.Claim(t.Context(), claimRequest("r"))
 		assert.NilError(t, err)
 		store.SetDown(true)
 		start := time.Now()
-		_, err = b.Claim(t.Context(), ask("other"))
+		_, err = b.Claim(t.Context(), claimRequest("other"))
 		assert.Equal(t, kinds.Of(err), kinds.NotDurable)
 		ticket.Release(t.Context())
 		assert.Equal(t, time.Since(start), time.Duration(0))
 		time.Sleep(10 * time.Minute)
 		store.SetDown(false)
-		time.Sleep(2 * retryEvery)
-		_, err = b.Claim(t.Context(), ask("r"))
+		time.Sleep(2 * retryDelay)
+		_, err = b.Claim(t.Context(), claimRequest("r"))
 		assert.NilError(t, err)
-		_, err = b.Claim(t.Context(), ask("other"))
+		_, err = b.Claim(t.Context(), claimRequest("other"))
 		assert.NilError(t, err)
 		assert.Equal(t, a.Stuck()+b.Stuck(), uint64(0))
 		assert.NilError(t, a.Close())
@@ -111,17 +110,17 @@
 	})
 }
 
-// The entry VM is lost between claim and forward. Nobody knows that, so every
-// later attempt hears "unknown" and nothing runs.
-func TestLostVMEndsAsUnknown(t *testing.T) {
+// The entry VM is lost between claim and forward. The other VMs cannot know that, so every
+// later attempt is answered "unknown" and nothing runs.
+func TestClaimOfALostVMIsAnsweredUnknown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := objmem.New()
 		a, b := newGuard(store, "vm-1"), newGuard(store, "vm-2")
-		_, err := a.Claim(t.Context(), ask("r"))
+		_, err := a.Claim(t.Context(), claimRequest("r"))
 		assert.NilError(t, err)
 		assert.NilError(t, a.Close())
 		for range 3 {
-			_, err = b.Claim(t.Context(), ask("r"))
+			_, err = b.Claim(t.Context(), claimRequest("r"))
 			assert.Equal(t, kinds.Of(err), kinds.Repeated)
 			assert.Equal(t, kinds.Of(err).Answer().Ran, kinds.RanUnknown)
 			time.Sleep(time.Hour)
--- a/internal/audit/dedup/sweep.go
+++ b/internal/audit/dedup/sweep.go
@@ -12,21 +12,23 @@
 	"hawthornfield.org/hawthornfield/internal/plat/object"
 )
 
-// Retention is how long a claim is remembered. A request that is repeated later runs
-// again, so it is far beyond any caller's patience: a weekend and a holiday.
+// Retention is how long a claim is kept. A request that is repeated later runs again, so
+// the time is longer than any caller retries: it covers a weekend and a holiday.
 const Retention = 7 * 24 * time.Hour
 
-// Claims would fill the store for ever. Each VM looks at one of the shards in
-// turn; ten VMs see all of them about every four hours, and the pause between
-// deletions keeps the sweep a small part of the store's writes.
+// Old claims must be deleted, or they would fill the store. Each VM checks the shards one
+// after another; ten VMs together check all of them about every four hours. The pause
+// between deletions keeps the sweep a small part of the store's writes.
 const (
-	shards     = 256
-	sweepEvery = 10 * time.Minute
-	sweepPause = 100 * time.Millisecond
+	shards        = 256
+	sweepInterval = 10 * time.Minute
+	sweepPause    = 100 * time.Millisecond
 )
 
-func (g *Guard) sweep(ctx context.Context) error {
-	tick := time.NewTicker(sweepEvery)
+// sweepLoop sweeps one shard in each interval. Each VM starts at a shard given by its
+// name, so that they differ.
+func (g *Guard) sweepLoop(ctx context.Context) error {
+	tick := time.NewTicker(sweepInterval)
 	defer tick.Stop()
 	turn := xxhash.Sum64String(string(g.vm))
 	for {
@@ -43,9 +45,8 @@
 	}
 }
 
-// Sweep deletes the claims of one shard that were written before a time, and
-// returns how many. A claim that changes meanwhile stays, and so does one that
-// cannot be read.
+// Sweep deletes the claims of one shard that were written before a time, and returns
+// their number. Claims that change meanwhile and claims that cannot be decoded stay.
 func Sweep(ctx context.Context, store object.Store, shard byte, before time.Time) (int, error) {
 	all, _, err := store.List(ctx, fmt.Sprintf("%s%02x/", Prefix, shard))
 	if err != nil {
@@ -56,7 +57,7 @@
 	defer pause.Stop()
 	for _, o := range all {
 		var r Receipt
-		if wire.Decode(o.Value, &r) != nil || r.V > Version || !r.At.Before(before) {
+		if wire.Decode(o.Value, &r) != nil || r.FormatVersion > Version || !r.WrittenAt.Before(before) {
 			continue
 		}
 		if store.Delete(ctx, o.Name, o.Version) == nil {
--- a/internal/audit/ledger/compare_test.go
+++ b/internal/audit/ledger/compare_test.go
@@ -25,6 +25,7 @@
 	version object.Version
 }
 
+// appended is the value of one appended object.
 type appended struct {
 	Marks []string `cbor:"marks"`
 	Data  [][]byte `cbor:"data"`
@@ -57,6 +58,7 @@
 	}
 }
 
+// cost is the use of the store and the time taken by one way of writing.
 type cost struct {
 	usage objmem.Usage
 	took  time.Duration
@@ -64,8 +66,8 @@
 
 const (
 	compareBatches   = 200
-	compareBytes     = 20_000 // about 100 decisions
-	compareMaxObject = 256 << 10
+	compareBytes     = 20_000    // about 100 decisions
+	compareMaxObject = 256 << 10 // bytes
 )
 
 // incompressible returns random bytes, so that compression has no effect on the comparison.
--- a/internal/audit/ledger/model_test.go
+++ b/internal/audit/ledger/model_test.go
@@ -229,6 +229,7 @@
 	}
 }
 
+// Without a shared budget the journals alone would use up the store as VMs are added.
 func TestWriteRateFallsWithTheNumberOfVMs(t *testing.T) {
 	for vms, want := range map[int]int{1: 10 * 60, 10: 10 * 60, 50: 120, 520: 11} {
 		sim := newSimStore(1, Limits{})
