--- a/internal/audit/report/output.go
+++ b/internal/audit/report/output.go
@@ -14,10 +14,10 @@
 	"hawthornfield.org/hawthornfield/internal/core/kinds"
 )
 
-// GroupBy names what rows are counted by.
+// GroupBy is the field that rows are grouped by.
 type GroupBy string
 
-// The ways to count.
+// Fields to group by.
 const (
 	ByKey     GroupBy = "key"
 	ByCaller  GroupBy = "caller"
@@ -27,19 +27,19 @@
 	ByHour    GroupBy = "hour"
 )
 
-// Count is one line of a counted report: requests only, moves apart.
+// Count is one row of a grouped report. Requests and moves are not counted together.
 type Count struct {
 	Name    string        `json:"name"`
 	All     int           `json:"all"`
 	Ran     int           `json:"ran"`
-	Not     int           `json:"not"` // refused as not run
+	NotRun  int           `json:"not"` // refused as not run
 	Unknown int           `json:"unknown"`
-	P50     time.Duration `json:"p50"` // of those that ran
+	P50     time.Duration `json:"p50"` // latency of the requests that ran
 	P99     time.Duration `json:"p99"`
 }
 
-// Counts groups the report's requests, the largest group first; by hour, in
-// order of time. A report that holds nothing but moves is counted by its moves.
+// Counts groups the requests of the report, the largest group first, or in order of time
+// when grouped by hour. A report that holds only moves counts those.
 func (r *Report) Counts(by GroupBy) []Count {
 	isMove := func(row Row) bool { return row.Action == record.Place }
 	onlyMoves := !slices.ContainsFunc(r.Rows, func(row Row) bool { return !isMove(row) })
@@ -65,7 +65,7 @@
 			c.Ran++
 			took[name] = append(took[name], row.Took)
 		case kinds.RanNo:
-			c.Not++
+			c.NotRun++
 		default:
 			c.Unknown++
 		}
@@ -84,6 +84,7 @@
 	return all
 }
 
+// name returns the group of a row.
 func (by GroupBy) name(row *Row) string {
 	switch by {
 	case ByCaller:
@@ -101,7 +102,7 @@
 	}
 }
 
-// quantile returns the value that percent of all do not exceed.
+// quantile returns the given percentile, or zero without values.
 func quantile(all []time.Duration, percent int) time.Duration {
 	if len(all) == 0 {
 		return 0
@@ -117,41 +118,42 @@
 	return enc.Encode(r)
 }
 
-// WriteTable writes one line for each decision, and then what is missing.
+// WriteTable writes one line for each decision, followed by the summary.
 func (r *Report) WriteTable(w io.Writer) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(t, "TIME\tWHAT\tID\tKEY\tCALLER\tSERVER\tEPOCH\tRULE\tREV\tBY\tRAN\tCODE\tWHY")
 	for i := range r.Rows {
 		d := &r.Rows[i]
 		fmt.Fprintf(t, "%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\n",
-			d.At.UTC().Format("2006-01-02 15:04:05.000"), d.Action, dash(string(d.ID)), dash(subject(d)), dash(string(d.Caller)),
-			dash(where(d)), number(uint64(d.Epoch)), dash(d.Rule), number(uint64(d.Rev)), dash(d.Author), dash(string(d.Ran)),
-			number(uint64(max(d.Status, 0))), dash(d.Reason))
+			d.At.UTC().Format("2006-01-02 15:04:05.000"), d.Action, orDash(string(d.ID)), orDash(subject(d)), orDash(string(d.Caller)),
+			orDash(serverOrMove(d)), numberOrDash(uint64(d.Epoch)), orDash(d.Rule), numberOrDash(uint64(d.Rev)), orDash(d.Author), orDash(string(d.Ran)),
+			numberOrDash(uint64(max(d.Status, 0))), orDash(d.Reason))
 	}
 	if err := t.Flush(); err != nil {
 		return err
 	}
-	return r.writeEnd(w)
+	return r.writeSummary(w)
 }
 
-// WriteCounts writes one line for each group, and then what is missing.
+// WriteCounts writes one line for each group, followed by the summary.
 func (r *Report) WriteCounts(w io.Writer, by GroupBy) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintf(t, "%s\tALL\tRAN\tNOT RUN\tUNKNOWN\tP50\tP99\n", strings.ToUpper(string(by)))
 	for _, c := range r.Counts(by) {
-		fmt.Fprintf(t, "%s\t%d\t%d\t%d\t%d\t%v\t%v\n", dash(c.Name), c.All, c.Ran, c.Not, c.Unknown,
+		fmt.Fprintf(t, "%s\t%d\t%d\t%d\t%d\t%v\t%v\n", orDash(c.Name), c.All, c.Ran, c.NotRun, c.Unknown,
 			c.P50.Round(10*time.Microsecond), c.P99.Round(10*time.Microsecond))
 	}
 	if err := t.Flush(); err != nil {
 		return err
 	}
-	return r.writeEnd(w)
+	return r.writeSummary(w)
 }
 
-func (r *Report) writeEnd(w io.Writer) error {
+// writeSummary writes the totals, and the decisions that the report does not contain.
+func (r *Report) writeSummary(w io.Writer) error {
 	_, err := fmt.Fprintf(w, "\n%d decisions, from %d segments of %d journals\n", len(r.Rows), r.Segments, r.Journals)
-	if r.Cut {
-		fmt.Fprintf(w, "cut at %d decisions: ask for a shorter time\n", MaxRows)
+	if r.Truncated {
+		fmt.Fprintf(w, "truncated at %d decisions: query a shorter time span\n", MaxRows)
 	}
 	for _, x := range r.Skips {
 		fmt.Fprintf(w, "not kept: %d decisions of rule %s (revision %d, keep = %q), %s to %s\n", x.Count, x.Rule, x.Rev, string(x.Keep),
@@ -159,7 +161,7 @@
 	}
 	for _, g := range r.Gaps {
 		fmt.Fprintf(w, "missing: %d in %s, %s to %s: %s\n", g.Count, g.Path,
-			g.From.UTC().Format(time.DateTime), g.To.UTC().Format(time.DateTime), g.Why)
+			g.From.UTC().Format(time.DateTime), g.To.UTC().Format(time.DateTime), g.Reason)
 	}
 	return err
 }
@@ -171,16 +173,16 @@
 	return string(d.Key)
 }
 
-func where(d *Row) string {
+func serverOrMove(d *Row) string {
 	if d.PrevOwner != "" {
 		return string(d.PrevOwner) + " > " + string(d.Server)
 	}
 	return string(d.Server)
 }
 
-func dash(s string) string { return cmp.Or(s, "-") }
+func orDash(s string) string { return cmp.Or(s, "-") }
 
-func number(n uint64) string {
+func numberOrDash(n uint64) string {
 	if n == 0 {
 		return "-"
 	}
--- a/internal/audit/report/report.go
+++ b/internal/audit/report/report.go
@@ -1,14 +1,14 @@
-// Package report answers the auditor's question out of the object API alone:
-// which server handled which key, for whom, when, and under whose rule.
+// Package report reads audit reports from the object API: which server handled which key,
+// for which caller, when, under which rule, and who put that rule in force.
 //
-// It needs no entry VM. Every VM that ever wrote a journal stands in the index,
-// so the answer is the same after all of them were replaced. What is missing is
-// part of the answer: decisions that a full buffer dropped, segments that a
-// newer program wrote, submissions whose outcome nobody recorded.
+// It needs no entry VM. The index lists every VM that ever wrote a journal, so the report
+// is the same after all VMs were replaced. A report also lists what it cannot show:
+// decisions dropped from a full buffer, segments written by a newer program, and
+// submissions without a recorded outcome.
 //
-// The pattern it answers is a short question about a long history. Journals are
-// searched by the times in their heads, several at once, so a report on five
-// minutes reads a few objects of each journal and not the harvest.
+// A typical query covers a short time in a long history. The journals are searched by the
+// times in the heads of their segments, several journals at once, so a report on five
+// minutes reads only a few objects of each journal.
 package report
 
 import (
@@ -28,19 +28,19 @@
 	"hawthornfield.org/hawthornfield/internal/plat/object"
 )
 
-// Bounds of a report.
+// Limits of a report.
 const (
-	// Slack widens the span that is read, for clocks of VMs that differ and for
-	// requests that were recorded when they ended.
+	// Slack widens the time span that is read, because the clocks of VMs differ and
+	// because requests are recorded when they end.
 	Slack = 2 * time.Minute
-	// MaxRows is the most rows that one report holds: about 100 MB.
+	// MaxRows is the largest number of rows of one report, about 100 MB.
 	MaxRows = 200_000
-	// parallel is how many journals are read at once. Reads are the platform's
-	// scarce good too, and each waits for a few milliseconds.
-	parallel = 8
+	// maxParallelReads is the number of journals read at once. Each read takes a few
+	// milliseconds, but the read capacity of the platform is limited too.
+	maxParallelReads = 8
 )
 
-// Query says what is asked. Empty fields ask for everything.
+// Query selects decisions. Empty fields match everything.
 type Query struct {
 	Since, Until time.Time
 	Key          ident.Key
@@ -50,40 +50,40 @@
 	ID           ident.Request
 	Rule         string
 	Action       record.Action
-	// Slices tells how many slices a service has, so that moves of a key's
-	// slice are found as well. Nil leaves them out.
+	// Slices returns the number of slices of a service. It is needed to find moves of the
+	// slice of a key; nil leaves them out.
 	Slices func(ident.Service) uint32
-	// Author tells who put a revision of the rules in force. Nil leaves it out.
+	// Author returns who put a revision of the rules in force; nil leaves it out.
 	Author func(ident.Revision) string
 }
 
-// Row is one line of a report.
+// Row is one decision in a report.
 type Row struct {
 	record.Decision
-	Author string `json:"author,omitempty"` // who put the rule's revision in force
+	Author string `json:"author,omitempty"` // who put the rules revision in force
 }
 
-// Gap is something that the report cannot show.
+// Gap describes decisions that the report cannot show.
 type Gap struct {
-	Path  string    `json:"path"` // the journal
-	Count uint64    `json:"count,omitempty"`
-	From  time.Time `json:"from"`
-	To    time.Time `json:"to"`
-	Why   string    `json:"why"`
+	Path   string    `json:"path"` // path of the journal
+	Count  uint64    `json:"count,omitempty"`
+	From   time.Time `json:"from"`
+	To     time.Time `json:"to"`
+	Reason string    `json:"why"`
 }
 
-// Report is the answer.
+// Report is the result of a query.
 type Report struct {
-	Rows     []Row  `json:"rows"`
-	Gaps     []Gap  `json:"gaps"`
-	Skips    []Skip `json:"skips"`    // what rules left out, which no row shows
-	Journals int    `json:"journals"` // read
-	Segments int    `json:"segments"` // read
-	Cut      bool   `json:"cut"`      // there was more than MaxRows
+	Rows      []Row  `json:"rows"`
+	Gaps      []Gap  `json:"gaps"`
+	Skips     []Skip `json:"skips"`    // decisions left out of the journals by the rules, which no row shows
+	Journals  int    `json:"journals"` // number of journals read
+	Segments  int    `json:"segments"` // number of segments read
+	Truncated bool   `json:"cut"`      // more than MaxRows decisions matched
 }
 
-// Run reads the journals and answers. It fails when the store does; a journal
-// that holds something unreadable becomes a gap instead.
+// Run reads the journals and returns the report. It fails when the store fails. Segments
+// that cannot be decoded are reported as gaps.
 func Run(ctx context.Context, store object.Store, q Query) (*Report, error) {
 	paths, err := ledger.Paths(ctx, store)
 	if err != nil {
@@ -91,15 +91,15 @@
 	}
 	c := collector{query: q}
 	g, ctx := errgroup.WithContext(ctx)
-	g.SetLimit(parallel)
-	for _, x := range paths {
-		if !q.wants(x.Path) || !q.Until.IsZero() && x.Created.After(q.Until.Add(Slack)) {
+	g.SetLimit(maxParallelReads)
+	for _, idx := range paths {
+		if !q.wantsJournal(idx.Path) || !q.Until.IsZero() && idx.Created.After(q.Until.Add(Slack)) {
 			continue
 		}
 		c.journals++
 		g.Go(func() error {
-			since, until := widen(q)
-			return ledger.Scan(ctx, store, x, since, until, func(s ledger.Segment, err error) { c.segment(x.Path, s, err) })
+			since, until := widenSpan(q)
+			return ledger.Scan(ctx, store, idx, since, until, func(s ledger.Segment, err error) { c.addSegment(idx.Path, s, err) })
 		})
 	}
 	if err := g.Wait(); err != nil {
@@ -108,7 +108,8 @@
 	return c.report(), nil
 }
 
-func widen(q Query) (since, until time.Time) {
+// widenSpan returns the time span of a query, widened by Slack.
+func widenSpan(q Query) (since, until time.Time) {
 	if !q.Since.IsZero() {
 		since = q.Since.Add(-Slack)
 	}
@@ -118,13 +119,14 @@
 	return since, until
 }
 
-// wants skips the ownership histories of other services.
-func (q *Query) wants(path string) bool {
+// wantsJournal reports whether a journal is to be read. Ownership histories of other
+// services are not.
+func (q *Query) wantsJournal(path string) bool {
 	service, isHistory := strings.CutPrefix(path, ledger.OwnPrefix)
 	return !isHistory || q.Service == "" || q.Service == ident.Service(service)
 }
 
-// match reports whether a decision is asked for.
+// match reports whether a decision matches the query.
 func (q *Query) match(d *record.Decision) bool {
 	switch {
 	case !q.Since.IsZero() && d.At.Before(q.Since), !q.Until.IsZero() && d.At.After(q.Until):
@@ -138,11 +140,11 @@
 	case q.Action != "" && d.Action != q.Action && (q.Action != record.Route || d.Action != record.Accept):
 		return false
 	}
-	return q.Key == "" || q.aboutKey(d)
+	return q.Key == "" || q.matchesKey(d)
 }
 
-// aboutKey also finds moves of the slice that holds the key.
-func (q *Query) aboutKey(d *record.Decision) bool {
+// matchesKey reports whether a decision is about the key, or moves the slice that holds it.
+func (q *Query) matchesKey(d *record.Decision) bool {
 	if d.Key != "" || d.Action != record.Place {
 		return d.Key == q.Key
 	}
@@ -153,46 +155,46 @@
 	return n > 0 && ident.SliceOf(q.Key, n) == d.Slice
 }
 
-// collector gathers what the readers of the journals find.
+// collector collects the matching decisions and the gaps of all journals.
 type collector struct {
 	query    Query
 	journals int
 
-	mu       sync.Mutex
-	rows     []record.Decision
-	gaps     []Gap
-	skips    skips
-	segments int
-	cut      bool
+	mu        sync.Mutex
+	rows      []record.Decision
+	gaps      []Gap
+	skips     skipSet
+	segments  int
+	truncated bool
 }
 
-func (c *collector) segment(path string, s ledger.Segment, err error) {
+func (c *collector) addSegment(path string, s ledger.Segment, err error) {
 	found, bad := s.Decisions()
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.segments++
 	gap := Gap{Path: path, From: s.From, To: s.To}
 	if err != nil {
-		gap.Why = err.Error()
+		gap.Reason = err.Error()
 		c.gaps = append(c.gaps, gap)
 		return
 	}
 	if bad > 0 {
-		gap.Count, gap.Why = uint64(bad), "entries that cannot be decoded"
+		gap.Count, gap.Reason = uint64(bad), "entries that cannot be decoded"
 		c.gaps = append(c.gaps, gap)
 	}
 	if s.Lost > 0 {
-		gap.Count, gap.Why = s.Lost, "the journal's buffer was full before this time"
+		gap.Count, gap.Reason = s.Lost, "the journal's buffer was full before this time"
 		c.gaps = append(c.gaps, gap)
 	}
 	for i := range found {
-		c.add(path, &found[i])
+		c.addDecision(path, &found[i])
 	}
 }
 
-func (c *collector) add(path string, d *record.Decision) {
+func (c *collector) addDecision(path string, d *record.Decision) {
 	if d.Action == record.Lost {
-		c.gaps = append(c.gaps, Gap{Path: path, Count: d.Count, From: d.At, To: d.At, Why: d.Reason})
+		c.gaps = append(c.gaps, Gap{Path: path, Count: d.Count, From: d.At, To: d.At, Reason: d.Reason})
 		return
 	}
 	if d.Action == record.Skip {
@@ -203,14 +205,16 @@
 		return
 	}
 	if len(c.rows) >= MaxRows {
-		c.cut = true
+		c.truncated = true
 		return
 	}
 	c.rows = append(c.rows, *d)
 }
 
+// report builds the report from the collected decisions. It drops the second copy of moves,
+// and acceptances of requests that have an outcome.
 func (c *collector) report() *Report {
-	r := &Report{Gaps: append([]Gap{}, c.gaps...), Journals: c.journals, Segments: c.segments, Cut: c.cut, Rows: []Row{}, Skips: c.skips.list()}
+	r := &Report{Gaps: append([]Gap{}, c.gaps...), Journals: c.journals, Segments: c.segments, Truncated: c.truncated, Rows: []Row{}, Skips: c.skips.list()}
 	slices.SortStableFunc(c.rows, func(a, b record.Decision) int {
 		return cmp.Or(a.At.Compare(b.At), strings.Compare(string(a.ID), string(b.ID)), strings.Compare(string(a.Action), string(b.Action)))
 	})
@@ -223,7 +227,7 @@
 	moves := map[record.Decision]bool{}
 	for _, d := range c.rows {
 		switch d.Action {
-		case record.Place: // in the VM's journal and in the service's history
+		case record.Place: // is in the journal of the VM and in the history of the service
 			if moves[d] {
 				continue
 			}
@@ -234,13 +238,13 @@
 			}
 			d.Ran, d.Kind, d.Reason = kinds.RanUnknown, kinds.Unknown.String(), "accepted; no outcome was recorded"
 		}
-		r.Rows = append(r.Rows, c.row(d))
+		r.Rows = append(r.Rows, c.newRow(d))
 	}
 	slices.SortFunc(r.Gaps, func(a, b Gap) int { return cmp.Or(a.From.Compare(b.From), strings.Compare(a.Path, b.Path)) })
 	return r
 }
 
-func (c *collector) row(d record.Decision) Row {
+func (c *collector) newRow(d record.Decision) Row {
 	row := Row{Decision: d}
 	if c.query.Author != nil && d.Rev != 0 && d.Action != record.Place {
 		row.Author = c.query.Author(d.Rev)
--- a/internal/audit/report/report_test.go
+++ b/internal/audit/report/report_test.go
@@ -22,14 +22,14 @@
 	"hawthornfield.org/hawthornfield/internal/fake/objmem"
 )
 
-var quiet = slog.New(slog.NewJSONHandler(io.Discard, nil))
+var discardLog = slog.New(slog.NewJSONHandler(io.Discard, nil))
 
 func open(store *objmem.Store, path string) *ledger.Journal {
-	return ledger.Open(store, path, ledger.WithLog(quiet))
+	return ledger.Open(store, path, ledger.WithLog(discardLog))
 }
 
-// harvest writes a small history through two VMs that are gone afterwards.
-func harvest(t *testing.T, store *objmem.Store) (start time.Time) {
+// writeHistory writes a small history through two VMs, which are closed afterwards.
+func writeHistory(t *testing.T, store *objmem.Store) (start time.Time) {
 	start = time.Now()
 	const slices = 8
 	slice := ident.SliceOf("scale-7", slices)
@@ -53,20 +53,20 @@
 	return start
 }
 
-func ask(t *testing.T, store *objmem.Store, q Query) *Report {
+func runQuery(t *testing.T, store *objmem.Store, q Query) *Report {
 	t.Helper()
 	r, err := Run(t.Context(), store, q)
 	assert.NilError(t, err)
 	return r
 }
 
-// Every entry VM has been replaced since. A grower's question about one scale
-// is answered all the same, from what the VMs left in the store.
+// All entry VMs have been replaced. A query about one key must still be answered from
+// the journals in the store.
 func TestReportAnswersAfterEveryVMIsGone(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := objmem.New()
-		start := harvest(t, store)
-		r := ask(t, store, Query{
+		start := writeHistory(t, store)
+		r := runQuery(t, store, Query{
 			Key:    "scale-7",
 			Slices: func(ident.Service) uint32 { return 8 },
 			Author: func(rev ident.Revision) string { return fmt.Sprint("operator of ", rev) },
@@ -74,20 +74,20 @@
 		assert.Equal(t, len(r.Rows), 11) // ten receipts and one move of its slice
 		assert.Equal(t, r.Rows[0].Author, "operator of 4")
 		assert.Equal(t, r.Rows[10].Action, record.Place)
-		assert.Equal(t, len(ask(t, store, Query{Caller: "hauler-3"}).Rows), 4)
-		assert.Equal(t, len(ask(t, store, Query{Server: "ledger-1"}).Rows), 6+2)
-		assert.Equal(t, len(ask(t, store, Query{ID: "1-4"}).Rows), 1)
-		assert.Equal(t, len(ask(t, store, Query{Rule: "other"}).Rows), 0)
-		assert.Equal(t, len(ask(t, store, Query{Since: start.Add(15 * time.Minute), Action: record.Route}).Rows), 5)
-		assert.Equal(t, len(ask(t, store, Query{Until: start.Add(90 * time.Second)}).Rows), 2)
+		assert.Equal(t, len(runQuery(t, store, Query{Caller: "hauler-3"}).Rows), 4)
+		assert.Equal(t, len(runQuery(t, store, Query{Server: "ledger-1"}).Rows), 6+2)
+		assert.Equal(t, len(runQuery(t, store, Query{ID: "1-4"}).Rows), 1)
+		assert.Equal(t, len(runQuery(t, store, Query{Rule: "other"}).Rows), 0)
+		assert.Equal(t, len(runQuery(t, store, Query{Since: start.Add(15 * time.Minute), Action: record.Route}).Rows), 5)
+		assert.Equal(t, len(runQuery(t, store, Query{Until: start.Add(90 * time.Second)}).Rows), 2)
 	})
 }
 
-func TestTableCountsAndJSONSayTheSame(t *testing.T) {
+func TestTableCountsAndJSONAgree(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := objmem.New()
-		harvest(t, store)
-		r := ask(t, store, Query{})
+		writeHistory(t, store)
+		r := runQuery(t, store, Query{})
 		var table, counts, doc bytes.Buffer
 		assert.NilError(t, r.WriteTable(&table))
 		assert.Equal(t, strings.Count(table.String(), "receipts"), 20)
@@ -96,7 +96,7 @@
 		assert.Assert(t, strings.Contains(counts.String(), "22 decisions"), counts.String())
 		assert.DeepEqual(t, r.Counts(ByServer)[0], Count{Name: "ledger-0", All: 8, Ran: 8, P50: 7 * time.Millisecond, P99: 10 * time.Millisecond})
 		assert.Equal(t, len(r.Counts(ByHour)), 1)
-		moves := ask(t, store, Query{Action: record.Place}).Counts(ByServer)
+		moves := runQuery(t, store, Query{Action: record.Place}).Counts(ByServer)
 		assert.DeepEqual(t, moves, []Count{{Name: "ledger-2", All: 2}})
 		assert.NilError(t, r.WriteJSON(&doc))
 		var back Report
@@ -106,10 +106,10 @@
 	})
 }
 
-// A VM was lost between accepting a submission and recording its outcome, and
-// another one dropped decisions during an outage. The auditor must see both: a
-// report that leaves them out looks complete.
-func TestWhatIsMissingIsPartOfTheAnswer(t *testing.T) {
+// A VM was lost between accepting a submission and recording its outcome, and another one
+// dropped decisions during an outage. The report must show both, as it would look
+// complete otherwise.
+func TestReportShowsWhatIsMissing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := objmem.New()
 		j := open(store, "log/vm-1")
@@ -127,7 +127,7 @@
 		assert.NilError(t, err)
 		_, err = store.Put(t.Context(), fmt.Sprint("log/vm-1/", end), []byte{0xff}, 0)
 		assert.NilError(t, err)
-		r := ask(t, store, Query{})
+		r := runQuery(t, store, Query{})
 		assert.Equal(t, len(r.Rows), 2)
 		assert.Equal(t, r.Rows[1].ID, ident.Request("open"))
 		assert.Equal(t, r.Rows[1].Ran, kinds.RanUnknown)
@@ -139,11 +139,11 @@
 	})
 }
 
-// A store that fails in the middle must not end in half a report.
+// A store that fails during the query must not lead to a partial report.
 func TestStoreFailureIsNotAnEmptyReport(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := objmem.New()
-		harvest(t, store)
+		writeHistory(t, store)
 		store.SetFault(func(_ objmem.Op, name string) objmem.Fault {
 			return objmem.Fault{Down: strings.HasPrefix(name, "log/vm-1/")}
 		})
@@ -152,14 +152,14 @@
 	})
 }
 
-// BenchmarkLastMinutes asks about five minutes of one key in a history of ten
-// VMs with 2,000 segments each, and reports what it reads.
+// BenchmarkLastMinutes queries five minutes of one key in a history of ten VMs with
+// 2,000 segments each, and reports the number of reads.
 func BenchmarkLastMinutes(b *testing.B) {
 	store := objmem.New()
 	start := time.Date(2026, 10, 1, 6, 0, 0, 0, time.UTC)
 	const vms, segments, entries = 10, 2000, 50
 	for vm := range vms {
-		writeLong(b, store, fmt.Sprint("log/vm-", vm), start, segments, entries)
+		writeLongJournal(b, store, fmt.Sprint("log/vm-", vm), start, segments, entries)
 	}
 	before := store.Usage()
 	q := Query{Key: "scale-7", Since: start.Add(20 * time.Hour), Until: start.Add(20*time.Hour + 5*time.Minute)}
@@ -174,8 +174,8 @@
 	b.ReportMetric(float64(vms*segments), "segments")
 }
 
-// writeLong writes a journal with a segment for each minute.
-func writeLong(b *testing.B, store *objmem.Store, path string, start time.Time, segments, entries int) {
+// writeLongJournal writes a journal with one segment for each minute.
+func writeLongJournal(b *testing.B, store *objmem.Store, path string, start time.Time, segments, entries int) {
 	b.Helper()
 	for n := range segments {
 		at := start.Add(time.Duration(n) * time.Minute)
@@ -197,10 +197,10 @@
 	assert.NilError(b, err)
 }
 
-// Two VMs leave most lookups out of the journal, as the rules say. An auditor who
-// asks about a key must be told whether nothing happened to it or nothing was
-// kept of it, and one who asks about a key in the sample not be made to doubt.
-func TestWhatRulesLeftOutIsPartOfTheAnswer(t *testing.T) {
+// Two VMs leave most lookups out of the journal under the rules. A report about a key must
+// tell a key without requests from one whose decisions were left out, and must show no
+// skip counts for a key in the sample, as nothing of it was left out.
+func TestReportShowsWhatRulesLeftOut(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := objmem.New()
 		start := time.Now()
@@ -237,7 +237,7 @@
 			assert.NilError(t, s.Close())
 			assert.NilError(t, j.Close())
 		}
-		r := ask(t, store, Query{})
+		r := runQuery(t, store, Query{})
 		assert.Equal(t, len(r.Rows), 40)
 		assert.Equal(t, len(r.Gaps), 0)
 		assert.DeepEqual(t, r.Skips, []Skip{
@@ -248,14 +248,14 @@
 		assert.NilError(t, r.WriteTable(&text))
 		assert.Assert(t, strings.Contains(text.String(), `not kept: 80 decisions of rule windows (revision 5, keep = "1/8"), 2000-01-01 00:00:01 to 2000-01-01 00:01:59`), text.String())
 
-		whole := ask(t, store, Query{Key: in, Rule: "windows"})
+		whole := runQuery(t, store, Query{Key: in, Rule: "windows"})
 		assert.Equal(t, len(whole.Rows), 40)
 		assert.Equal(t, len(whole.Skips), 0, "nothing of this key was left out")
-		absent := ask(t, store, Query{Key: out, Service: "windows"})
+		absent := runQuery(t, store, Query{Key: out, Service: "windows"})
 		assert.Equal(t, len(absent.Rows), 0)
 		assert.Equal(t, absent.Skips[0].Count, uint64(80))
-		assert.Equal(t, len(ask(t, store, Query{Action: record.Place}).Skips), 0)
-		late := ask(t, store, Query{Since: start.Add(90 * time.Second), Rule: "views"})
+		assert.Equal(t, len(runQuery(t, store, Query{Action: record.Place}).Skips), 0)
+		late := runQuery(t, store, Query{Since: start.Add(90 * time.Second), Rule: "views"})
 		assert.Assert(t, late.Skips[0].Count >= 30 && late.Skips[0].Count <= 36, "%d", late.Skips[0].Count)
 	})
 }
--- a/internal/audit/report/skip.go
+++ b/internal/audit/report/skip.go
@@ -10,30 +10,31 @@
 	"hawthornfield.org/hawthornfield/internal/core/retain"
 )
 
-// Skip says how many decisions a rule left out of the journal. Counts are taken
-// every few seconds, so the time may reach a little beyond what was asked for.
+// Skip is the number of decisions that a rule left out of the journals. The counts are
+// written every few seconds, so From and To may lie a little outside the span of the query.
 type Skip struct {
 	Service ident.Service  `json:"service"`
 	Rule    string         `json:"rule"`
-	Rev     ident.Revision `json:"rev"` // the newest that left something out
+	Rev     ident.Revision `json:"rev"` // newest revision of the rule that left out a decision
 	Keep    retain.Policy  `json:"keep"`
 	Count   uint64         `json:"count"`
 	From    time.Time      `json:"from"`
 	To      time.Time      `json:"to"`
 }
 
-// skips joins the counts of all VMs: there is one every few seconds and VM.
-type skips map[skipKey]*Skip
+// skipSet sums up the counts of all VMs; each VM writes one for each rule every few seconds.
+type skipSet map[skipKey]*Skip
 
+// skipKey is what the counts are summed up by.
 type skipKey struct {
 	service ident.Service
 	rule    string
 	keep    retain.Policy
 }
 
-// add takes a count that could belong to what is asked for. A key in a rule's
-// sample lacks nothing by that rule.
-func (s *skips) add(q *Query, d *record.Decision) {
+// add adds a count that may include decisions matching the query. A rule leaves out
+// nothing of a key in its sample.
+func (s *skipSet) add(q *Query, d *record.Decision) {
 	from := d.At.Add(-d.Took)
 	switch {
 	case q.Action != "" && q.Action != record.Route:
@@ -46,7 +47,7 @@
 		return
 	}
 	if *s == nil {
-		*s = skips{}
+		*s = skipSet{}
 	}
 	key := skipKey{d.Service, d.Rule, d.Keep}
 	x := (*s)[key]
@@ -64,7 +65,8 @@
 	}
 }
 
-func (s *skips) list() []Skip {
+// list returns the sums, sorted by rule, service and policy.
+func (s *skipSet) list() []Skip {
 	all := make([]Skip, 0, len(*s))
 	for _, x := range *s {
 		all = append(all, *x)
