--- a/internal/admin/cmds/cmds_test.go
+++ b/internal/admin/cmds/cmds_test.go
@@ -145,7 +145,7 @@
 	assert.Assert(t, strings.Contains(d.errs.String(), "written as revision 1 and not accepted yet"), d.errs.String())
 	assert.Assert(t, strings.Contains(d.must("rules list"), "not accepted yet"))
 
-	raw, err := quorum.Record{Form: quorum.FormatVersion, Rev: 2, Confirmed: 6, Live: 10}.Encode()
+	raw, err := quorum.Record{FormatVersion: quorum.FormatVersion, Rev: 2, Confirmed: 6, Live: 10}.Encode()
 	assert.NilError(t, err)
 	_, err = d.store().Put(t.Context(), quorum.Object, raw, 0)
 	assert.NilError(t, err)
--- a/internal/rules/quorum/quorum.go
+++ b/internal/rules/quorum/quorum.go
@@ -1,23 +1,22 @@
-// Package quorum decides when an edit of the rules is accepted: when more than
-// half of the live entry VMs hold its revision.
+// Package quorum decides when an edit of the rules is accepted: when more than half of
+// the live entry VMs hold its revision.
 //
-// The fault it answers: an operator reaches the store while most entry VMs
-// reach neither the store nor a VM that does. The conditional update succeeds,
-// and those VMs, which hear each other and take the store's silence for an
-// outage, go on under the old rules until the cut ends. An operator who was told
-// "accepted" would believe a route closed that still serves. Counting closes
-// this: any group of VMs that goes on without the store is more than half of
-// them (see package force), so it shares a VM with those that hold the accepted
-// revision, and hears of it from that one. An edit that is written and not yet
-// accepted is in force wherever it is heard of, and is never taken back.
+// It guards against this failure: an operator can reach the store, while most entry VMs
+// reach neither the store nor a VM that does. The conditional update succeeds, but those
+// VMs reach each other, take the partition for an outage of the store, and keep the old
+// rules until it ends. An operator who was told "accepted" would believe that a route is
+// closed while it still serves. Counting prevents this: VMs go on without the store only
+// as a group of more than half of them (see package revs), so the group shares a VM with
+// those that hold the accepted revision, and gets the revision from it. An edit that is
+// written but not yet accepted is in force on every VM that gets it, and is never
+// withdrawn.
 //
-// The load it puts on the fleet, for each edit: one confirmation from each VM to
-// one counting VM, one answer back once the edit is recorded, and one write of a
-// small object. A counting VM that is lost with what it counted is made up for by
-// the next in order, which is told [Again] later; without the answer every VM
-// would have to tell all of them. While nothing can be recorded, as in an outage
-// of the store, the pauses grow to [Slow], so that a fleet that waits costs next
-// to nothing.
+// Each edit costs one confirmation from each VM to one counting VM, one answer back once
+// the edit is recorded, and one write of a small object. When a counting VM is lost with
+// its count, the next one in order takes over: it gets the confirmations
+// [ConfirmInterval] later. Without the answer every VM would have to confirm to all
+// counting VMs. While nothing can be recorded, as in an outage of the store, the
+// intervals grow to [MaxConfirmInterval], so that the cost of waiting is small.
 package quorum
 
 import (
@@ -33,62 +32,63 @@
 )
 
 const (
-	// Counters is how many VMs are told, one after the other. As with the
-	// watchers of the store, one may be lost and one slow.
-	Counters = 3
-	// Again is the first pause between telling one counting VM and the next: twice
-	// the time in which an edit is usually counted and recorded. It doubles each
-	// time all were told, up to [Slow].
-	Again = 2 * time.Second
-	// Slow is the longest pause.
-	Slow = 30 * time.Second
-	// pause lies between attempts at a store that did not answer.
-	pause = 500 * time.Millisecond
-	// rest follows a record that this program cannot read: asking again soon
-	// would bring the same.
-	rest = 30 * time.Second
+	// MaxCounters is the number of counting VMs, to which the VMs confirm one after
+	// another. With three, as with the watchers of the store, one may be lost and
+	// another one slow.
+	MaxCounters = 3
+	// ConfirmInterval is the first interval between confirming to one counting VM and
+	// to the next: twice the usual time to count and record an edit. It doubles after
+	// each round of all counting VMs, up to [MaxConfirmInterval].
+	ConfirmInterval = 2 * time.Second
+	// MaxConfirmInterval is the longest interval between confirmations.
+	MaxConfirmInterval = 30 * time.Second
+	// retryDelay is the pause after a store call that failed.
+	retryDelay = 500 * time.Millisecond
+	// unreadableDelay is the pause after reading a record that this program cannot
+	// decode; reading it again soon would give the same result.
+	unreadableDelay = 30 * time.Second
 )
 
-// PeersMsg replaces the list of live VMs, this one included, in the order in
-// which they count. Every VM must be given the same order.
+// PeersMsg replaces the list of live VMs, including this one. The first ones in order are
+// the counting VMs, so every VM must be given the same order.
 type PeersMsg struct{ Order []ident.VM }
 
-// AppliedMsg tells that this VM put a revision in force.
+// AppliedMsg reports that this VM put a revision in force.
 type AppliedMsg struct{ Rev ident.Revision }
 
-// ConfirmMsg tells that another VM holds a revision, or a newer one.
+// ConfirmMsg reports that another VM holds a revision, or a newer one.
 type ConfirmMsg struct {
 	From ident.VM
 	Rev  ident.Revision
 }
 
-// AcceptedMsg tells that a revision is recorded as accepted.
+// AcceptedMsg reports that a revision is recorded as accepted.
 type AcceptedMsg struct{ Rev ident.Revision }
 
-// RecordMsg answers a ReadCmd. Kind Absent is an answer: nothing was recorded.
+// RecordMsg is the answer to a ReadCmd. Kind NotFound means that nothing is recorded yet.
 type RecordMsg struct {
 	Record  Record
 	Version object.Version
 	Kind    kinds.Kind
 }
 
-// WroteMsg answers a WriteCmd.
+// WroteMsg is the answer to a WriteCmd.
 type WroteMsg struct {
 	Record Record
 	Kind   kinds.Kind
 }
 
-// TickMsg lets time pass; send it a few times a second.
+// TickMsg reports that time has passed; send it a few times a second.
 type TickMsg struct{}
 
-// ConfirmCmd tells a counting VM that this one holds a revision.
+// ConfirmCmd reports to a counting VM that this VM holds a revision.
 type ConfirmCmd struct {
 	To  ident.VM
 	Rev ident.Revision
 }
 
-// AcceptedCmd answers a VM that confirmed: the revision is recorded, and it need
-// not tell anybody else.
+// AcceptedCmd answers a VM that confirmed: the revision is recorded, and the VM need not
+// confirm to other counting VMs.
 type AcceptedCmd struct {
 	To  ident.VM
 	Rev ident.Revision
@@ -97,31 +97,31 @@
 // ReadCmd asks for the recorded acceptance.
 type ReadCmd struct{}
 
-// WriteCmd records an acceptance, if the object is still at the version.
+// WriteCmd asks to record an acceptance if the object still has version Old.
 type WriteCmd struct {
 	Record Record
 	Old    object.Version
 }
 
-// Model is the decision module of one VM; it implements [loop.Model]. Make one
-// with New. It changes in place, so its state belongs to the loop.
+// Model holds the decisions of one VM; it implements [loop.Model]. Create one with New.
+// Update changes it in place, so only its loop may use it.
 type Model struct {
-	self  ident.VM
-	order []ident.VM
-	rev   ident.Revision // that this VM holds
-	told  int            // times that a counting VM was told of rev
-	next  time.Time      // when the next one is told
+	self          ident.VM
+	order         []ident.VM
+	rev           ident.Revision // held by this VM
+	confirmsSent  int            // confirmations of rev sent
+	nextConfirmAt time.Time      // time of the next confirmation
 
-	by       map[ident.VM]ident.Revision // what the others hold
-	unsure   map[ident.VM]bool           // who confirmed and was not answered
-	recorded ident.Revision              // known to be accepted
-	busy     bool                        // a call of the store is under way
-	due      time.Time                   // not before this is the store called again
+	heldBy       map[ident.VM]ident.Revision // revisions held by the other VMs
+	unanswered   map[ident.VM]bool           // VMs whose confirmation was not answered yet
+	recorded     ident.Revision              // highest revision known to be accepted
+	callInFlight bool                        // a store call is in flight
+	nextCallAt   time.Time                   // earliest time of the next store call
 }
 
-// New makes the model of one VM.
+// New returns the model of one VM.
 func New(self ident.VM) *Model {
-	return &Model{self: self, by: map[ident.VM]ident.Revision{}, unsure: map[ident.VM]bool{}}
+	return &Model{self: self, heldBy: map[ident.VM]ident.Revision{}, unanswered: map[ident.VM]bool{}}
 }
 
 // Update implements [loop.Model].
@@ -130,92 +130,93 @@
 	case PeersMsg:
 		m.setPeers(now, msg.Order)
 	case AppliedMsg:
-		m.hold(now, msg.Rev)
+		m.onApplied(now, msg.Rev)
 	case ConfirmMsg:
-		m.by[msg.From] = max(m.by[msg.From], msg.Rev)
-		m.unsure[msg.From] = true
+		m.heldBy[msg.From] = max(m.heldBy[msg.From], msg.Rev)
+		m.unanswered[msg.From] = true
 	case AcceptedMsg:
 		m.recorded = max(m.recorded, msg.Rev)
 	case RecordMsg:
-		return m, append(m.read(now, msg), m.answer()...)
+		return m, append(m.onRecord(now, msg), m.answerConfirms()...)
 	case WroteMsg:
-		m.wrote(now, msg)
+		m.onWrote(now, msg)
 	}
-	cmds := append(m.tell(now), m.answer()...)
-	return m, append(cmds, m.record(now)...)
+	cmds := append(m.confirm(now), m.answerConfirms()...)
+	return m, append(cmds, m.startRecord(now)...)
 }
 
-// setPeers counts anew among the VMs of the list, and confirms once more: the
-// VM that counted may be among those that left.
+// setPeers replaces the list of live VMs and drops the confirmations of VMs that left. It
+// restarts the confirmations, because the counting VM may have left.
 func (m *Model) setPeers(now time.Time, order []ident.VM) {
 	if slices.Equal(m.order, order) {
 		return
 	}
 	m.order = slices.Clone(order)
-	for vm := range m.by {
+	for vm := range m.heldBy {
 		if !slices.Contains(order, vm) {
-			delete(m.by, vm)
-			delete(m.unsure, vm)
+			delete(m.heldBy, vm)
+			delete(m.unanswered, vm)
 		}
 	}
-	m.told, m.next = 0, now
+	m.confirmsSent, m.nextConfirmAt = 0, now
 }
 
-func (m *Model) hold(now time.Time, rev ident.Revision) {
+// onApplied notes that this VM holds a newer revision, and starts to confirm it.
+func (m *Model) onApplied(now time.Time, rev ident.Revision) {
 	if rev <= m.rev {
 		return
 	}
 	m.rev = rev
-	m.told, m.next = 0, now
+	m.confirmsSent, m.nextConfirmAt = 0, now
 }
 
-// tell confirms to one counting VM after the other, until the revision that this
-// VM holds is known to be accepted.
-func (m *Model) tell(now time.Time) []loop.Cmd {
-	counters := min(Counters, len(m.order))
-	if m.rev <= m.recorded || counters == 0 || now.Before(m.next) {
+// confirm confirms to one counting VM after another, until the revision that this VM
+// holds is known to be accepted.
+func (m *Model) confirm(now time.Time) []loop.Cmd {
+	counters := min(MaxCounters, len(m.order))
+	if m.rev <= m.recorded || counters == 0 || now.Before(m.nextConfirmAt) {
 		return nil
 	}
-	to := m.order[m.told%counters]
-	m.next = now.Add(min(Again<<min(m.told/counters, doublings), Slow))
-	m.told++
+	to := m.order[m.confirmsSent%counters]
+	m.nextConfirmAt = now.Add(min(ConfirmInterval<<min(m.confirmsSent/counters, maxDoublings), MaxConfirmInterval))
+	m.confirmsSent++
 	if to == m.self {
-		return nil // what this VM holds is counted without a message
+		return nil // the revision of this VM is counted without a message
 	}
 	return []loop.Cmd{ConfirmCmd{To: to, Rev: m.rev}}
 }
 
-// doublings bounds the shift; Slow is reached before.
-const doublings = 8
+// maxDoublings limits the shift of ConfirmInterval; MaxConfirmInterval is reached earlier.
+const maxDoublings = 8
 
-// answer tells those that confirmed what is accepted by now.
-func (m *Model) answer() []loop.Cmd {
+// answerConfirms answers the VMs whose confirmed revision is accepted.
+func (m *Model) answerConfirms() []loop.Cmd {
 	var cmds []loop.Cmd
-	for _, vm := range slices.Sorted(maps.Keys(m.unsure)) {
-		if m.by[vm] <= m.recorded {
-			delete(m.unsure, vm)
+	for _, vm := range slices.Sorted(maps.Keys(m.unanswered)) {
+		if m.heldBy[vm] <= m.recorded {
+			delete(m.unanswered, vm)
 			cmds = append(cmds, AcceptedCmd{To: vm, Rev: m.recorded})
 		}
 	}
 	return cmds
 }
 
-// record asks what is recorded when more than half hold a revision that, as far
-// as is known here, is not.
-func (m *Model) record(now time.Time) []loop.Cmd {
-	if m.busy || now.Before(m.due) || m.count().Rev <= m.recorded {
+// startRecord reads the recorded acceptance when more than half of the VMs hold a revision
+// that is not known to be recorded.
+func (m *Model) startRecord(now time.Time) []loop.Cmd {
+	if m.callInFlight || now.Before(m.nextCallAt) || m.count().Rev <= m.recorded {
 		return nil
 	}
-	m.busy = true
+	m.callInFlight = true
 	return []loop.Cmd{ReadCmd{}}
 }
 
-// count finds the highest revision that more than half of the live VMs hold.
-// Whoever holds a newer one holds it too: nobody goes back.
+// count returns the highest revision that more than half of the live VMs hold. A VM that
+// holds a newer revision counts too, because VMs never go back to an older one.
 func (m *Model) count() Record {
 	revs := make([]ident.Revision, 0, len(m.order))
 	for _, vm := range m.order {
-		rev := m.by[vm]
+		rev := m.heldBy[vm]
 		if vm == m.self {
 			rev = m.rev
 		}
@@ -225,7 +226,7 @@
 		return Record{}
 	}
 	slices.SortFunc(revs, func(a, b ident.Revision) int { return cmp.Compare(b, a) })
-	r := Record{Form: FormatVersion, Rev: revs[len(revs)/2], Live: len(revs)}
+	r := Record{FormatVersion: FormatVersion, Rev: revs[len(revs)/2], Live: len(revs)}
 	for _, rev := range revs {
 		if rev >= r.Rev {
 			r.Confirmed++
@@ -234,16 +235,16 @@
 	return r
 }
 
-// read writes what was counted, unless another VM has.
-func (m *Model) read(now time.Time, msg RecordMsg) []loop.Cmd {
-	m.busy = false
+// onRecord writes the counted revision unless another VM has recorded it.
+func (m *Model) onRecord(now time.Time, msg RecordMsg) []loop.Cmd {
+	m.callInFlight = false
 	switch msg.Kind {
 	case kinds.None, kinds.NotFound:
 	case kinds.Malformed, kinds.NewerVersion:
-		m.due = now.Add(rest)
+		m.nextCallAt = now.Add(unreadableDelay)
 		return nil
 	default:
-		m.due = now.Add(pause)
+		m.nextCallAt = now.Add(retryDelay)
 		return nil
 	}
 	m.recorded = max(m.recorded, msg.Record.Rev)
@@ -252,17 +253,17 @@
 		return nil
 	}
 	r.At = now
-	m.busy = true
+	m.callInFlight = true
 	return []loop.Cmd{WriteCmd{Record: r, Old: msg.Version}}
 }
 
-// wrote takes the outcome of a write. After any failure, a lost answer too, the
-// object is read again before anything else is decided.
-func (m *Model) wrote(now time.Time, msg WroteMsg) {
-	m.busy = false
+// onWrote handles the outcome of a write. After any failure, including a lost answer, the
+// object is read again before the next write.
+func (m *Model) onWrote(now time.Time, msg WroteMsg) {
+	m.callInFlight = false
 	if msg.Kind == kinds.None {
 		m.recorded = max(m.recorded, msg.Record.Rev)
 		return
 	}
-	m.due = now.Add(pause)
+	m.nextCallAt = now.Add(retryDelay)
 }
--- a/internal/rules/quorum/quorum_test.go
+++ b/internal/rules/quorum/quorum_test.go
@@ -15,23 +15,23 @@
 	"hawthornfield.org/hawthornfield/internal/plat/object"
 )
 
-// fleet is a number of VMs, the links between them and one object.
+// fleet simulates a number of VMs, the network between them and one object.
 type fleet struct {
-	now     time.Time
-	order   []ident.VM
-	models  map[ident.VM]*Model
-	cut     map[ident.VM]bool // reaches neither the store nor the others
-	record  Record
-	version object.Version
-	down    bool
-	lose    func() bool // whether the answer to the next write is lost
-	reads   int
-	writes  int
-	told    int
+	now        time.Time
+	order      []ident.VM
+	models     map[ident.VM]*Model
+	isolated   map[ident.VM]bool // VMs that reach neither the store nor other VMs
+	record     Record
+	version    object.Version
+	storeDown  bool
+	loseAnswer func() bool // reports whether the answer to the next write is lost
+	reads      int
+	writes     int
+	messages   int
 }
 
 func newFleet(n int) *fleet {
-	f := &fleet{now: time.Unix(1000, 0), models: map[ident.VM]*Model{}, cut: map[ident.VM]bool{}, lose: func() bool { return false }}
+	f := &fleet{now: time.Unix(1000, 0), models: map[ident.VM]*Model{}, isolated: map[ident.VM]bool{}, loseAnswer: func() bool { return false }}
 	for i := range n {
 		f.order = append(f.order, ident.VM(fmt.Sprintf("vm-%d", i+1)))
 	}
@@ -42,7 +42,7 @@
 	return f
 }
 
-// send gives a VM a message and carries out what follows from it.
+// send passes a message to the model of a VM and executes the resulting commands.
 func (f *fleet) send(vm ident.VM, msg loop.Msg) {
 	m := f.models[vm]
 	if m == nil {
@@ -57,13 +57,13 @@
 func (f *fleet) run(vm ident.VM, cmd loop.Cmd) {
 	switch cmd := cmd.(type) {
 	case ConfirmCmd:
-		f.told++
-		if !f.cut[vm] && !f.cut[cmd.To] {
+		f.messages++
+		if !f.isolated[vm] && !f.isolated[cmd.To] {
 			f.send(cmd.To, ConfirmMsg{From: vm, Rev: cmd.Rev})
 		}
 	case AcceptedCmd:
-		f.told++
-		if !f.cut[vm] && !f.cut[cmd.To] {
+		f.messages++
+		if !f.isolated[vm] && !f.isolated[cmd.To] {
 			f.send(cmd.To, AcceptedMsg{Rev: cmd.Rev})
 		}
 	case ReadCmd:
@@ -77,7 +77,7 @@
 
 func (f *fleet) read(vm ident.VM) RecordMsg {
 	switch {
-	case f.down || f.cut[vm]:
+	case f.storeDown || f.isolated[vm]:
 		return RecordMsg{Kind: kinds.Unavailable}
 	case f.version == 0:
 		return RecordMsg{Kind: kinds.NotFound}
@@ -87,20 +87,20 @@
 
 func (f *fleet) write(vm ident.VM, cmd WriteCmd) WroteMsg {
 	switch {
-	case f.down || f.cut[vm]:
+	case f.storeDown || f.isolated[vm]:
 		return WroteMsg{Record: cmd.Record, Kind: kinds.Unavailable}
 	case cmd.Old != f.version:
 		return WroteMsg{Record: cmd.Record, Kind: kinds.Conflict}
 	}
 	f.record, f.version = cmd.Record, f.version+1
-	if f.lose() {
+	if f.loseAnswer() {
 		return WroteMsg{Record: cmd.Record, Kind: kinds.Ambiguous}
 	}
 	return WroteMsg{Record: cmd.Record}
 }
 
-// pass lets time go on for all.
-func (f *fleet) pass(d time.Duration) {
+// advance moves time forward for all VMs.
+func (f *fleet) advance(d time.Duration) {
 	const step = 250 * time.Millisecond
 	for ; d > 0; d -= step {
 		f.now = f.now.Add(step)
@@ -110,7 +110,7 @@
 	}
 }
 
-// holders counts the live VMs that hold a revision or a newer one.
+// holders returns the number of VMs that hold a revision or a newer one.
 func (f *fleet) holders(rev ident.Revision) int {
 	n := 0
 	for _, vm := range f.order {
@@ -121,88 +121,87 @@
 	return n
 }
 
-// An operator edits the rules while six of ten entry VMs reach neither the store
-// nor the other four; the six hear each other and go on under the old rules. Told
-// "accepted", the operator would take a route for closed that still serves. So
-// the edit is not recorded as accepted before one of the six holds it.
-func TestAnEditThatMostVMsMissIsNotAccepted(t *testing.T) {
+// An operator edits the rules while six of ten entry VMs reach neither the store nor the
+// other four. The six reach each other and keep the old rules, so a route that the
+// operator closed would still serve. The edit must not be recorded as accepted before
+// more than half of the VMs hold it, one of the six among them.
+func TestAnEditIsNotAcceptedWithoutAMajority(t *testing.T) {
 	f := newFleet(10)
 	for _, vm := range f.order {
 		f.send(vm, AppliedMsg{Rev: 1})
 	}
 	assert.Equal(t, f.record.Rev, ident.Revision(1))
 	for _, vm := range f.order[4:] {
-		f.cut[vm] = true
+		f.isolated[vm] = true
 	}
 	for _, vm := range f.order[:4] {
 		f.send(vm, AppliedMsg{Rev: 2})
 	}
 	f.send(f.order[4], AppliedMsg{Rev: 2})
-	f.pass(time.Minute)
+	f.advance(time.Minute)
 	assert.Equal(t, f.record.Rev, ident.Revision(1), "accepted by half")
 
-	clear(f.cut)
+	clear(f.isolated)
 	for _, vm := range f.order[4:6] {
 		f.send(vm, AppliedMsg{Rev: 2})
 	}
-	f.pass(Slow)
-	assert.Equal(t, f.record, Record{Form: FormatVersion, Rev: 2, Confirmed: 6, Live: 10, At: f.record.At})
+	f.advance(MaxConfirmInterval)
+	assert.Equal(t, f.record, Record{FormatVersion: FormatVersion, Rev: 2, Confirmed: 6, Live: 10, At: f.record.At})
 }
 
-// The VM that counts is lost after all have told it, before it wrote anything.
-// The operator's command would wait in vain for an edit that is in force
-// everywhere; the next VM in order is told a little later and records it.
-func TestTheNextCountsWhenTheCountingVMIsLost(t *testing.T) {
+// The counting VM is lost after all VMs confirmed to it, before it recorded the acceptance.
+// The next VM in order must get the confirmations a little later and record it, or the
+// operator's command would wait for an edit that is in force everywhere.
+func TestTheNextVMCountsWhenTheCountingVMIsLost(t *testing.T) {
 	f := newFleet(5)
 	f.models[f.order[0]] = nil
 	for _, vm := range f.order[1:] {
 		f.send(vm, AppliedMsg{Rev: 7})
 	}
 	assert.Equal(t, f.record.Rev, ident.Revision(0))
-	f.pass(Again)
+	f.advance(ConfirmInterval)
 	assert.Equal(t, f.record.Rev, ident.Revision(7))
 	assert.Assert(t, 2*f.record.Confirmed > f.record.Live)
 }
 
-// The store is down as the last VM confirms, and comes back a minute later. The
-// edit is in force but nobody would ever learn that it is accepted, if the count
-// were not tried again.
-func TestACountIsRecordedAfterAnOutage(t *testing.T) {
+// The store is down when the last VM confirms, and is back a minute later. The acceptance
+// must then be recorded, or it would never become known.
+func TestAcceptanceIsRecordedAfterAnOutage(t *testing.T) {
 	f := newFleet(3)
-	f.down = true
+	f.storeDown = true
 	for _, vm := range f.order {
 		f.send(vm, AppliedMsg{Rev: 1})
 	}
-	f.pass(time.Minute)
-	f.down = false
-	f.pass(2 * pause)
+	f.advance(time.Minute)
+	f.storeDown = false
+	f.advance(2 * retryDelay)
 	assert.Equal(t, f.record.Rev, ident.Revision(1))
 }
 
-// An edit costs each VM one message and an answer, and the fleet one read and one
-// write, however many VMs there are. With a write from each VM, one edit would
-// use up the store for a second.
-func TestWhatAnEditCosts(t *testing.T) {
+// An edit must cost each VM one message and one answer, and one read and one write in
+// total, for any number of VMs. With a write from each VM, one edit would use up the
+// store for a second.
+func TestMessagesAndStoreCallsOfAnEdit(t *testing.T) {
 	for _, n := range []int{3, 10, 130, 520} {
 		f := newFleet(n)
 		for _, vm := range f.order {
 			f.send(vm, AppliedMsg{Rev: 1})
 		}
-		f.pass(time.Minute)
-		t.Logf("%d VMs: %d messages, %d reads, %d writes", n, f.told, f.reads, f.writes)
+		f.advance(time.Minute)
+		t.Logf("%d VMs: %d messages, %d reads, %d writes", n, f.messages, f.reads, f.writes)
 		assert.Equal(t, f.writes, 1)
 		assert.Equal(t, f.reads, 1)
-		assert.Equal(t, f.told, 2*(n-1))
+		assert.Equal(t, f.messages, 2*(n-1))
 	}
 }
 
-// Whatever is cut, lost, down or answered too late, a recorded revision was held
-// by more than half of the VMs of the list by which it was counted, records only
-// rise, and once the faults end what most hold is recorded.
-func TestWhatIsRecordedIsHeldByMost(t *testing.T) {
+// Under any partitions, lost answers and outages, more than half of the listed VMs must
+// hold a recorded revision, and recorded revisions must never decrease. Once the faults
+// end, the revision that most VMs hold must be recorded.
+func TestRecordedRevisionsAreHeldByAMajority(t *testing.T) {
 	seeds.Check(t, func(t *rapid.T) {
 		f := newFleet(rapid.IntRange(1, 9).Draw(t, "vms"))
-		f.lose = func() bool { return rapid.IntRange(0, 3).Draw(t, "lost") == 0 }
+		f.loseAnswer = func() bool { return rapid.IntRange(0, 3).Draw(t, "lost") == 0 }
 		last := Record{}
 		for range rapid.IntRange(1, 40).Draw(t, "steps") {
 			vm := rapid.SampledFrom(f.order).Draw(t, "vm")
@@ -210,11 +209,11 @@
 			case 0, 1, 2:
 				f.send(vm, AppliedMsg{Rev: f.models[vm].rev + ident.Revision(rapid.IntRange(1, 2).Draw(t, "ahead"))})
 			case 3:
-				f.cut[vm] = !f.cut[vm]
+				f.isolated[vm] = !f.isolated[vm]
 			case 4:
-				f.down = !f.down
+				f.storeDown = !f.storeDown
 			default:
-				f.pass(time.Duration(rapid.IntRange(1, 12).Draw(t, "quarters")) * 250 * time.Millisecond)
+				f.advance(time.Duration(rapid.IntRange(1, 12).Draw(t, "quarters")) * 250 * time.Millisecond)
 			}
 			if f.record.Rev > 0 {
 				assert.Assert(t, 2*f.holders(f.record.Rev) > len(f.order), "recorded %d", f.record.Rev)
@@ -222,9 +221,9 @@
 			assert.Assert(t, f.record.Rev >= last.Rev, "the record went back")
 			last = f.record
 		}
-		clear(f.cut)
-		f.down = false
-		f.lose = func() bool { return false }
+		clear(f.isolated)
+		f.storeDown = false
+		f.loseAnswer = func() bool { return false }
 		top := ident.Revision(0)
 		for _, vm := range f.order {
 			top = max(top, f.models[vm].rev)
@@ -232,15 +231,15 @@
 		for _, vm := range f.order {
 			f.send(vm, AppliedMsg{Rev: top + 1})
 		}
-		f.pass(Counters * Slow)
+		f.advance(MaxCounters * MaxConfirmInterval)
 		assert.Equal(t, f.record.Rev, top+1)
 		for _, vm := range f.order {
-			assert.Equal(t, f.models[vm].recorded, top+1, "%s would go on telling", vm)
+			assert.Equal(t, f.models[vm].recorded, top+1, "%s would go on confirming", vm)
 		}
 	})
 }
 
-// The count agrees with counting the holders of each revision one by one.
+// The count must equal that of counting the holders of each revision one by one.
 func TestCountAgreesWithTheNaiveCount(t *testing.T) {
 	seeds.Check(t, func(t *rapid.T) {
 		m := New("vm-1")
@@ -250,7 +249,7 @@
 		for i := range rapid.IntRange(0, 8).Draw(t, "others") {
 			vm := ident.VM(fmt.Sprintf("vm-%d", i+2))
 			rev := ident.Revision(rapid.IntRange(0, 5).Draw(t, "rev"))
-			m.order, m.by[vm], held = append(m.order, vm), rev, append(held, rev)
+			m.order, m.heldBy[vm], held = append(m.order, vm), rev, append(held, rev)
 		}
 		want := ident.Revision(0)
 		for rev := ident.Revision(1); rev <= 5; rev++ {
@@ -268,23 +267,23 @@
 	})
 }
 
-func TestRecordsThatMakeNoSenseAreRefused(t *testing.T) {
+func TestInvalidRecordsAreRefused(t *testing.T) {
 	for _, bad := range []Record{
-		{}, {Form: FormatVersion, Rev: 1, Confirmed: 2, Live: 4}, {Form: FormatVersion, Confirmed: 3, Live: 4}, {Rev: 1, Confirmed: 3, Live: 4},
+		{}, {FormatVersion: FormatVersion, Rev: 1, Confirmed: 2, Live: 4}, {FormatVersion: FormatVersion, Confirmed: 3, Live: 4}, {Rev: 1, Confirmed: 3, Live: 4},
 	} {
 		raw, err := bad.Encode()
 		assert.NilError(t, err)
 		_, err = Decode(raw)
 		assert.Equal(t, kinds.Of(err), kinds.Malformed, "%+v", bad)
 	}
-	raw, err := Record{Form: FormatVersion + 1, Rev: 1, Confirmed: 3, Live: 4}.Encode()
+	raw, err := Record{FormatVersion: FormatVersion + 1, Rev: 1, Confirmed: 3, Live: 4}.Encode()
 	assert.NilError(t, err)
 	_, err = Decode(raw)
 	assert.Equal(t, kinds.Of(err), kinds.NewerVersion)
 }
 
 func FuzzRecord(f *testing.F) {
-	raw, err := Record{Form: FormatVersion, Rev: 3, Confirmed: 6, Live: 10, At: time.Unix(1000, 0)}.Encode()
+	raw, err := Record{FormatVersion: FormatVersion, Rev: 3, Confirmed: 6, Live: 10, At: time.Unix(1000, 0)}.Encode()
 	assert.NilError(f, err)
 	f.Add(raw)
 	f.Add([]byte{0xa1, 0x63, 'r', 'e', 'v', 0x20})
--- a/internal/rules/quorum/record.go
+++ b/internal/rules/quorum/record.go
@@ -8,37 +8,37 @@
 	"hawthornfield.org/hawthornfield/internal/core/wire"
 )
 
-// Object is the name of the object that says which revision is accepted.
+// Object is the name of the object that holds the record of the accepted revision.
 const Object = "rules/held"
 
-// FormatVersion is the version of the record's meaning.
+// FormatVersion is the format version of the records that this program writes.
 const FormatVersion = 1
 
-// Record says that a revision is accepted: Have of the Live entry VMs held it,
-// or a newer one, when it was written.
+// Record states that a revision is accepted: Confirmed of the Live entry VMs held it, or
+// a newer one, when the record was written.
 type Record struct {
-	Form      uint           `cbor:"form"`
-	Rev       ident.Revision `cbor:"rev"`
-	Confirmed int            `cbor:"have"`
-	Live      int            `cbor:"live"`
-	At        time.Time      `cbor:"at"`
+	FormatVersion uint           `cbor:"form"`
+	Rev           ident.Revision `cbor:"rev"`
+	Confirmed     int            `cbor:"have"`
+	Live          int            `cbor:"live"`
+	At            time.Time      `cbor:"at"`
 }
 
-// Encode renders the record as it is stored.
+// Encode encodes the record in its stored form.
 func (r Record) Encode() ([]byte, error) { return wire.Encode(r) }
 
-// Decode reads a stored record. It fails with kind Newer when a newer version of
-// the program wrote it, and Malformed when it makes no sense.
+// Decode decodes a stored record. The error is of kind NewerVersion when a newer version
+// of the program wrote it, and of kind Malformed when its values are invalid.
 func Decode(raw []byte) (Record, error) {
 	var r Record
 	if err := wire.Decode(raw, &r); err != nil {
 		return Record{}, err
 	}
 	switch {
-	case r.Form > FormatVersion:
-		return Record{}, kinds.New(kinds.NewerVersion, "accepted rules of a newer form")
-	case r.Form == 0 || r.Rev == 0 || r.Confirmed < 1 || 2*r.Confirmed <= r.Live:
-		return Record{}, kinds.New(kinds.Malformed, "accepted rules")
+	case r.FormatVersion > FormatVersion:
+		return Record{}, kinds.New(kinds.NewerVersion, "the record of accepted rules has a newer format version")
+	case r.FormatVersion == 0 || r.Rev == 0 || r.Confirmed < 1 || 2*r.Confirmed <= r.Live:
+		return Record{}, kinds.New(kinds.Malformed, "the record of accepted rules is invalid")
 	}
 	return r, nil
 }
--- a/internal/rules/save/accept_test.go
+++ b/internal/rules/save/await_test.go
@@ -15,19 +15,18 @@
 	"hawthornfield.org/hawthornfield/internal/rules/quorum"
 )
 
-// record notes an acceptance as an entry VM does.
+// record writes the record of an acceptance as an entry VM does.
 func record(t *testing.T, s *objmem.Store, rev ident.Revision, old object.Version) {
-	raw, err := quorum.Record{Form: quorum.FormatVersion, Rev: rev, Confirmed: 2, Live: 3}.Encode()
+	raw, err := quorum.Record{FormatVersion: quorum.FormatVersion, Rev: rev, Confirmed: 2, Live: 3}.Encode()
 	assert.NilError(t, err)
 	_, err = s.Put(t.Context(), quorum.Object, raw, old)
 	assert.NilError(t, err)
 }
 
-// An operator's command waits while the store goes away for a minute, comes
-// back, and only then gets the record, first of an older revision. Ended by the
-// outage, or satisfied by the older one, it would tell the operator something
-// that is not so.
-func TestAwaitGoesOnThroughAnOutage(t *testing.T) {
+// An operator's command waits while the store is down for a minute. The acceptance of an
+// older revision is recorded next, and then that of the awaited one. The command must
+// not end at the outage, nor at the older revision.
+func TestAwaitContinuesThroughAnOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := objmem.New()
 		s.SetDown(true)
@@ -42,9 +41,9 @@
 	})
 }
 
-// Nobody accepts, and the command's time is over: the operator hears so, and
-// does not take the edit for refused or for accepted.
-func TestAwaitEndsWithItsTime(t *testing.T) {
+// The edit is not accepted before the deadline. The operator must be told so, and must
+// not take the edit for refused or accepted.
+func TestAwaitEndsAtTheDeadline(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithTimeout(t.Context(), 7*time.Second)
 		defer cancel()
@@ -53,9 +52,9 @@
 	})
 }
 
-// A record of a newer program, or a broken one, ends the wait at once: waiting
-// longer would not make it readable.
-func TestAwaitRefusesWhatItCannotRead(t *testing.T) {
+// A record that cannot be decoded must end the wait at once, since waiting longer would
+// not help.
+func TestAwaitEndsAtAnUndecodableRecord(t *testing.T) {
 	s := objmem.New()
 	_, err := s.Put(t.Context(), quorum.Object, []byte("no record"), 0)
 	assert.NilError(t, err)
--- a/internal/rules/save/save.go
+++ b/internal/rules/save/save.go
@@ -1,13 +1,12 @@
-// Package save carries an edit of the rules into the object API, and reads the
-// history back.
+// Package save writes edits of the rules to the object API, and reads the history of the
+// rules.
 //
-// Two faults are answered here. An answer that is lost after the write took
-// effect would make an operator repeat an edit that is already in force, or
-// report a conflict with itself: so a write that may have happened is repeated
-// unchanged under the same condition, and recognised by its token. And an
-// operator's process can end between the acceptance of a revision and the copy
-// for the history: so each edit first completes the copy of the revision that
-// it replaces, and the history has no hole.
+// It handles two faults. The answer to a write may be lost after the write took effect;
+// an operator would then repeat an edit that is in force already, or get a conflict with
+// their own edit. So a write that may have taken effect is repeated unchanged under the
+// same condition, and recognised by its token. And the operator's process may end after
+// it wrote a revision, but before it wrote the copy for the history. So each edit first
+// writes the missing copy of the revision that it replaces, and the history has no gaps.
 package save
 
 import (
@@ -19,7 +18,7 @@
 	"hawthornfield.org/hawthornfield/internal/rules/revs"
 )
 
-// Store is the part of the object API that is needed here.
+// Store is the part of the object API that saving needs.
 type Store interface {
 	Get(ctx context.Context, name string) (object.Object, error)
 	Put(ctx context.Context, name string, value []byte, old object.Version) (object.Version, error)
@@ -39,16 +38,15 @@
 	return r, o.Version, err
 }
 
-// EditFunc makes the next revision out of the one in force; see [force.Put] and
-// its siblings.
+// EditFunc makes the next revision from the one in force, for example with [revs.Put].
 type EditFunc func(cur *revs.Record) (*revs.Record, error)
 
-// Save makes an edit and returns the accepted revision.
+// Save makes an edit and returns the revision that it wrote.
 //
-// Kind Conflict, with a [force.Conflict] inside, means that another edit came
-// first and that nothing of this one took effect. Kind Ambiguous means that the
-// store did not say whether it did: look for the token in the history before
-// repeating it. Any other kind means that nothing took effect.
+// An error of kind Conflict wraps a [revs.Conflict]: another edit came first, and this one
+// did not take effect. Kind Ambiguous means that it is not known whether the edit took
+// effect: look for its token in the history before repeating it. Any other kind means
+// that it did not take effect.
 func Save(ctx context.Context, s Store, edit EditFunc) (*revs.Record, error) {
 	cur, version, err := Load(ctx, s)
 	if err != nil {
@@ -62,20 +60,20 @@
 	if err != nil {
 		return nil, err
 	}
-	if err := keep(ctx, s, cur); err != nil {
+	if err := saveHistory(ctx, s, cur); err != nil {
 		return nil, err
 	}
-	if err := accept(ctx, s, next, raw, version); err != nil {
+	if err := putCurrent(ctx, s, next, raw, version); err != nil {
 		return nil, err
 	}
-	// The edit is accepted whatever becomes of this copy: the next edit, or a
-	// reader of the history, finds the record in the current object.
-	_ = keep(ctx, s, next)
+	// The edit is written even if this copy fails: the next edit, or a reader of the
+	// history, finds the record in the current object.
+	_ = saveHistory(ctx, s, next)
 	return next, nil
 }
 
-// keep writes the history's copy of a record, if there is none yet.
-func keep(ctx context.Context, s Store, r *revs.Record) error {
+// saveHistory writes the copy of a record for the history, if there is none yet.
+func saveHistory(ctx context.Context, s Store, r *revs.Record) error {
 	if r == nil {
 		return nil
 	}
@@ -87,37 +85,39 @@
 	if kinds.Of(err) == kinds.Conflict {
 		return nil
 	}
-	// A copy that may not have been written is no acceptance: the operator is
-	// told that nothing took effect, and that is true of the edit.
-	return notRun(err)
+	// The current object is not written yet, so the edit did not take effect even if
+	// the copy was written.
+	return asUnavailable(err)
 }
 
-func notRun(err error) error {
+// asUnavailable converts an error of kind Ambiguous to kind Unavailable, because the edit
+// itself certainly did not take effect.
+func asUnavailable(err error) error {
 	if kinds.Of(err) == kinds.Ambiguous {
-		return kinds.Wrap(kinds.Unavailable, err, "keep the history of rules")
+		return kinds.Wrap(kinds.Unavailable, err, "write the history of rules")
 	}
 	return err
 }
 
-// tries bounds the repetitions of a write whose answer was lost.
-const tries = 5
+// maxTries is the largest number of tries of a write whose answer was lost.
+const maxTries = 5
 
-// accept updates the current object, on the condition that it is still the one
-// that the edit was made on.
-func accept(ctx context.Context, s Store, next *revs.Record, raw []byte, old object.Version) error {
-	maybe := false
+// putCurrent updates the current object, provided that it still has the version that the
+// edit was made from.
+func putCurrent(ctx context.Context, s Store, next *revs.Record, raw []byte, old object.Version) error {
+	mayBeWritten := false
 	var err error
-	for range tries {
+	for range maxTries {
 		_, err = s.Put(ctx, revs.Current, raw, old)
 		switch kinds.Of(err) {
 		case kinds.None:
 			return nil
 		case kinds.Conflict:
-			return lost(ctx, s, next, maybe)
+			return resolveConflict(ctx, s, next, mayBeWritten)
 		case kinds.Ambiguous:
-			maybe = true
+			mayBeWritten = true
 		default:
-			if !maybe {
+			if !mayBeWritten {
 				return err
 			}
 		}
@@ -125,34 +125,36 @@
 			break
 		}
 	}
-	return kinds.Wrap(kinds.Ambiguous, err, "accept rules")
+	return kinds.Wrap(kinds.Ambiguous, err, "write rules")
 }
 
-// lost finds out what a conflict means: our own earlier try took effect, also
-// if others followed on it, or another edit came first.
-func lost(ctx context.Context, s Store, next *revs.Record, maybe bool) error {
+// resolveConflict finds out the cause of a conflict: either an earlier try of this edit
+// took effect, possibly with later edits after it, or another edit came first. It returns
+// nil in the first case. mayBeWritten reports whether an earlier try may have taken effect.
+func resolveConflict(ctx context.Context, s Store, next *revs.Record, mayBeWritten bool) error {
 	cur, _, err := Load(ctx, s)
 	if err == nil && cur == nil {
 		err = kinds.New(kinds.NotFound, "the rules were removed")
 	}
 	if err != nil {
-		return uncertain(err, maybe)
+		return asAmbiguous(err, mayBeWritten)
 	}
-	at := cur
-	if maybe && cur.Rev > next.Rev {
-		if at, err = Revision(ctx, s, next.Rev); err != nil {
-			return uncertain(err, maybe)
+	ours := cur
+	if mayBeWritten && cur.Rev > next.Rev {
+		if ours, err = Revision(ctx, s, next.Rev); err != nil {
+			return asAmbiguous(err, mayBeWritten)
 		}
 	}
-	if maybe && at.Rev == next.Rev && at.Token == next.Token {
+	if mayBeWritten && ours.Rev == next.Rev && ours.Token == next.Token {
 		return nil
 	}
 	c := &revs.Conflict{Seen: next.Rev - 1, Actual: cur.Rev, Author: cur.Author, Note: cur.Note}
 	return kinds.Wrap(kinds.Conflict, c, "edit rules")
 }
 
-func uncertain(err error, maybe bool) error {
-	if maybe {
+// asAmbiguous converts an error to kind Ambiguous if the write may have taken effect.
+func asAmbiguous(err error, mayBeWritten bool) error {
+	if mayBeWritten {
 		return kinds.Wrap(kinds.Ambiguous, err, "read rules back")
 	}
 	return err
@@ -167,8 +169,8 @@
 	return revs.Decode(o.Value)
 }
 
-// History returns up to n revisions, the one in force first. It costs one call
-// of the object API for each.
+// History returns up to n revisions, the one in force first. It makes one call to the
+// object API for each revision.
 func History(ctx context.Context, s Store, n int) ([]*revs.Record, error) {
 	cur, _, err := Load(ctx, s)
 	if err != nil || cur == nil {
--- a/internal/rules/save/save_test.go
+++ b/internal/rules/save/save_test.go
@@ -17,20 +17,21 @@
 	"hawthornfield.org/hawthornfield/internal/rules/revs"
 )
 
-// store is a small object API whose answers the test chooses.
+// store is an object API in memory whose faults the test chooses.
 type store struct {
-	objects map[string]object.Object
-	fault   func(name string) fault // asked before each write
-	between func()                  // called once between a read and a write
+	objects   map[string]object.Object
+	fault     func(name string) fault // called before each write
+	beforePut func()                  // called once, before the next write of the current object
 }
 
+// fault is the failure of one write.
 type fault int
 
 const (
 	none fault = iota
 	down
-	lostBefore // ambiguous, did not happen
-	lostAfter  // ambiguous, happened
+	lostBefore // ambiguous, did not take effect
+	lostAfter  // ambiguous, took effect
 )
 
 func (s *store) Get(_ context.Context, name string) (object.Object, error) {
@@ -42,8 +43,8 @@
 }
 
 func (s *store) Put(_ context.Context, name string, value []byte, old object.Version) (object.Version, error) {
-	if f := s.between; f != nil && name == revs.Current {
-		s.between = nil
+	if f := s.beforePut; f != nil && name == revs.Current {
+		s.beforePut = nil
 		f()
 	}
 	f := none
@@ -67,7 +68,7 @@
 
 func newStore() *store { return &store{objects: map[string]object.Object{}} }
 
-// add is an edit that puts a rule of the given name first.
+// add returns an edit that inserts a rule with the given name as the first one.
 func add(name string, seen ident.Revision) EditFunc {
 	return func(cur *revs.Record) (*revs.Record, error) {
 		r := match.Rule{Name: name, When: match.When{Path: "/" + name}, Then: match.Then{Service: "lookup"}}
@@ -76,14 +77,13 @@
 	}
 }
 
-// Two operators change the rules at the same moment, each having looked at
-// revision 1. One is told that the other came first, by the numbers of both
-// revisions, and the winner's change is complete.
+// Two operators edit revision 1 of the rules at the same time. One must get a conflict
+// with the numbers of both revisions, and the edit of the other must be complete.
 func TestTheSlowerOfTwoOperatorsGetsAConflict(t *testing.T) {
 	s := newStore()
 	_, err := Save(t.Context(), s, add("a", 0))
 	assert.NilError(t, err)
-	s.between = func() {
+	s.beforePut = func() {
 		_, err := Save(t.Context(), s, add("b", 1))
 		assert.NilError(t, err)
 	}
@@ -99,9 +99,9 @@
 	assert.Equal(t, kinds.Of(err), kinds.Conflict)
 }
 
-// The store's answer to an accepted edit is lost, and another operator edits
-// before the first one looks again. The first one's edit is in force all the
-// same, and is reported as accepted rather than as a conflict with itself.
+// The answer to an edit that took effect is lost, and another operator makes an edit
+// before the first one reads the rules back. The first edit must be reported as made,
+// not as a conflict with itself.
 func TestALostAnswerIsRecognisedThroughALaterRevision(t *testing.T) {
 	s := newStore()
 	first := true
@@ -110,7 +110,7 @@
 			return none
 		}
 		first = false
-		s.between = func() {
+		s.beforePut = func() {
 			_, err := Save(t.Context(), s, add("b", 1))
 			assert.NilError(t, err)
 		}
@@ -125,10 +125,9 @@
 	assert.Equal(t, all[0].Token+all[1].Token, "ba")
 }
 
-// The store fails in every way at any write while operators race. Whatever is
-// reported as accepted is in the history, whatever is reported as not done is
-// nowhere, and the history has no hole.
-func TestNothingAcceptedIsLostAndNothingRefusedIsThere(t *testing.T) {
+// Writes fail in all ways while operators race. Every edit reported as made must be in the
+// history, every edit reported as refused must not, and the history must have no gaps.
+func TestHistoryHoldsExactlyTheEditsReportedAsMade(t *testing.T) {
 	seeds.Check(t, func(t *rapid.T) {
 		s := newStore()
 		s.fault = func(string) fault {
@@ -146,10 +145,10 @@
 				seen = cur.Rev
 			}
 			if rapid.Bool().Draw(t, "race") {
-				s.between = func() { save("x"+strconv.Itoa(i), seen) }
+				s.beforePut = func() { save("x"+strconv.Itoa(i), seen) }
 			}
 			save("a"+strconv.Itoa(i), seen)
-			s.between = nil
+			s.beforePut = nil
 		}
 		s.fault = nil
 		all, err := History(context.Background(), s, 100)
