--- a/internal/peer/certs/certs.go
+++ b/internal/peer/certs/certs.go
@@ -1,11 +1,10 @@
-// Package certs holds the keys and certificates by which entry VMs know each
+// Package certs holds the keys and certificates with which entry VMs authenticate each
 // other, and replaces them while the process runs.
 //
-// Every entry VM proves who it is by a certificate that names the VM and its
-// IP address and is signed by the operator's own authority. A peer whose
-// certificate does not fit the address it speaks from gets no connection, so a
-// stolen name on another machine, or a stranger on the same network, sees
-// nothing and changes nothing.
+// Every entry VM has a certificate that names the VM and its IP address and is signed by
+// the operator's own authority. A peer whose certificate does not match its address is
+// refused, so neither a stolen certificate used on another machine nor an unknown machine
+// on the same network can read or change anything.
 package certs
 
 import (
@@ -19,32 +18,33 @@
 	"hawthornfield.org/hawthornfield/internal/core/kinds"
 )
 
-// Protocol is the ALPN name of the exchange between entry VMs. A change that an
-// older program would misread gets a new number.
+// Protocol is the ALPN name of the protocol between entry VMs. An incompatible change of
+// the protocol needs a new number.
 const Protocol = "hawthorn/1"
 
-// PEM is the text form of one VM's credentials, as settings hold them.
+// PEM holds the PEM-encoded credentials of one VM, as given in the settings.
 type PEM struct {
-	Cert []byte // this VM's certificate, then any intermediates
-	Key  []byte // its private key
-	CA   []byte // the certificates of every authority to trust
+	Cert []byte // certificate of this VM, followed by any intermediates
+	Key  []byte // private key of this VM
+	CA   []byte // certificates of all trusted authorities
 }
 
-type bundle struct {
-	cert tls.Certificate
-	pool *x509.CertPool
+// credentials are parsed and verified credentials.
+type credentials struct {
+	cert        tls.Certificate
+	authorities *x509.CertPool
 }
 
-// Store holds the credentials in force. The zero value has none and refuses
-// every connection until Load succeeds.
+// Store holds the current credentials. The zero value has none and refuses every
+// connection until Load succeeds.
 type Store struct {
-	now atomic.Pointer[bundle]
-	gen atomic.Uint64
+	current    atomic.Pointer[credentials]
+	generation atomic.Uint64
 }
 
-// Load checks p and puts it in force for every connection made from now on. A
-// bundle that does not fit together is refused with kind Malformed, and the
-// one in force stays: a slip in a settings edit must not cut a VM off.
+// Load verifies p and uses it for all later connections. Credentials that do not match
+// each other are refused with kind Malformed, and the current ones stay, so that a mistake
+// in the settings does not disconnect a VM.
 func (s *Store) Load(p PEM) error {
 	cert, err := tls.X509KeyPair(p.Cert, p.Key)
 	if err != nil {
@@ -57,23 +57,24 @@
 	if err := verify(cert.Leaf, pool, x509.ExtKeyUsageClientAuth); err != nil {
 		return err
 	}
-	s.now.Store(&bundle{cert: cert, pool: pool})
-	s.gen.Add(1)
+	s.current.Store(&credentials{cert: cert, authorities: pool})
+	s.generation.Add(1)
 	return nil
 }
 
-// Generation rises with each Load. A connection made under an older one should
-// be made again, so that a withdrawn authority stops counting.
-func (s *Store) Generation() uint64 { return s.gen.Load() }
+// Generation returns a number that each successful Load increases. Connections made under
+// an older generation should be replaced, so that a withdrawn authority is not trusted
+// any longer.
+func (s *Store) Generation() uint64 { return s.generation.Load() }
 
-// Server returns the settings for accepting peers. Each handshake uses the
-// credentials in force at that moment.
+// Server returns the TLS configuration for accepting peers. Each handshake uses the
+// credentials that are current at that time.
 func (s *Store) Server() *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS13,
 		NextProtos: []string{Protocol},
 		GetConfigForClient: func(h *tls.ClientHelloInfo) (*tls.Config, error) {
-			b := s.now.Load()
+			b := s.current.Load()
 			if b == nil {
 				return nil, kinds.New(kinds.Denied, "no credentials loaded")
 			}
@@ -82,30 +83,30 @@
 	}
 }
 
-func (b *bundle) server(c net.Conn) *tls.Config {
+func (b *credentials) server(c net.Conn) *tls.Config {
 	return &tls.Config{
 		MinVersion:   tls.VersionTLS13,
 		NextProtos:   []string{Protocol},
 		Certificates: []tls.Certificate{b.cert},
 		ClientAuth:   tls.RequireAndVerifyClientCert,
-		ClientCAs:    b.pool,
-		// Session tickets would let a peer come back without showing a
-		// certificate again, past a withdrawn authority.
+		ClientCAs:    b.authorities,
+		// With session tickets a peer could reconnect without presenting its
+		// certificate, even if its authority was withdrawn.
 		SessionTicketsDisabled: true,
 		VerifyConnection: func(cs tls.ConnectionState) error {
 			addr, err := netip.ParseAddrPort(c.RemoteAddr().String())
 			if err != nil {
 				return kinds.Wrap(kinds.Denied, err, "peer address")
 			}
-			return speaksFrom(cs.PeerCertificates[0], addr.Addr())
+			return verifyAddress(cs.PeerCertificates[0], addr.Addr())
 		},
 	}
 }
 
-// Client returns the settings for calling the peer vm at addr. The connection
-// fails unless the peer's certificate names exactly that VM and address.
+// Client returns the TLS configuration for connecting to the peer vm at addr. The
+// connection fails unless the certificate of the peer names that VM and address.
 func (s *Store) Client(vm ident.VM, addr netip.Addr) (*tls.Config, error) {
-	b := s.now.Load()
+	b := s.current.Load()
 	if b == nil {
 		return nil, kinds.New(kinds.Denied, "no credentials loaded")
 	}
@@ -113,7 +114,7 @@
 		MinVersion:   tls.VersionTLS13,
 		NextProtos:   []string{Protocol},
 		Certificates: []tls.Certificate{b.cert},
-		RootCAs:      b.pool,
+		RootCAs:      b.authorities,
 		ServerName:   addr.Unmap().String(),
 		VerifyConnection: func(cs tls.ConnectionState) error {
 			if got := Name(cs.PeerCertificates[0]); got != vm {
@@ -127,12 +128,14 @@
 // Name returns the VM that a certificate was issued to.
 func Name(c *x509.Certificate) ident.VM { return ident.VM(c.Subject.CommonName) }
 
+// verify checks that a certificate is signed by an authority in pool for the given usage.
 func verify(leaf *x509.Certificate, pool *x509.CertPool, usage x509.ExtKeyUsage) error {
 	_, err := leaf.Verify(x509.VerifyOptions{Roots: pool, KeyUsages: []x509.ExtKeyUsage{usage}})
-	return kinds.Wrap(kinds.Malformed, err, "certificate is not signed by the authority beside it")
+	return kinds.Wrap(kinds.Malformed, err, "certificate is not signed by an authority of its bundle")
 }
 
-func speaksFrom(c *x509.Certificate, addr netip.Addr) error {
+// verifyAddress checks that a certificate names the address of the peer.
+func verifyAddress(c *x509.Certificate, addr netip.Addr) error {
 	for _, ip := range c.IPAddresses {
 		if got, ok := netip.AddrFromSlice(ip); ok && got.Unmap() == addr.Unmap() {
 			return nil
--- a/internal/peer/certs/certs_test.go
+++ b/internal/peer/certs/certs_test.go
@@ -11,18 +11,17 @@
 	"hawthornfield.org/hawthornfield/internal/core/kinds"
 )
 
-var home = netip.MustParseAddr("127.0.0.1")
+var loopback = netip.MustParseAddr("127.0.0.1")
 
 func issue(t *testing.T, a *Authority, vm ident.VM) PEM {
 	t.Helper()
-	p, err := a.Issue(vm, home)
+	p, err := a.Issue(vm, loopback)
 	assert.NilError(t, err)
 	return p
 }
 
-// An operator replaces certificates and pastes the key of another VM, or
-// forgets the authority. The VM must say so and keep speaking to its peers
-// under the old ones.
+// An operator sets new credentials with the key of another VM, or without the authority.
+// The VM must refuse them and keep using the old ones.
 func TestABadBundleLeavesTheOldOneInForce(t *testing.T) {
 	a, err := NewAuthority(time.Hour)
 	assert.NilError(t, err)
@@ -44,12 +43,12 @@
 			assert.Equal(t, s.Generation(), gen)
 		})
 	}
-	_, err = s.Client("vm-1", home)
+	_, err = s.Client("vm-1", loopback)
 	assert.NilError(t, err)
 }
 
 func TestZeroStoreRefusesToCall(t *testing.T) {
 	var s Store
-	_, err := s.Client("vm-1", home)
+	_, err := s.Client("vm-1", loopback)
 	assert.Equal(t, kinds.Of(err), kinds.Denied)
 }
--- a/internal/peer/link/link.go
+++ b/internal/peer/link/link.go
@@ -1,10 +1,9 @@
-// Package link carries messages between entry VMs over QUIC with mutual TLS.
+// Package link sends messages between entry VMs over QUIC with mutual TLS.
 //
-// Each node calls the peers it wants to speak to and only listens on the
-// connections that others make, so two nodes never race about whose connection
-// counts. A message is either sent in order on one stream, or cast as a
-// datagram that may be lost; neither is ever waited for by a decision. A peer
-// that is gone, slow or hostile costs one bounded ring and nothing else.
+// Each node sends only on the connections that it dials, and only receives on those that
+// others dial, so two nodes need not agree on which of two connections to use. A message is
+// sent either in order on one stream, or as a datagram that may be lost. Callers never
+// wait for either. A peer that is down, slow or malicious costs at most one bounded ring.
 package link
 
 import (
@@ -23,60 +22,62 @@
 	"hawthornfield.org/hawthornfield/internal/peer/certs"
 )
 
-// Bounds and times.
+// Limits and timeouts.
 const (
-	// MaxFrame is the largest message, in bytes: a whole table of 64k slices,
-	// the largest value the platform holds.
+	// MaxFrame is the largest message body in bytes: the size of a whole ownership table
+	// of 64k slices, and of the largest value that the platform stores.
 	MaxFrame = 1 << 20
-	// MaxDatagram is the largest datagram that fits the smallest packet QUIC allows.
+	// MaxDatagram is the largest datagram in bytes; it fits the smallest packet size that
+	// QUIC allows.
 	MaxDatagram = 1100
-	// ringSize is how many messages may wait for one peer. Newer news replaces
-	// older news, so the oldest is dropped.
+	// ringSize is the number of messages that may wait for one peer. When it is full the
+	// oldest one is dropped, because newer messages replace older ones.
 	ringSize = 256
-	// idle ends a connection to a peer that says nothing; keep stays below a
-	// third of it, so one lost packet never ends a connection.
-	idle = 6 * time.Second
-	keep = 1500 * time.Millisecond
-	// firstWait and lastWait bound the pause between attempts to call a peer.
-	firstWait = 50 * time.Millisecond
-	lastWait  = 2 * time.Second
+	// idleTimeout is the time after which a connection without packets is closed.
+	// keepAlivePeriod is below a third of it, so that one lost packet does not close
+	// a connection.
+	idleTimeout     = 6 * time.Second
+	keepAlivePeriod = 1500 * time.Millisecond
+	// minRedialDelay and maxRedialDelay limit the delay between attempts to dial a peer.
+	minRedialDelay = 50 * time.Millisecond
+	maxRedialDelay = 2 * time.Second
 )
 
-// Kind says which module a message is for. The numbers are part of the protocol.
+// Kind identifies the package that handles a message. The numbers are part of the protocol.
 type Kind uint8
 
-// The kinds of message.
+// Kinds of messages, with the packages that handle them.
 const (
 	Gossip    Kind = 1 // node/gossip
-	Lessor    Kind = 2 // owner/seat
+	Lessor    Kind = 2 // owner/lessor
 	Heartbeat Kind = 3 // heartbeats
 	Load      Kind = 4 // load reports
 	Rules     Kind = 5 // rules/quorum
 )
 
-// Peer says where a VM listens.
+// Peer is a VM and the address it listens on.
 type Peer struct {
 	ID   ident.VM
 	Addr netip.AddrPort
 }
 
-// Handler takes a message. It runs on the connection's goroutine, so it hands
-// slow work on. The bytes are its own to keep.
+// Handler handles a message. It runs on the goroutine of the connection, so it must leave
+// slow work to another goroutine. It may keep body.
 type Handler func(from ident.VM, k Kind, body []byte)
 
-// Options are what a node needs.
+// Options configures a node.
 type Options struct {
 	Self   ident.VM
-	Addr   netip.AddrPort // where to listen; port 0 takes a free one
+	Addr   netip.AddrPort // address to listen on; port 0 chooses a free port
 	Certs  *certs.Store
 	Handle Handler
-	Log    *slog.Logger // nil: the default logger
-	// WrapPacketConn, if set, stands between the exchange and its socket, to count what
-	// crosses it.
+	Log    *slog.Logger // nil means the default logger
+	// WrapPacketConn, if set, wraps the UDP socket of the node, for example to count the
+	// traffic.
 	WrapPacketConn func(net.PacketConn) net.PacketConn
 }
 
-// Node is one VM's end of the exchange. Make one with New.
+// Node sends and receives the messages of one VM. Create one with New.
 type Node struct {
 	Options
 	udp       *net.UDPConn
@@ -87,11 +88,11 @@
 	peers map[ident.VM]*sender
 }
 
-func settings() *quic.Config {
+func quicConfig() *quic.Config {
 	return &quic.Config{
 		HandshakeIdleTimeout:           2 * time.Second,
-		MaxIdleTimeout:                 idle,
-		KeepAlivePeriod:                keep,
+		MaxIdleTimeout:                 idleTimeout,
+		KeepAlivePeriod:                keepAlivePeriod,
 		MaxIncomingStreams:             -1,
 		MaxIncomingUniStreams:          1,
 		InitialStreamReceiveWindow:     64 << 10,
@@ -102,7 +103,7 @@
 	}
 }
 
-// New starts listening. It fails with kind Down when the address is taken.
+// New starts a node. It fails with kind Unavailable when it cannot listen on the address.
 func New(o Options) (*Node, error) {
 	if o.Log == nil {
 		o.Log = slog.Default()
@@ -121,7 +122,7 @@
 		transport: &quic.Transport{Conn: conn},
 		peers:     map[ident.VM]*sender{},
 	}
-	l, err := n.transport.Listen(o.Certs.Server(), settings())
+	l, err := n.transport.Listen(o.Certs.Server(), quicConfig())
 	if err != nil {
 		udp.Close()
 		return nil, kinds.Wrap(kinds.Unavailable, err, "listen for peers")
@@ -130,13 +131,13 @@
 	return n, nil
 }
 
-// Listening returns the address peers can call.
+// Listening returns the address that the node listens on.
 func (n *Node) Listening() netip.AddrPort {
 	return n.udp.LocalAddr().(*net.UDPAddr).AddrPort()
 }
 
-// SetPeers says which VMs to be connected to. Connections to others are closed,
-// and what waited for them is discarded.
+// SetPeers sets the VMs to connect to. Connections to other VMs are closed, and the
+// messages waiting for them are discarded.
 func (n *Node) SetPeers(peers []Peer) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -169,21 +170,20 @@
 	n.group.Go(func(context.Context) error { return s.run(ctx) })
 }
 
-// Send queues a message that arrives in order, or not at all when the
-// connection breaks or the queue is full. It reports whether the peer is known
-// and the message within bounds.
+// Send queues a message that is delivered in order, or lost when the connection breaks or
+// the queue is full. It reports whether the peer is known and the message is not too large.
 func (n *Node) Send(to ident.VM, k Kind, body []byte) bool {
 	return n.push(to, frame{kind: k, body: body}, MaxFrame)
 }
 
-// SendDatagram queues a small message that may be lost, such as a heartbeat. It never
-// waits behind a large one.
+// SendDatagram queues a small message that may be lost, such as a heartbeat. It is sent
+// outside the stream, so it is not retransmitted or delivered in order.
 func (n *Node) SendDatagram(to ident.VM, k Kind, body []byte) bool {
-	return n.push(to, frame{kind: k, body: body, cast: true}, MaxDatagram)
+	return n.push(to, frame{kind: k, body: body, datagram: true}, MaxDatagram)
 }
 
-func (n *Node) push(to ident.VM, f frame, most int) bool {
-	if len(f.body) > most {
+func (n *Node) push(to ident.VM, f frame, maxSize int) bool {
+	if len(f.body) > maxSize {
 		return false
 	}
 	n.mu.Lock()
@@ -192,7 +192,7 @@
 	return s != nil && s.ring.Push(context.Background(), f)
 }
 
-// Lost counts the messages that found a full queue, over all peers.
+// Lost returns the number of messages dropped from the full queues of all peers.
 func (n *Node) Lost() uint64 {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -203,23 +203,23 @@
 	return sum
 }
 
-// Connected lists the peers that can be reached now.
+// Connected returns the peers that this node has a connection to.
 func (n *Node) Connected() []ident.VM {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	var up []ident.VM
 	for id, s := range n.peers {
-		if s.up.Load() {
+		if s.connected.Load() {
 			up = append(up, id)
 		}
 	}
 	return up
 }
 
-// Close ends all connections and waits for every duty.
+// Close closes all connections and waits for all goroutines of the node.
 func (n *Node) Close() error {
-	// The duties go first: each says goodbye on its connection, so that peers
-	// notice now and not after the idle time.
+	// The goroutines end first: each closes its connection, so that peers notice at
+	// once and not after the idle timeout.
 	err := n.group.Close()
 	transportErr := n.transport.Close()
 	n.udp.Close()
--- a/internal/peer/link/receive.go
+++ b/internal/peer/link/receive.go
@@ -14,20 +14,22 @@
 	"hawthornfield.org/hawthornfield/internal/peer/certs"
 )
 
-// header is the length of the body, four bytes, then the kind.
-const header = 5
+// headerSize is the size of a frame header in bytes: four bytes with the length of the
+// body, and one with the kind.
+const headerSize = 5
 
-func pack(f frame) []byte {
-	b := make([]byte, header, header+len(f.body))
+// encodeFrame returns the header and body of a frame.
+func encodeFrame(f frame) []byte {
+	b := make([]byte, headerSize, headerSize+len(f.body))
 	binary.BigEndian.PutUint32(b, uint32(len(f.body)))
 	b[4] = byte(f.kind)
 	return append(b, f.body...)
 }
 
-// unpack reads one frame. A length beyond MaxFrame fails with kind Malformed
-// before anything is allocated for it.
-func unpack(r io.Reader) (frame, error) {
-	var h [header]byte
+// decodeFrame reads one frame. A length above MaxFrame fails with kind Malformed before
+// memory is allocated for it.
+func decodeFrame(r io.Reader) (frame, error) {
+	var h [headerSize]byte
 	if _, err := io.ReadFull(r, h[:]); err != nil {
 		return frame{}, kinds.Wrap(kinds.Unavailable, err, "read frame")
 	}
@@ -47,7 +49,7 @@
 	for {
 		conn, err := l.Accept(ctx)
 		if err != nil {
-			return nil // closed
+			return nil // the node is closing
 		}
 		n.group.Go(func(ctx context.Context) error {
 			n.serve(ctx, conn)
@@ -56,32 +58,32 @@
 	}
 }
 
-// serve reads everything one peer sends. The handshake already proved who it
-// is; anything it sends that cannot be read ends this one connection.
+// serve reads all messages of one peer, which the handshake has authenticated. A frame that
+// cannot be decoded ends this connection only.
 func (n *Node) serve(ctx context.Context, conn *quic.Conn) {
-	defer conn.CloseWithError(codeBye, "")
+	defer conn.CloseWithError(codeClosed, "")
 	from := certs.Name(conn.ConnectionState().TLS.PeerCertificates[0])
 	var duties group.Group
 	defer duties.Close()
-	defer context.AfterFunc(ctx, func() { conn.CloseWithError(codeBye, "closing") })()
+	defer context.AfterFunc(ctx, func() { conn.CloseWithError(codeClosed, "closing") })()
 	duties.Go(func(ctx context.Context) error {
-		n.datagrams(ctx, conn, from)
+		n.readDatagrams(ctx, conn, from)
 		return nil
 	})
 	stream, err := conn.AcceptUniStream(ctx)
 	if err != nil {
 		return
 	}
-	n.frames(stream, from)
+	n.readFrames(stream, from)
 }
 
-func (n *Node) frames(stream *quic.ReceiveStream, from ident.VM) {
+func (n *Node) readFrames(stream *quic.ReceiveStream, from ident.VM) {
 	r := bufio.NewReader(stream)
 	for {
-		f, err := unpack(r)
+		f, err := decodeFrame(r)
 		if err != nil {
 			if kinds.Of(err) == kinds.Malformed {
-				n.Log.Warn("peer sent a bad frame", "vm", from, "err", err)
+				n.Log.Warn("peer sent a malformed frame; closing the connection", "vm", from, "err", err)
 			}
 			return
 		}
@@ -89,7 +91,7 @@
 	}
 }
 
-func (n *Node) datagrams(ctx context.Context, conn *quic.Conn, from ident.VM) {
+func (n *Node) readDatagrams(ctx context.Context, conn *quic.Conn, from ident.VM) {
 	for {
 		b, err := conn.ReceiveDatagram(ctx)
 		if err != nil {
