--- a/internal/audit/dedup/guard.go
+++ b/internal/audit/dedup/guard.go
@@ -54,7 +54,7 @@
 	queue       *ring.Ring[task]
 	doneLimiter *rate.Limiter
 	group       group.Group
-	stuck       atomic.Uint64
+	stuck       atomic.Uint64 // claims dropped because the queue was full
 }
 
 // task is a claim to be finalized outside the request path.
--- a/internal/audit/ledger/filter_test.go
+++ b/internal/audit/ledger/filter_test.go
@@ -18,10 +18,10 @@
 )
 
 // routedDecision returns a decision as the request path makes it.
-func routedDecision(id string, w retain.Policy, c retain.Case) record.Decision {
+func routedDecision(id string, policy retain.Policy, c retain.Case) record.Decision {
 	d := decision(id)
-	d.Rule, d.Rev, d.Service, d.Key, d.Keep = "rule-"+string(w), 3, "lookup", c.Key, w
-	d.Skip = !w.Retains(c)
+	d.Rule, d.Rev, d.Service, d.Key, d.Keep = "rule-"+string(policy), 3, "lookup", c.Key, policy
+	d.Skip = !policy.Retains(c)
 	return d
 }
 
@@ -56,7 +56,7 @@
 // conclude that a request never took place.
 func TestTheJournalHoldsExactlyWhatThePoliciesRetain(t *testing.T) {
 	seeds.Check(t, func(rt *rapid.T) {
-		words := []retain.Policy{"", retain.All, retain.Submissions, retain.None, "1/2", "1/5"}
+		policies := []retain.Policy{"", retain.All, retain.Submissions, retain.None, "1/2", "1/5"}
 		store := objmem.New()
 		want, skips := map[string]bool{}, map[retain.Policy]uint64{}
 		n := rapid.IntRange(1, 120).Draw(rt, "requests")
@@ -64,7 +64,7 @@
 		cases := make([]retain.Case, n)
 		chosen := make([]retain.Policy, n)
 		for i := range n {
-			chosen[i] = rapid.SampledFrom(words).Draw(rt, "word")
+			chosen[i] = rapid.SampledFrom(policies).Draw(rt, "word")
 			cases[i] = retain.Case{
 				Key:  ident.Key(fmt.Sprint("scale-", rapid.IntRange(0, 20).Draw(rt, "key"))),
 				Safe: rapid.Bool().Draw(rt, "safe"), Succeeded: rapid.Bool().Draw(rt, "plain"),
--- a/internal/audit/ledger/journal.go
+++ b/internal/audit/ledger/journal.go
@@ -38,9 +38,9 @@
 	once     sync.Once
 	closeErr error
 
-	lastTicket atomic.Uint64
+	lastTicket atomic.Uint64 // number of the last call of Commit
 	mu         sync.Mutex
-	waiters    map[uint64]chan kinds.Kind
+	waiters    map[uint64]chan kinds.Kind // calls of Commit that wait, by ticket
 }
 
 var _ record.Sink = (*Journal)(nil)
--- a/internal/audit/ledger/journal_test.go
+++ b/internal/audit/ledger/journal_test.go
@@ -187,7 +187,7 @@
 	})
 }
 
-func TestCommitGivesUpWithItsCallerAndAfterClose(t *testing.T) {
+func TestCommitFailsWhenItsContextEndsAndAfterClose(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := objmem.New()
 		store.SetDown(true)
--- a/internal/audit/ledger/model.go
+++ b/internal/audit/ledger/model.go
@@ -125,9 +125,9 @@
 	address uint64
 	phase   phase
 	items   []item
-	bytes   int
-	lost    uint64
-	value   []byte
+	bytes   int    // size of items
+	lost    uint64 // entries dropped before this batch
+	value   []byte // encoded segment
 }
 
 // Model decides what is written and when. It is a [loop.Model]; only its loop may
@@ -137,25 +137,26 @@
 	*state
 }
 
+// state is the mutable state of a Model.
 type state struct {
 	limits        Limits
 	path          string
 	token         string
-	tailKnown     bool // the tail is known
-	tailRequested bool // a TailCmd is in flight
-	nextAddress   uint64
+	tailKnown     bool   // false until a TailCmd was answered, and after a conflict
+	tailRequested bool   // a TailCmd is in flight
+	nextAddress   uint64 // address of the next new segment
 
-	items          []item
-	bytes          int // of items
-	inFlight       []*batch
-	unreportedLost uint64 // entries lost but not yet counted in a segment
-	vmCount        int
+	items          []item    // buffered entries that have no address yet
+	bytes          int       // size of items
+	inFlight       []*batch  // batches with an address that are not confirmed
+	unreportedLost uint64    // entries lost but not yet counted in a segment
+	vmCount        int       // number of VMs that share the write budget
 	nextWriteAt    time.Time // theoretical time of the next write under the rate limit
-	failures       int
+	failures       int       // successive failed store calls
 	retryAt        time.Time // earliest time of the next retry
 	timerAt        time.Time // when the pending timer fires; zero without one
-	closed         bool
-	done           bool
+	closed         bool      // a CloseMsg was received
+	doneSent       bool      // a DoneCmd was sent
 }
 
 var _ loop.Model = Model{}
--- a/internal/audit/ledger/schedule.go
+++ b/internal/audit/ledger/schedule.go
@@ -24,8 +24,8 @@
 	for m.canSend(now) {
 		cmds = append(cmds, m.sendBatch(now))
 	}
-	if m.closed && !m.done && len(m.items)+len(m.inFlight) == 0 {
-		m.done = true
+	if m.closed && !m.doneSent && len(m.items)+len(m.inFlight) == 0 {
+		m.doneSent = true
 		cmds = append(cmds, DoneCmd{})
 	}
 	return m.armTimer(now, cmds)
--- a/internal/audit/ledger/segment.go
+++ b/internal/audit/ledger/segment.go
@@ -44,7 +44,7 @@
 	FormatVersion int       `cbor:"v"`
 	Path          string    `cbor:"path"`
 	Address       uint64    `cbor:"n"`
-	WriterToken   string    `cbor:"tok"`  // token of the writing process; it recognises its own write by it when the answer was lost
+	WriterToken   string    `cbor:"tok"`  // token of the writing process, which recognises its own writes by it after a lost answer
 	From          time.Time `cbor:"from"` // time of the first entry
 	To            time.Time `cbor:"to"`   // time of the last entry
 	Lost          uint64    `cbor:"lost"` // entries dropped since the previous segment
--- a/internal/audit/logbuf/logbuf.go
+++ b/internal/audit/logbuf/logbuf.go
@@ -24,9 +24,10 @@
 	inner        slog.Handler
 	ring         *ring.Ring[line]
 	group        group.Group
-	reportedLost uint64
+	reportedLost uint64 // dropped lines already reported
 }
 
+// line is a log record with the handler that is to write it.
 type line struct {
 	handler slog.Handler
 	record  slog.Record
--- a/internal/audit/record/writer.go
+++ b/internal/audit/record/writer.go
@@ -44,8 +44,8 @@
 	log   *slog.Logger
 	ring  *ring.Ring[Decision]
 	sinks []Sink
-	quiet bool
-	rate  int // plain decisions logged per second; zero logs all
+	quiet bool // log nothing but losses
+	rate  int  // plain decisions logged per second; zero logs all
 	group group.Group
 
 	secondStart time.Time // start of the current second of the rate limit; used by run and Close only
@@ -78,12 +78,12 @@
 }
 
 // allow reports whether one more decision may be logged, at n a second.
-func (t *lineQuota) allow(n int) bool {
-	t.seen++
-	if t.seen <= n {
+func (q *lineQuota) allow(n int) bool {
+	q.seen++
+	if q.seen <= n {
 		return true
 	}
-	t.suppressed++
+	q.suppressed++
 	return false
 }
 
--- a/internal/audit/report/output.go
+++ b/internal/audit/report/output.go
@@ -27,7 +27,8 @@
 	ByHour    GroupBy = "hour"
 )
 
-// Count is one row of a grouped report. Requests and moves are not counted together.
+// Count is one row of a grouped report. Requests and moves, which are decisions with the
+// action [record.Place], are not counted together.
 type Count struct {
 	Name    string        `json:"name"`
 	All     int           `json:"all"`
--- a/internal/audit/report/report_test.go
+++ b/internal/audit/report/report_test.go
@@ -60,7 +60,7 @@
 	return r
 }
 
-// All entry VMs have been replaced. A query about one key must still be answered from
+// The entry VMs have all been replaced. A query about one key must still be answered from
 // the journals in the store.
 func TestReportAnswersAfterEveryVMIsGone(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
