--- a/docs_test.go
+++ b/docs_test.go
@@ -18,8 +18,9 @@
 	pageLink = regexp.MustCompile(`\]\(([^)#:]+)(?:#[^)]*)?\)`)
 )
 
-// files lists the tracked kind of file below the module's root.
-func files(t *testing.T, ending string) []string {
+// filesWithSuffix lists the files below the module's root whose paths end in suffix. It
+// skips hidden directories, tools and build output.
+func filesWithSuffix(t *testing.T, suffix string) []string {
 	t.Helper()
 	var found []string
 	assert.NilError(t, filepath.WalkDir(".", func(path string, d fs.DirEntry, err error) error {
@@ -27,7 +28,7 @@
 		if d.IsDir() && (hidden || path == "bin" || path == "out" || path == "tools") {
 			return filepath.SkipDir
 		}
-		if strings.HasSuffix(path, ending) {
+		if strings.HasSuffix(path, suffix) {
 			found = append(found, path)
 		}
 		return err
@@ -35,33 +36,33 @@
 	return found
 }
 
-func read(t *testing.T, path string) string {
+func readFile(t *testing.T, path string) string {
 	t.Helper()
 	b, err := os.ReadFile(path)
 	assert.NilError(t, err)
 	return string(b)
 }
 
-// A page names the test that proves a promise. The test is renamed or dropped
-// later, and the page goes on claiming a proof that nobody runs.
+// Guards against pages that name a test as proof of a promise after the test was renamed
+// or deleted.
 func TestPagesNameOnlyTestsThatExist(t *testing.T) {
 	var known []string
-	for _, path := range files(t, "_test.go") {
-		for _, m := range testFunc.FindAllStringSubmatch(read(t, path), -1) {
+	for _, path := range filesWithSuffix(t, "_test.go") {
+		for _, m := range testFunc.FindAllStringSubmatch(readFile(t, path), -1) {
 			known = append(known, m[1])
 		}
 	}
-	for _, path := range files(t, ".md") {
-		for _, name := range testName.FindAllString(read(t, path), -1) {
+	for _, path := range filesWithSuffix(t, ".md") {
+		for _, name := range testName.FindAllString(readFile(t, path), -1) {
 			assert.Assert(t, slices.Contains(known, name), "%s names %s, which does not exist", path, name)
 		}
 	}
 }
 
-// A reader follows a link from one page to the next and finds nothing.
+// Guards against broken links between pages.
 func TestPagesLinkOnlyToWhatExists(t *testing.T) {
-	for _, path := range files(t, ".md") {
-		for _, m := range pageLink.FindAllStringSubmatch(read(t, path), -1) {
+	for _, path := range filesWithSuffix(t, ".md") {
+		for _, m := range pageLink.FindAllStringSubmatch(readFile(t, path), -1) {
 			_, err := os.Stat(filepath.Join(filepath.Dir(path), m[1]))
 			assert.NilError(t, err, "%s links to %s", path, m[1])
 		}
--- a/errors.go
+++ b/errors.go
@@ -2,34 +2,34 @@
 
 import "hawthornfield.org/hawthornfield/internal/core/kinds"
 
-// How things fail: one closed list, one table from kind to answer.
+// Kinds of errors: a closed list, and one table that maps each kind to its answer.
 type (
-	// Kind is one entry of the closed list of failures.
+	// Kind is one entry of the closed list of error kinds.
 	Kind = kinds.Kind
-	// Answer is what a caller receives for a kind.
+	// Answer is the response that a caller receives for a Kind.
 	Answer = kinds.Answer
-	// Ran says what an answer promises about execution.
+	// Ran says whether the request was executed.
 	Ran = kinds.Ran
 )
 
-// The promises of an answer.
+// Values of Ran.
 const (
-	RanNo      = kinds.RanNo      // it did not run: repeating it is safe
-	RanUnknown = kinds.RanUnknown // it may have run: ask before repeating
-	RanYes     = kinds.RanYes     // it ran
+	RanNo      = kinds.RanNo      // did not run: repeating it is safe
+	RanUnknown = kinds.RanUnknown // may have run: check before repeating it
+	RanYes     = kinds.RanYes     // ran
 )
 
-// Errors for errors.Is; each stands for every error of its kind.
+// Sentinel errors for errors.Is. Each matches every error of its kind.
 var (
 	// ErrConflict means that a conditional update lost against another writer.
 	ErrConflict = kinds.New(kinds.Conflict, "another change came first")
-	// ErrAmbiguous means that a write may have taken effect: read back.
+	// ErrAmbiguous means that a write may have taken effect: read the object back.
 	ErrAmbiguous = kinds.New(kinds.Ambiguous, "the write may have taken effect")
-	// ErrBusy means that admission refused the request; nothing ran.
+	// ErrBusy means that admission control refused the request. Nothing ran.
 	ErrBusy = kinds.New(kinds.Busy, "the service is full")
-	// ErrLate means that the deadline cannot be met; nothing ran.
+	// ErrLate means that the deadline cannot be met. Nothing ran.
 	ErrLate = kinds.New(kinds.DeadlineMissed, "the deadline cannot be met")
 )
 
-// KindOf returns the kind of an error: none for nil.
+// KindOf returns the kind of err, and the kind "none" for nil.
 func KindOf(err error) Kind { return kinds.Of(err) }
--- a/hawthornfield.go
+++ b/hawthornfield.go
@@ -1,50 +1,58 @@
-// Package hawthornfield is the library beside the daemon: the coordination
-// parts of the router, each usable on its own.
+// Package hawthornfield exports the coordination parts of the router as a library.
+// Each part can be embedded without the daemon and without the others.
 //
-// The parts are decision modules. They open no socket, start no goroutine and
-// read no clock; they are told what happened and when, and return what should
-// be done. An embedder brings the effects, or runs a module in a [Loop] with a
-// [Runner] that carries them out:
+// The parts are state machines that open no sockets. A [Model] also starts no
+// goroutines and reads no clock: its Update receives the time and a message and
+// returns commands. The embedder executes the commands itself, or runs the model in a
+// [Loop] with a [Runner] that executes them:
 //
-//	seat := hawthornfield.NewSeat(hawthornfield.SeatConfig{
+//	lessor := hawthornfield.NewLessor(hawthornfield.LessorConfig{
 //		Self: "vm-1", Service: "lookup", Server: "lookup-3",
 //	})
-//	loop := hawthornfield.NewLoop(seat, runner)
+//	loop := hawthornfield.NewLoop(lessor, runner)
 //	defer loop.Close()
-//	loop.Send(hawthornfield.PlanMsg{Lead: true})
+//	loop.Send(hawthornfield.RoleMsg{Lead: true})
 //
-// A file of this package is a concept: loop.go is the heart, ownership.go says
-// who owns which key, load.go who is served and where, rules.go what a request
-// matches, errors.go how things fail, platform.go what the surroundings must
-// offer. The types are aliases of the module's inner packages, so that this
-// surface can stay still while the inside changes.
+// Each file holds one part:
 //
-// The programs under examples/ each embed one part and nothing else.
+//   - loop.go: the loop that runs a state machine
+//   - ownership.go: which backend server owns which key
+//   - load.go: admission control and choice of a backend server
+//   - rules.go: matching of requests to rules
+//   - errors.go: the kinds of errors
+//   - platform.go: the interfaces to the platform
+//
+// The types are aliases of types in internal packages, so that this API can stay
+// stable while the implementation changes.
+//
+// Each program under examples/ that imports this package embeds one part.
 package hawthornfield
 
 import "hawthornfield.org/hawthornfield/internal/core/ident"
 
-// The names that every part shares.
+// Names and numbers that all parts share.
 type (
 	// Service names a group of interchangeable backend servers.
 	Service = ident.Service
 	// Server names one backend server.
 	Server = ident.Server
-	// VM names one entry VM, or whatever process embeds a part.
+	// VM names one entry VM, or another process that embeds a part.
 	VM = ident.VM
 	// Centre names a data centre.
 	Centre = ident.Centre
-	// Caller names who sent a request.
+	// Caller names the customer who sent a request.
 	Caller = ident.Caller
-	// Key is what a divided service owns exclusively.
+	// Key is the unit of ownership in a service that is divided by key: at any time,
+	// at most one backend server owns it.
 	Key = ident.Key
-	// Slice is one of the equal parts that keys hash to.
+	// Slice numbers one of the equal parts of the key space, to which keys are hashed.
 	Slice = ident.Slice
-	// Epoch numbers the successive holders of one authority; it only rises.
+	// Epoch numbers the successive holders of one authority. It only increases.
 	Epoch = ident.Epoch
-	// Revision numbers accepted versions; it only rises.
+	// Revision numbers accepted versions. It only increases.
 	Revision = ident.Revision
-	// Fence orders every grant given for one backend server.
+	// Fence orders all grants for one backend server, so that outdated ones can be
+	// rejected.
 	Fence = ident.Fence
 )
 
--- a/imports_test.go
+++ b/imports_test.go
@@ -14,13 +14,14 @@
 )
 
 const (
-	modulePath = "hawthornfield.org/hawthornfield"
-	inner      = modulePath + "/internal/"
+	modulePath   = "hawthornfield.org/hawthornfield"
+	internalPath = modulePath + "/internal/"
 )
 
-// mayImport is the table of ARCHITECTURE.md: for each area, the other areas
-// whose packages it may use. Tests and the stand-ins are free.
-var mayImport = map[string][]string{
+// allowedImports is the table of ARCHITECTURE.md: for each area, that is each directory
+// below internal, the other areas whose packages it may import. Tests and areas that
+// are not listed, such as the fakes, may import anything.
+var allowedImports = map[string][]string{
 	"core":  {},
 	"plat":  {"core"},
 	"peer":  {"core"},
@@ -32,17 +33,16 @@
 	"edge":  {"core", "plat", "peer", "load", "rules", "owner", "node", "audit"},
 }
 
-// A decision module that reaches for a runner, or a runner's package that a
-// decision module needs, makes a knot that nobody can test without a network. It
-// begins with one import that looks harmless.
+// Guards against state machines that import the packages which execute their effects.
+// Such state machines cannot be tested without a network.
 func TestAreasImportOnlyWhatTheMapAllows(t *testing.T) {
-	for _, path := range files(t, ".go") {
+	for _, path := range filesWithSuffix(t, ".go") {
 		parts := strings.Split(filepath.ToSlash(path), "/")
 		if len(parts) < 3 || parts[0] != "internal" || strings.HasSuffix(path, "_test.go") {
 			continue
 		}
-		allowed, ruled := mayImport[parts[1]]
-		if !ruled || measures[parts[1]+"/"+parts[2]] {
+		allowed, listed := allowedImports[parts[1]]
+		if !listed || measurePackages[parts[1]+"/"+parts[2]] {
 			continue
 		}
 		f, err := parser.ParseFile(token.NewFileSet(), path, nil, parser.ImportsOnly)
@@ -50,8 +50,8 @@
 		for _, spec := range f.Imports {
 			imported, err := strconv.Unquote(spec.Path.Value)
 			assert.NilError(t, err)
-			rest, ours := strings.CutPrefix(imported, inner)
-			if !ours {
+			rest, isInternal := strings.CutPrefix(imported, internalPath)
+			if !isInternal {
 				continue
 			}
 			area, _, _ := strings.Cut(rest, "/")
@@ -61,27 +61,28 @@
 	}
 }
 
-// measures names the packages that measure their area with stand-ins.
-var measures = map[string]bool{"owner/outage": true, "edge/perf": true}
+// measurePackages are the packages that measure their area with the help of fakes. They
+// are exempt.
+var measurePackages = map[string]bool{"owner/outage": true, "edge/perf": true}
 
-// platformNames are words that only the users' platform speaks. A name that stands
-// beside its translation somewhere else is a second translation, which nobody finds
-// when the platform changes.
+// platformNames are the users' platform's own names of headers, settings and
+// environment variables. Package platform translates them. Any other use would be a
+// second translation, which is missed when the platform changes.
 var platformNames = regexp.MustCompile(`X-Attempt-Id|X-Time-Remaining|X-Server-Seal|X-Expected-Instance|X-Instance-|` +
 	`X-Not-Executed|X-Shard-Key|X-Handover|staleOk|waitMs|storeRevision|trafficSplit|pathPrefix|warmupLeftS|holdS|` +
 	`HAWTHORNFIELD_SETTINGS|internalPortRange`)
 
-// The adapter grows into the product, or the product into the adapter, one
-// convenient name or import at a time.
+// Guards against coupling between the router and the platform's adapter: outside of the
+// adapter no code uses the platform's names, and only internal/admin imports it.
 func TestOnlyTheAdapterKnowsThePlatform(t *testing.T) {
-	for _, path := range files(t, ".go") {
+	for _, path := range filesWithSuffix(t, ".go") {
 		slash := filepath.ToSlash(path)
 		if strings.HasPrefix(slash, "platform/") || slash == "imports_test.go" {
 			continue
 		}
-		found := platformNames.FindString(read(t, path))
-		assert.Assert(t, found == "", "%s speaks of %s", path, found)
-		knows := strings.Contains(read(t, path), modulePath+"/platform"+`"`)
-		assert.Assert(t, !knows || strings.HasPrefix(slash, "internal/admin/"), "%s imports the adapter", path)
+		found := platformNames.FindString(readFile(t, path))
+		assert.Assert(t, found == "", "%s uses the platform's name %s", path, found)
+		imports := strings.Contains(readFile(t, path), modulePath+"/platform"+`"`)
+		assert.Assert(t, !imports || strings.HasPrefix(slash, "internal/admin/"), "%s imports the adapter", path)
 	}
 }
--- a/load.go
+++ b/load.go
@@ -6,39 +6,42 @@
 	"hawthornfield.org/hawthornfield/internal/load/gate"
 )
 
-// Whom to serve, who waits, who is refused, and where work goes.
+// Admission control and choice of a backend server.
 type (
-	// Gate admits the requests of one service, from any goroutine. It needs no
-	// network: the embedder forwards, and tells the pass what came of it.
+	// Gate admits, queues or refuses the requests of one service and chooses their
+	// backend servers. It is safe for concurrent use and does no network I/O: the
+	// embedder forwards the request and reports the outcome to the [Permit].
 	Gate = gate.Gate
-	// GateConfig holds a gate's settings; the zero value works.
+	// GateConfig holds a gate's settings. The zero value works.
 	GateConfig = gate.Config
-	// Job is what the gate needs to know of a request.
+	// Job describes a request to the gate.
 	Job = gate.Job
-	// Permit is a place on a backend server, held until Done.
+	// Permit is the right to send one request to a backend server. It is held until
+	// Done is called.
 	Permit = gate.Permit
-	// Outcome is what became of an attempt.
+	// Outcome is the result of an attempt.
 	Outcome = gate.Outcome
 	// ServerInfo describes a backend server to the gate.
 	ServerInfo = gate.ServerInfo
-	// KeyOwner is where a key is served and under which authority, for Gate.Follow.
+	// KeyOwner names the server that serves a key and the authority under which it
+	// does. It is the argument of Gate.Follow.
 	KeyOwner = gate.Owner
 	// GateStats are a gate's figures for operators.
 	GateStats = gate.Stats
 )
 
-// NewGate makes the gate of one service.
+// NewGate returns the gate of one service.
 //
 //	g := hawthornfield.NewGate(hawthornfield.GateConfig{Service: "lookup"})
 //	defer g.Close()
 //	g.SetServers([]hawthornfield.ServerInfo{{Name: "lookup-1", Slots: 4, Conns: 100}})
-//	pass, err := g.Enter(ctx, hawthornfield.Job{Caller: "grower-7", Size: -1, Idempotent: true})
+//	permit, err := g.Enter(ctx, hawthornfield.Job{Caller: "grower-7", Size: -1, Idempotent: true})
 //	if err != nil {
-//		return err // not run; RetryAfter(err) says when to come back
+//		return err // the request did not run; RetryAfter(err) says when to retry
 //	}
-//	pass.Done(forward(pass.Server()))
+//	permit.Done(forward(permit.Server()))
 func NewGate(cfg GateConfig) *Gate { return gate.New(cfg) }
 
-// RetryAfter is when a refused caller should come back; zero for an error that
-// is not a refusal.
+// RetryAfter returns how long a refused caller should wait before a retry, and zero for
+// an error that is not a refusal.
 func RetryAfter(err error) time.Duration { return gate.RetryAfter(err) }
--- a/loop.go
+++ b/loop.go
@@ -2,25 +2,26 @@
 
 import "hawthornfield.org/hawthornfield/internal/core/loop"
 
-// The heart: a pure update takes a message and returns the new state and the
-// effects it wants, as values. Effects only run in the loop.
+// The loop that runs a pure state machine. The state machine's Update takes a message
+// and returns the new state and the requested effects as values; only the loop executes
+// effects.
 type (
-	// Model is a decision module.
+	// Model is a pure state machine.
 	Model = loop.Model
-	// Msg is anything that happened.
+	// Msg is an event that a Model handles, such as an answer or an expired timer.
 	Msg = loop.Msg
-	// Cmd is an effect as a value.
+	// Cmd is an effect that a Model requests.
 	Cmd = loop.Cmd
-	// Runner carries out commands and reports what came of them.
+	// Runner executes commands and reports their results as messages.
 	Runner = loop.Runner
 	// RunnerFunc is a function used as a Runner.
 	RunnerFunc = loop.RunnerFunc
-	// AfterCmd asks the loop for a timer.
+	// AfterCmd asks the loop to deliver a message after a delay.
 	AfterCmd = loop.AfterCmd
-	// Loop runs one model until it is closed.
+	// Loop runs one Model until it is closed.
 	Loop = loop.Loop
 )
 
-// NewLoop starts a loop over a model. Close it: that stops its timers and waits
-// for everything it started.
+// NewLoop starts a loop that runs m. The caller must close it; Close stops its timers
+// and waits for everything that it started.
 func NewLoop(m Model, r Runner) *Loop { return loop.New(m, r) }
--- a/ownership.go
+++ b/ownership.go
@@ -6,50 +6,54 @@
 	"hawthornfield.org/hawthornfield/internal/owner/table"
 )
 
-// Who owns which key. A [Table] is the agreed assignment, kept in the store; a
-// [Lessor] is the authority over one server's leases, held by one VM at a time.
+// Ownership of keys. A [Table] is the agreed assignment of keys to backend servers and
+// is kept in the store. A [Lessor] grants the leases of one backend server; the
+// authority to do so is held by one VM at a time.
 type (
 	// Table is the agreed ownership of one service at one revision.
 	Table = table.Table
-	// View is a table made for lookups: immutable, without locks or allocation.
+	// View is an immutable index of a Table. Lookups take no locks and do not allocate.
 	View = table.View
-	// Owner is what a View answers for a key.
+	// Owner is the result of a lookup in a View.
 	Owner = table.Owner
-	// Move gives a slice, or a single hot key, to another server.
+	// Move assigns a slice, or a single hot key, to another server.
 	Move = table.Move
-	// Edit is what a seat wants changed in a Table, apart from the Table it was
-	// worked out on.
+	// Edit is a change of the Table that a lessor requests, independent of the Table
+	// that it was based on.
 	Edit = table.Edit
 
-	// Lessor is the decision module of one seat on one VM.
+	// Lessor is the state machine, on one VM, of the authority over one backend
+	// server's leases.
 	Lessor = lessor.Lessor
-	// LessorConfig says which seat it is and how its servers behave.
+	// LessorConfig names the VM and the backend server of a Lessor and says how the
+	// service's servers behave.
 	LessorConfig = lessor.Config
-	// LeaseTimes are the periods of leases, heartbeats and terms.
+	// LeaseTimes are the durations of leases, heartbeats and terms.
 	LeaseTimes = lease.Times
-	// Guard limits until when an effect may be carried out.
+	// Guard limits the time until which a command may be executed.
 	Guard = lessor.Guard
 )
 
-// Messages to a seat. The rest come back from its own commands.
+// Messages to a lessor. The last five answer its own commands.
 type (
-	// RoleMsg says what the roster of live VMs wants of this VM.
+	// RoleMsg sets this VM's role according to the list of live VMs: whether it should
+	// acquire the authority, and which VM is its deputy.
 	RoleMsg = lessor.RoleMsg
-	// SuspectMsg says that a VM seems lost; it can be wrong.
+	// SuspectMsg says that a VM seems to have failed. It can be wrong.
 	SuspectMsg = lessor.SuspectMsg
-	// VMGoneMsg says that the platform lists a VM as gone for good.
+	// VMGoneMsg says that the platform lists a VM as permanently gone.
 	VMGoneMsg = lessor.VMGoneMsg
-	// MoveMsg asks the holder to give keys away.
+	// MoveMsg asks the holder of the authority to move keys to other servers.
 	MoveMsg = lessor.MoveMsg
 	// DrainMsg says that the backend server is leaving.
 	DrainMsg = lessor.DrainMsg
-	// LeaveMsg says that this VM shuts down.
+	// LeaveMsg says that this VM is shutting down.
 	LeaveMsg = lessor.LeaveMsg
 	// RecordMsg answers a ReadRecordCmd.
 	RecordMsg = lessor.RecordMsg
 	// RecordPutMsg answers a PutRecordCmd.
 	RecordPutMsg = lessor.RecordPutMsg
-	// TableMsg answers a ReadTableCmd, or brings a newer table.
+	// TableMsg answers a ReadTableCmd, or delivers a newer table.
 	TableMsg = lessor.TableMsg
 	// TablePutMsg answers a PutTableCmd.
 	TablePutMsg = lessor.TablePutMsg
@@ -57,45 +61,47 @@
 	ReplyMsg = lessor.ReplyMsg
 )
 
-// Commands of a seat, for the embedder's Runner.
+// Commands of a lessor, for the embedder's Runner.
 type (
-	// ReadRecordCmd reads the seat's record from the store.
+	// ReadRecordCmd reads the record of the authority from the store.
 	ReadRecordCmd = lessor.ReadRecordCmd
-	// PutRecordCmd writes it by conditional update.
+	// PutRecordCmd writes that record by conditional update.
 	PutRecordCmd = lessor.PutRecordCmd
 	// ReadTableCmd reads the service's table.
 	ReadTableCmd = lessor.ReadTableCmd
-	// PutTableCmd writes it by conditional update.
+	// PutTableCmd writes the table by conditional update.
 	PutTableCmd = lessor.PutTableCmd
 	// OrderCmd sends an order to the backend server.
 	OrderCmd = lessor.OrderCmd
 	// ReadServerCmd asks the backend server what it holds.
 	ReadServerCmd = lessor.ReadServerCmd
-	// SendCmd sends a message to the same seat on another VM.
+	// SendCmd sends a message to the lessor of the same backend server on another VM.
 	SendCmd = lessor.SendCmd
-	// LessorPlanCmd asks the planner where a server's keys should go.
+	// LessorPlanCmd asks the planner which servers should take a server's keys.
 	LessorPlanCmd = lessor.PlanCmd
 	// MovedCmd reports an acknowledged move.
 	MovedCmd = lessor.MovedCmd
-	// AcquiredCmd reports that this VM took the seat.
+	// AcquiredCmd reports that this VM acquired the authority.
 	AcquiredCmd = lessor.AcquiredCmd
-	// SteppedDownCmd reports that it no longer holds it.
+	// SteppedDownCmd reports that this VM no longer holds the authority.
 	SteppedDownCmd = lessor.SteppedDownCmd
 	// LeftCmd answers LeaveMsg.
 	LeftCmd = lessor.LeftCmd
 )
 
-// NewLessor makes the seat of cfg. It does nothing until its first message.
+// NewLessor returns a lessor. It does nothing until its first message.
 func NewLessor(cfg LessorConfig) Lessor { return lessor.New(cfg) }
 
-// DefaultTimes are the periods that docs/design/ownership.md gives grounds for:
-// a lease of 700 ms, so that a key is served again within a second of a loss.
+// DefaultTimes returns the default durations, which docs/design/ownership.md derives.
+// The lease is 700 ms, so that a key is served again within one second after its owner
+// was lost.
 func DefaultTimes() LeaseTimes { return lease.Default() }
 
-// NewTable divides a service's key space into n slices over its servers.
+// NewTable returns the table of a service with n slices and the given servers. No slice
+// has an owner yet.
 func NewTable(svc Service, n uint32, servers ...Server) (Table, error) {
 	return table.New(svc, n, servers...)
 }
 
-// NewView prepares a table for lookups.
+// NewView returns an index of t for lookups.
 func NewView(t Table) *View { return table.NewView(t) }
--- a/platform.go
+++ b/platform.go
@@ -6,23 +6,23 @@
 	"hawthornfield.org/hawthornfield/internal/plat/vmlist"
 )
 
-// What the surroundings must offer. Each is one narrow interface, so that
-// another platform needs another adapter and nothing else.
+// The interfaces to the platform and the backend servers. Each is narrow, so that
+// another platform needs only another adapter.
 type (
-	// Store is the object API: versions, conditional updates, watches.
+	// Store is the platform's object API with versions, conditional updates and watches.
 	Store = object.Store
-	// Object is one named value in it.
+	// Object is one named value in a Store.
 	Object = object.Object
 	// Version counts the updates of one object.
 	Version = object.Version
-	// Control gives orders to backend servers.
+	// Control sends orders to backend servers.
 	Control = server.Control
-	// Order is what a holder of authority sends.
+	// Order grants or revokes leases. The holder of a server's authority sends it.
 	Order = server.Order
-	// Reply is a backend server's answer.
+	// Reply is a backend server's answer to an order.
 	Reply = server.Reply
 	// Mark is a reading of a backend server's own clock.
 	Mark = server.Mark
-	// VMLister reads the platform's lagging list of VMs.
+	// VMLister reads the platform's list of VMs, which lags behind reality.
 	VMLister = vmlist.Lister
 )
