--- a/examples/ownership/main.go
+++ b/examples/ownership/main.go
@@ -1,7 +1,8 @@
-// Command ownership embeds ownership alone: two seats over two backend servers,
-// a store and servers that live in this process. It takes both seats, watches
-// the servers get their leases, and moves one slice from the first server to
-// the second. The second gets it only after the first has let go.
+// Command ownership embeds the ownership of keys without the rest of the router: one
+// lessor for each of two backend servers. The store and the servers are simulated in
+// this process. The lessors acquire their authorities and grant leases to the servers,
+// then one slice moves from the first server to the second. The second server gets the
+// slice only after the first has given it up.
 package main
 
 import (
@@ -14,104 +15,105 @@
 )
 
 const (
-	slices = 8
-	moved  = hawthornfield.Slice(3)
+	sliceCount = 8
+	movedSlice = hawthornfield.Slice(3)
 )
 
 func main() {
-	w, err := newWorld("scale-a", "scale-b")
+	w, err := newEnvironment("scale-a", "scale-b")
 	if err != nil {
 		fmt.Println(err)
 		return
 	}
 	for name := range w.servers {
-		w.seats[name] = hawthornfield.NewLoop(hawthornfield.NewLessor(hawthornfield.LessorConfig{
+		w.loops[name] = hawthornfield.NewLoop(hawthornfield.NewLessor(hawthornfield.LessorConfig{
 			Self: "vm-1", Service: "scales", Server: name, FenceChecks: true,
-		}), &runner{world: w, server: name})
+		}), &runner{environment: w, server: name})
 	}
-	for _, seat := range w.seats {
-		defer seat.Close()
-		seat.Send(hawthornfield.RoleMsg{Lead: true})
+	for _, loop := range w.loops {
+		defer loop.Close()
+		loop.Send(hawthornfield.RoleMsg{Lead: true})
 	}
-	w.waitFor("scale-a", moved)
-	fmt.Println("slice", moved, "is served by scale-a")
-	w.seats["scale-a"].Send(hawthornfield.MoveMsg{Moves: []hawthornfield.Move{{Slice: moved, To: "scale-b"}}})
+	w.waitServed("scale-a", movedSlice)
+	fmt.Println("slice", movedSlice, "is served by scale-a")
+	w.loops["scale-a"].Send(hawthornfield.MoveMsg{Moves: []hawthornfield.Move{{Slice: movedSlice, To: "scale-b"}}})
 	report := w.waitMoved()
 	fmt.Println("moved under epoch", report.Epoch, "at revision", report.Rev)
-	w.waitFor("scale-b", moved)
-	fmt.Println("slice", moved, "is served by scale-b")
+	w.waitServed("scale-b", movedSlice)
+	fmt.Println("slice", movedSlice, "is served by scale-b")
 }
 
-// world is everything around the seats. An embedder has a real store and real
-// servers behind the same few answers.
-type world struct {
-	mu      sync.Mutex
-	table   hawthornfield.Table
-	version hawthornfield.Version
-	servers map[hawthornfield.Server]*backend
-	seats   map[hawthornfield.Server]*hawthornfield.Loop
-	report  *hawthornfield.MovedCmd
-	changed *sync.Cond
+// environment simulates the store and the backend servers. An embedder connects real
+// ones, which give the same answers.
+type environment struct {
+	mu         sync.Mutex
+	table      hawthornfield.Table
+	version    hawthornfield.Version
+	servers    map[hawthornfield.Server]*backend
+	loops      map[hawthornfield.Server]*hawthornfield.Loop
+	moveReport *hawthornfield.MovedCmd
+	changed    *sync.Cond
 }
 
-// backend is a server that checks fences and keeps its lease on its own clock.
+// backend is a backend server that checks fences and measures its lease on its own
+// clock.
 type backend struct {
-	start time.Time
-	fence hawthornfield.Fence
-	rev   hawthornfield.Revision
-	until time.Time
-	set   map[hawthornfield.Slice]bool
+	start    time.Time
+	fence    hawthornfield.Fence
+	rev      hawthornfield.Revision
+	leaseEnd time.Time
+	owned    map[hawthornfield.Slice]bool
 }
 
-func newWorld(names ...hawthornfield.Server) (*world, error) {
-	t, err := hawthornfield.NewTable("scales", slices, names...)
+func newEnvironment(names ...hawthornfield.Server) (*environment, error) {
+	t, err := hawthornfield.NewTable("scales", sliceCount, names...)
 	if err != nil {
 		return nil, err
 	}
-	w := &world{
+	w := &environment{
 		table: t, version: 1,
 		servers: map[hawthornfield.Server]*backend{},
-		seats:   map[hawthornfield.Server]*hawthornfield.Loop{},
+		loops:   map[hawthornfield.Server]*hawthornfield.Loop{},
 	}
 	w.changed = sync.NewCond(&w.mu)
 	for _, name := range names {
 		w.servers[name] = &backend{start: time.Now()}
 	}
-	all := make([]hawthornfield.Move, 0, slices)
-	for x := range hawthornfield.Slice(slices) {
+	all := make([]hawthornfield.Move, 0, sliceCount)
+	for x := range hawthornfield.Slice(sliceCount) {
 		all = append(all, hawthornfield.Move{Slice: x, To: names[0]})
 	}
 	w.table, err = t.WithAssigned(all...)
 	return w, err
 }
 
-func (w *world) waitFor(name hawthornfield.Server, x hawthornfield.Slice) {
+func (w *environment) waitServed(name hawthornfield.Server, x hawthornfield.Slice) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	for !w.servers[name].set[x] || !time.Now().Before(w.servers[name].until) {
+	for !w.servers[name].owned[x] || !time.Now().Before(w.servers[name].leaseEnd) {
 		w.changed.Wait()
 	}
 }
 
-// waitMoved waits for the report of the move. Each seat's loop works on its own,
-// so the next owner may be granted the slice before or after the report comes.
-func (w *world) waitMoved() hawthornfield.MovedCmd {
+// waitMoved waits for the report of the move. The lessors' loops run concurrently, so
+// the next owner may be granted the slice before or after the report arrives.
+func (w *environment) waitMoved() hawthornfield.MovedCmd {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	for w.report == nil {
+	for w.moveReport == nil {
 		w.changed.Wait()
 	}
-	return *w.report
+	return *w.moveReport
 }
 
-// runner carries out the commands of one seat.
+// runner executes the commands of one lessor.
 type runner struct {
-	*world
+	*environment
 	server hawthornfield.Server
 	record hawthornfield.RecordMsg
 }
 
-// Run does what cmd says and sends the answer.
+// Run executes cmd and sends the answer.
 func (r *runner) Run(_ context.Context, cmd hawthornfield.Cmd, send func(hawthornfield.Msg)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -128,11 +130,11 @@
 	case hawthornfield.PutTableCmd:
 		send(r.putTable(c))
 	case hawthornfield.OrderCmd:
-		send(hawthornfield.ReplyMsg{Order: c, Reply: r.servers[r.server].obey(c)})
+		send(hawthornfield.ReplyMsg{Order: c, Reply: r.servers[r.server].handleOrder(c)})
 	case hawthornfield.ReadServerCmd:
 		send(hawthornfield.ReplyMsg{Read: c, Reply: r.servers[r.server].reply()})
 	case hawthornfield.MovedCmd:
-		r.report = &c
+		r.moveReport = &c
 	}
 }
 
@@ -144,19 +146,19 @@
 	return hawthornfield.RecordPutMsg{Cmd: c, Version: r.record.Version}
 }
 
-func (w *world) putTable(c hawthornfield.PutTableCmd) hawthornfield.TablePutMsg {
+func (w *environment) putTable(c hawthornfield.PutTableCmd) hawthornfield.TablePutMsg {
 	if c.Old != w.version || !c.Valid(time.Now()) {
 		return hawthornfield.TablePutMsg{Cmd: c, Kind: hawthornfield.KindOf(hawthornfield.ErrConflict)}
 	}
 	w.version++
 	w.table = c.Table
-	for _, seat := range w.seats {
-		seat.Send(hawthornfield.TableMsg{Table: w.table, Version: w.version})
+	for _, loop := range w.loops {
+		loop.Send(hawthornfield.TableMsg{Table: w.table, Version: w.version})
 	}
 	return hawthornfield.TablePutMsg{Cmd: c, Version: w.version}
 }
 
-func (b *backend) obey(c hawthornfield.OrderCmd) hawthornfield.Reply {
+func (b *backend) handleOrder(c hawthornfield.OrderCmd) hawthornfield.Reply {
 	if c.Order.Fence.Less(b.fence) {
 		r := b.reply()
 		r.Reason = "fence"
@@ -171,7 +173,7 @@
 
 func (b *backend) reply() hawthornfield.Reply {
 	return hawthornfield.Reply{
-		Fence: b.fence, Rev: b.rev, Left: time.Until(b.until),
+		Fence: b.fence, Rev: b.rev, Left: time.Until(b.leaseEnd),
 		Mark: hawthornfield.Mark{Boot: 1, At: time.Since(b.start)},
 	}
 }
@@ -179,12 +181,12 @@
 func (b *backend) apply(c hawthornfield.OrderCmd) {
 	if c.Order.Full {
 		b.rev = c.Order.Rev
-		b.set = map[hawthornfield.Slice]bool{}
+		b.owned = map[hawthornfield.Slice]bool{}
 		for _, x := range c.Order.Slices {
-			b.set[x] = true
+			b.owned[x] = true
 		}
 	}
 	if !c.Revoke {
-		b.until = b.start.Add(c.Order.Mark.At + c.Order.TTL)
+		b.leaseEnd = b.start.Add(c.Order.Mark.At + c.Order.TTL)
 	}
 }
