--- a/cmd/standin/main.go
+++ b/cmd/standin/main.go
@@ -1,12 +1,12 @@
-// Command standin plays the surroundings of the router on this machine, so that
-// `hawthorn serve` can be tried as separate processes: the platform's object API
-// and VM list, and every backend server that the settings files name.
+// Command standin simulates the environment of the router on this machine, so that
+// `hawthorn serve` can be tried as separate processes: the platform's object API and VM
+// list, and every backend server that the settings files name.
 //
 //	standin vm-1.toml vm-2.toml
 //
-// It holds everything in memory and ends on SIGINT or SIGTERM. SIGUSR1 begins an
-// outage of the platform's store, and ends it the next time. It is no part of the
-// product.
+// It keeps everything in memory and exits on SIGINT or SIGTERM. The first SIGUSR1 starts
+// an outage of the platform's store, the next one ends it. The command is not part of
+// the product.
 package main
 
 import (
@@ -38,8 +38,8 @@
 )
 
 type options struct {
-	Work time.Duration `long:"work" default:"5ms" description:"how long a backend server works on a request"`
-	Args struct {
+	WorkTime time.Duration `long:"work" default:"5ms" description:"how long a backend server works on a request"`
+	Args     struct {
 		Files []string `positional-arg-name:"SETTINGS" required:"1" description:"settings files of the entry VMs"`
 	} `positional-args:"yes"`
 }
@@ -57,41 +57,42 @@
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	defer stop()
-	if err := play(ctx, o); err != nil {
+	if err := serveAll(ctx, o); err != nil {
 		fmt.Fprintln(os.Stderr, "standin:", err)
 		return exitFault
 	}
 	return exitOK
 }
 
-// stage is everything that is played.
-type stage struct {
-	group   group.Group
-	work    time.Duration
-	api     *objapi.API
-	opened  map[netip.AddrPort]bool
-	origins []*origin.Origin
+// environment holds the simulated platform and backend servers.
+type environment struct {
+	group    group.Group
+	workTime time.Duration
+	api      *objapi.API
+	opened   map[netip.AddrPort]bool
+	origins  []*origin.Origin
 }
 
-func play(ctx context.Context, o options) error {
-	s := &stage{work: o.Work, api: objapi.New(), opened: map[netip.AddrPort]bool{}}
+func serveAll(ctx context.Context, o options) error {
+	s := &environment{workTime: o.WorkTime, api: objapi.New(), opened: map[netip.AddrPort]bool{}}
 	defer s.close()
 	for _, file := range o.Args.Files {
 		cfg, err := config.Load(file)
 		if err != nil {
 			return err
 		}
-		if err := s.add(cfg); err != nil {
+		if err := s.addSettings(cfg); err != nil {
 			return err
 		}
 	}
 	fmt.Printf("standin: platform and %d backend servers are up\n", len(s.origins))
-	s.outages(ctx)
+	s.toggleOutages(ctx)
 	return nil
 }
 
-// outages begins and ends outages of the store until ctx is done.
-func (s *stage) outages(ctx context.Context) {
+// toggleOutages starts or ends an outage of the store on each SIGUSR1, until ctx is
+// done.
+func (s *environment) toggleOutages(ctx context.Context) {
 	toggle := make(chan os.Signal, 1)
 	signal.Notify(toggle, syscall.SIGUSR1)
 	defer signal.Stop(toggle)
@@ -107,7 +108,7 @@
 	}
 }
 
-func (s *stage) close() {
+func (s *environment) close() {
 	for _, o := range s.origins {
 		if err := o.Close(); err != nil {
 			fmt.Fprintln(os.Stderr, "standin:", err)
@@ -118,17 +119,17 @@
 	}
 }
 
-func (s *stage) add(cfg config.Config) error {
+func (s *environment) addSettings(cfg config.Config) error {
 	s.api.SetVM(vmlist.VM{ID: cfg.VM, Addr: cfg.Listen.Peers, Centre: cfg.Centre, State: vmlist.Live})
-	if err := s.platform(cfg.Platform.Objects); err != nil {
+	if err := s.servePlatform(cfg.Platform.Objects); err != nil {
 		return err
 	}
-	if err := s.platform(cfg.Platform.VMs); err != nil {
+	if err := s.servePlatform(cfg.Platform.VMs); err != nil {
 		return err
 	}
 	for _, svc := range cfg.Services {
 		for _, srv := range svc.Servers {
-			if err := s.server(svc, srv); err != nil {
+			if err := s.startServer(svc, srv); err != nil {
 				return err
 			}
 		}
@@ -136,8 +137,8 @@
 	return nil
 }
 
-func (s *stage) platform(at netip.AddrPort) error {
-	l, err := s.listen(at)
+func (s *environment) servePlatform(addr netip.AddrPort) error {
+	l, err := s.listen(addr)
 	if l == nil {
 		return err
 	}
@@ -145,7 +146,7 @@
 	return nil
 }
 
-func (s *stage) serve(l net.Listener, h http.Handler) {
+func (s *environment) serve(l net.Listener, h http.Handler) {
 	server := &http.Server{Handler: h, ReadHeaderTimeout: time.Second}
 	s.group.Go(func(ctx context.Context) error {
 		defer context.AfterFunc(ctx, func() { _ = server.Close() })()
@@ -156,7 +157,7 @@
 	})
 }
 
-func (s *stage) server(svc config.Service, srv config.Server) error {
+func (s *environment) startServer(svc config.Service, srv config.Server) error {
 	l, err := s.listen(srv.Data)
 	if l == nil {
 		return err
@@ -164,7 +165,7 @@
 	o := origin.New(origin.Config{
 		Service: svc.Name, Server: srv.Name, Centre: srv.Centre,
 		Keyed: svc.Divided, Slices: svc.Slices, FenceChecks: svc.FenceChecks,
-		Slots: srv.Slots, Queue: srv.Slots, Conns: srv.Conns, Work: s.work,
+		Slots: srv.Slots, Queue: srv.Slots, Conns: srv.Conns, Work: s.workTime,
 	})
 	s.origins = append(s.origins, o)
 	o.Serve(l)
@@ -176,12 +177,12 @@
 	return nil
 }
 
-// listen opens an address once; several files name the same surroundings. It
-// returns nil for one that is open already.
-func (s *stage) listen(at netip.AddrPort) (net.Listener, error) {
-	if !at.IsValid() || s.opened[at] {
+// listen opens a listener on addr. It returns nil for an address that is invalid or
+// already open, because several settings files name the same platform and servers.
+func (s *environment) listen(addr netip.AddrPort) (net.Listener, error) {
+	if !addr.IsValid() || s.opened[addr] {
 		return nil, nil
 	}
-	s.opened[at] = true
-	return net.ListenTCP("tcp", net.TCPAddrFromAddrPort(at))
+	s.opened[addr] = true
+	return net.ListenTCP("tcp", net.TCPAddrFromAddrPort(addr))
 }
