--- a/cmd/hawthorn/main.go
+++ b/cmd/hawthorn/main.go
@@ -16,5 +16,5 @@
 func run() int {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	defer stop()
-	return cmds.Main(ctx, os.Args[1:], os.Stdout, os.Stderr, cmds.WithRelease(stop))
+	return cmds.Main(ctx, os.Args[1:], os.Stdout, os.Stderr, cmds.WithSignalRestore(stop))
 }
--- a/internal/admin/cmds/app.go
+++ b/internal/admin/cmds/app.go
@@ -1,9 +1,8 @@
-// Package cmds is the program's command line: one file for each command, one
-// place for exit codes, help and errors.
+// Package cmds implements the program's command line. Each command has a file of its
+// own; app.go holds the exit codes, the overview and the handling of errors.
 //
-// Commands talk to the platform's object API, not to an entry VM, so an
-// operator can list and edit rules and read reports while every VM is being
-// replaced.
+// The operator's commands connect to the platform's object API and not to an entry VM.
+// So rules can be edited and reports read even while all entry VMs are being replaced.
 package cmds
 
 import (
@@ -29,30 +28,30 @@
 
 // Exit codes of the program.
 const (
-	ExitOK       = 0 // done
-	ExitFault    = 1 // the program could not do it
-	ExitUsage    = 2 // the command line is wrong
-	ExitInvalid  = 3 // settings or rules are wrong; nothing was started or changed
-	ExitConflict = 4 // another operator's edit came first; nothing was changed
-	ExitDown     = 5 // the platform cannot be reached, or did not say what it did
-	ExitBroken   = 6 // the demonstration or the comparison found something broken
-	ExitPending  = 7 // the rules are written, and were not seen to be accepted
+	ExitOK          = 0 // done
+	ExitFault       = 1 // the command failed for a reason that has no code of its own
+	ExitUsage       = 2 // the command line is wrong
+	ExitInvalid     = 3 // settings or rules are wrong; nothing was started or changed
+	ExitConflict    = 4 // another operator's edit came first; nothing was changed
+	ExitUnavailable = 5 // the platform did not answer, or the result of a change is unknown
+	ExitCheckFailed = 6 // a check of the demonstration failed, or a benchmark figure got worse
+	ExitPending     = 7 // the rules were written but not accepted within the wait
 )
 
-// exits maps error kinds to exit codes; all others are ExitFault.
-var exits = map[kinds.Kind]int{
+// exitCodes maps error kinds to exit codes. Kinds that are not listed map to ExitFault.
+var exitCodes = map[kinds.Kind]int{
 	kinds.None:         ExitOK,
 	kinds.BadRequest:   ExitUsage,
 	kinds.Malformed:    ExitInvalid,
 	kinds.TooLarge:     ExitInvalid,
 	kinds.NewerVersion: ExitInvalid,
 	kinds.Conflict:     ExitConflict,
-	kinds.Unavailable:  ExitDown,
-	kinds.Ambiguous:    ExitDown,
+	kinds.Unavailable:  ExitUnavailable,
+	kinds.Ambiguous:    ExitUnavailable,
 }
 
-// errBroken makes the program exit with ExitBroken.
-var errBroken = errors.New("not everything held")
+// errCheckFailed makes the program exit with ExitCheckFailed.
+var errCheckFailed = errors.New("at least one check failed")
 
 // errPending makes the program exit with ExitPending.
 var errPending = errors.New("not accepted yet")
@@ -68,26 +67,26 @@
 4 conflict with another edit, 5 platform not reachable, 6 a promise was broken,
 7 rules written and not accepted yet.`
 
-// app is what every command shares.
+// app holds what all commands share.
 type app struct {
-	ctx     context.Context
-	release func() // gives signals their usual effect back
-	out     io.Writer
-	err     io.Writer
+	ctx            context.Context
+	restoreSignals func() // see WithSignalRestore; may be nil
+	out            io.Writer
+	errOut         io.Writer
 }
 
 // Option changes how Main works.
 type Option func(*app)
 
-// WithRelease gives a function that gives signals their usual effect back, so
-// that a second one ends a shutdown that takes too long.
-func WithRelease(f func()) Option { return func(a *app) { a.release = f } }
+// WithSignalRestore sets a function that restores the default handling of signals. It is
+// called when a shutdown begins, so that a second signal ends the process at once.
+func WithSignalRestore(f func()) Option { return func(a *app) { a.restoreSignals = f } }
 
 // Main runs the command line and returns the exit code.
 //
 //	os.Exit(cmds.Main(ctx, os.Args[1:], os.Stdout, os.Stderr))
 func Main(ctx context.Context, args []string, out, errs io.Writer, opts ...Option) int {
-	a := &app{ctx: ctx, out: out, err: errs}
+	a := &app{ctx: ctx, out: out, errOut: errs}
 	for _, opt := range opts {
 		opt(a)
 	}
@@ -102,22 +101,22 @@
 	case errors.As(err, &shown):
 		fmt.Fprintf(errs, "hawthorn: %s\nTry: hawthorn --help\n", strings.TrimRight(shown.Message, "\n"))
 		return ExitUsage
-	case errors.Is(err, errBroken):
+	case errors.Is(err, errCheckFailed):
 		fmt.Fprintf(errs, "hawthorn: %v\n", err)
-		return ExitBroken
+		return ExitCheckFailed
 	case errors.Is(err, errPending):
 		fmt.Fprintf(errs, "hawthorn: %v\n", err)
 		return ExitPending
 	}
-	fmt.Fprintf(errs, "hawthorn: %s\n", explain(err))
-	if code, ok := exits[kinds.Of(err)]; ok {
+	fmt.Fprintf(errs, "hawthorn: %s\n", withAdvice(err))
+	if code, ok := exitCodes[kinds.Of(err)]; ok {
 		return code
 	}
 	return ExitFault
 }
 
-// explain adds what the operator can do about it.
-func explain(err error) string {
+// withAdvice returns the error's text with a hint for the operator.
+func withAdvice(err error) string {
 	switch kinds.Of(err) {
 	case kinds.Unavailable:
 		return err.Error() + "\nThe platform's object API did not answer. Nothing was changed; try again."
@@ -135,7 +134,7 @@
 	p.SubcommandsOptional = false
 	add := func(c *flags.Command, err error) *flags.Command {
 		if err != nil {
-			panic(err) // a fault of the program's own tags
+			panic(err) // a struct tag in this package is invalid
 		}
 		return c
 	}
@@ -144,9 +143,9 @@
 	add(p.AddCommand("certs", "make keys and certificates for entry VMs", certsHelp, &certsCmd{app: a}))
 	rules := add(p.AddCommand("rules", "list, edit and retire rules", rulesHelp, &struct{}{}))
 	add(rules.AddCommand("list", "show the rules in force, in their order", listHelp, &listCmd{app: a}))
-	add(rules.AddCommand("put", "add or replace rules", putHelp, &putCmd{edit: edit{app: a}}))
-	add(rules.AddCommand("move", "change the order", moveHelp, &moveCmd{edit: edit{app: a}}))
-	add(rules.AddCommand("retire", "take a rule out of force", retireHelp, &retireCmd{edit: edit{app: a}}))
+	add(rules.AddCommand("put", "add or replace rules", putHelp, &putCmd{editFlags: editFlags{app: a}}))
+	add(rules.AddCommand("move", "change the order", moveHelp, &moveCmd{editFlags: editFlags{app: a}}))
+	add(rules.AddCommand("retire", "take a rule out of force", retireHelp, &retireCmd{editFlags: editFlags{app: a}}))
 	add(rules.AddCommand("history", "show who changed the rules and when", historyHelp, &historyCmd{app: a}))
 	add(p.AddCommand("report", "who received what, when, why, under whose rule", reportHelp, &reportCmd{app: a}))
 	add(p.AddCommand("owners", "which server owns what now", ownersHelp, &ownersCmd{app: a}))
@@ -158,8 +157,9 @@
 	return p
 }
 
-// target names the platform. Commands embed it.
-type target struct {
+// platformFlags are the flags for the address of the platform. Commands that use its
+// object API embed them.
+type platformFlags struct {
 	Settings string        `short:"c" long:"settings" value-name:"FILE" description:"take the platform's address and the services from this settings file"`
 	Objects  string        `long:"objects" value-name:"IP:PORT" env:"HAWTHORN_OBJECTS" description:"the platform's object API"`
 	Timeout  time.Duration `long:"timeout" default:"10s" description:"longest wait for the platform"`
@@ -173,23 +173,23 @@
 	cfg   *config.Config // nil without a settings file
 }
 
-// open reads the settings, if a file was named, and finds the object API. Close
-// the session when done.
-func (t *target) open(ctx context.Context) (*session, error) {
+// open loads the settings file, if one is given, and returns a session with the object
+// API. The caller must close the session.
+func (t *platformFlags) open(ctx context.Context) (*session, error) {
 	s := &session{}
-	at := t.Objects
+	address := t.Objects
 	if t.Settings != "" {
 		cfg, err := config.Load(t.Settings)
 		if err != nil {
 			return nil, err
 		}
 		s.cfg = &cfg
-		at = cmp.Or(at, cfg.Platform.Objects.String())
+		address = cmp.Or(address, cfg.Platform.Objects.String())
 	}
-	if at == "" {
+	if address == "" {
 		return nil, kinds.New(kinds.BadRequest, "say where the platform is: -c FILE, --objects IP:PORT or HAWTHORN_OBJECTS")
 	}
-	addr, err := netip.ParseAddrPort(at)
+	addr, err := netip.ParseAddrPort(address)
 	if err != nil {
 		return nil, kinds.Wrap(kinds.BadRequest, err, "address of the object API")
 	}
@@ -198,9 +198,9 @@
 	return s, nil
 }
 
-// known lists the services of the settings for the check of rules; nil without
-// a settings file.
-func known(cfg *config.Config) map[ident.Service]match.Service {
+// knownServices returns the services of the settings, against which rules are checked.
+// It returns nil for a nil cfg, which skips that check.
+func knownServices(cfg *config.Config) map[ident.Service]match.Service {
 	if cfg == nil {
 		return nil
 	}
@@ -211,20 +211,20 @@
 	return all
 }
 
-func noMore(args []string) error {
+func rejectExtraArgs(args []string) error {
 	if len(args) > 0 {
 		return kinds.New(kinds.BadRequest, "too many arguments: "+strings.Join(args, " "))
 	}
 	return nil
 }
 
-func readFile(path string, most int64) ([]byte, error) {
+func readFile(path string, maxSize int64) ([]byte, error) {
 	info, err := os.Stat(path)
 	if err != nil {
 		return nil, kinds.Wrap(kinds.NotFound, err, "read")
 	}
-	if info.Size() > most {
-		return nil, kinds.New(kinds.TooLarge, path+" is larger than any such file")
+	if info.Size() > maxSize {
+		return nil, kinds.New(kinds.TooLarge, path+" is too large for a settings or rules file")
 	}
 	b, err := os.ReadFile(path)
 	return b, kinds.Wrap(kinds.NotFound, err, "read")
--- a/internal/admin/cmds/bench.go
+++ b/internal/admin/cmds/bench.go
@@ -25,9 +25,9 @@
 	List  bool     `long:"list" description:"name the experiments and end"`
 }
 
-// Execute measures and writes.
+// Execute runs the experiments and writes the report.
 func (c *benchCmd) Execute(args []string) error {
-	if err := noMore(args); err != nil {
+	if err := rejectExtraArgs(args); err != nil {
 		return err
 	}
 	all := bench.All()
@@ -47,7 +47,7 @@
 	if len(c.Only) > 0 {
 		all = slices.DeleteFunc(all, func(e bench.Experiment) bool { return !slices.Contains(c.Only, e.Name) })
 	}
-	r := bench.Run(c.app.ctx, all, bench.Options{Quick: c.Quick, Log: c.app.err})
+	r := bench.Run(c.app.ctx, all, bench.Options{Quick: c.Quick, Log: c.app.errOut})
 	if err := bench.Write(c.Out, r); err != nil {
 		return err
 	}
@@ -67,9 +67,9 @@
 	} `positional-args:"yes"`
 }
 
-// Execute compares.
+// Execute compares two files of raw results and prints the figures that got worse.
 func (c *compareCmd) Execute(args []string) error {
-	if err := noMore(args); err != nil {
+	if err := rejectExtraArgs(args); err != nil {
 		return err
 	}
 	before, err := bench.Read(c.Args.Old)
@@ -86,7 +86,7 @@
 	}
 	fmt.Fprintf(c.app.out, "%d of %d figures got worse by more than %.0f%%\n", len(worse), n, 100*c.By)
 	if len(worse) > 0 {
-		return errBroken
+		return errCheckFailed
 	}
 	return nil
 }
--- a/internal/admin/cmds/certs.go
+++ b/internal/admin/cmds/certs.go
@@ -22,7 +22,7 @@
 The authority's own key is thrown away: to add a VM later, make a new set and
 load it on all VMs, which needs no restart.`
 
-// Modes of the files: a key is its VM's alone.
+// Modes of the created files. Only the owner may read a key.
 const (
 	dirMode  = 0o700
 	keyMode  = 0o600
@@ -38,14 +38,16 @@
 	} `positional-args:"yes"`
 }
 
-type certsFor struct {
+// certRequest is one VM that needs a certificate for its address.
+type certRequest struct {
 	vm   ident.VM
 	addr netip.Addr
 }
 
-// Execute makes the set. Nothing is written before every argument is understood.
+// Execute creates the authority and the certificates. It parses all arguments before it
+// writes any file.
 func (c *certsCmd) Execute(rest []string) error {
-	if err := noMore(rest); err != nil {
+	if err := rejectExtraArgs(rest); err != nil {
 		return err
 	}
 	if c.Days < 1 {
@@ -71,20 +73,20 @@
 	return nil
 }
 
-func parseVMs(args []string) ([]certsFor, error) {
-	list := make([]certsFor, 0, len(args))
+func parseVMs(args []string) ([]certRequest, error) {
+	list := make([]certRequest, 0, len(args))
 	for _, arg := range args {
-		name, at, ok := strings.Cut(arg, "=")
-		addr, err := netip.ParseAddr(at)
+		name, address, ok := strings.Cut(arg, "=")
+		addr, err := netip.ParseAddr(address)
 		if !ok || name == "" || err != nil || name != filepath.Base(name) || name == "." || name == ".." {
 			return nil, kinds.New(kinds.BadRequest, arg+" is not VM=IP")
 		}
-		list = append(list, certsFor{vm: ident.VM(name), addr: addr})
+		list = append(list, certRequest{vm: ident.VM(name), addr: addr})
 	}
 	return list, nil
 }
 
-func (c *certsCmd) issue(a *certs.Authority, f certsFor) error {
+func (c *certsCmd) issue(a *certs.Authority, f certRequest) error {
 	pem, err := a.Issue(f.vm, f.addr)
 	if err != nil {
 		return err
--- a/internal/admin/cmds/certs_test.go
+++ b/internal/admin/cmds/certs_test.go
@@ -12,7 +12,7 @@
 	"hawthornfield.org/hawthornfield/internal/peer/certs"
 )
 
-func TestCertsMakesASetThatPeersAccept(t *testing.T) {
+func TestCertsMakesCertificatesThatPeersAccept(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "out")
 	var out, errs bytes.Buffer
 	code := Main(t.Context(), []string{"certs", dir, "vm-1=127.0.0.1", "vm-2=127.0.0.1"}, &out, &errs)
@@ -33,8 +33,8 @@
 	assert.Equal(t, info.Mode().Perm(), os.FileMode(keyMode))
 }
 
-// An operator types a name that would climb out of the folder, or forgets the
-// address of the last VM. Nothing may be written, not even for the VMs before.
+// Guards against partial output and against files outside of the folder when an argument
+// is invalid, such as a name with ".." or a missing address.
 func TestCertsWritesNothingWhenAnArgumentIsWrong(t *testing.T) {
 	for _, bad := range []string{"vm-2", "vm-2=", "=127.0.0.1", "../vm=127.0.0.1", "..=127.0.0.1"} {
 		t.Run(bad, func(t *testing.T) {
--- a/internal/admin/cmds/check.go
+++ b/internal/admin/cmds/check.go
@@ -24,9 +24,9 @@
 	} `positional-args:"yes"`
 }
 
-// Execute checks the file.
+// Execute checks the file and prints its faults.
 func (c *checkCmd) Execute(args []string) error {
-	if err := noMore(args); err != nil {
+	if err := rejectExtraArgs(args); err != nil {
 		return err
 	}
 	src, err := readFile(c.Args.File, config.MaxFile)
@@ -34,13 +34,14 @@
 		return err
 	}
 	if isRules(src) {
-		return c.rules(src)
+		return c.checkRules(src)
 	}
-	return c.settings(src)
+	return c.checkSettings(src)
 }
 
-// isRules tells the two kinds of files apart by their top-level names. A file
-// that is no TOML counts as settings, whose check then names the line.
+// isRules reports whether src is a rules file and not a settings file, by its top-level
+// names. A file that is no valid TOML counts as rules if it begins with [[rule]], and
+// otherwise as settings; the check then names the faulty line.
 func isRules(src []byte) bool {
 	var top map[string]any
 	if toml.Unmarshal(src, &top) != nil {
@@ -50,10 +51,10 @@
 	return ok
 }
 
-func (c *checkCmd) settings(src []byte) error {
+func (c *checkCmd) checkSettings(src []byte) error {
 	cfg, err := config.Parse(src)
 	if err != nil {
-		return c.fail(err)
+		return c.reportFaults(err)
 	}
 	servers := 0
 	for _, s := range cfg.Services {
@@ -66,15 +67,15 @@
 	}
 	file, err := match.Parse([]byte(cfg.Rules.Text))
 	if err == nil {
-		_, err = file.Compile(match.WithServices(known(&cfg)))
+		_, err = file.Compile(match.WithServices(knownServices(&cfg)))
 	}
-	return c.fail(err)
+	return c.reportFaults(err)
 }
 
-func (c *checkCmd) rules(src []byte) error {
+func (c *checkCmd) checkRules(src []byte) error {
 	file, err := match.Parse(src)
 	if err != nil {
-		return c.fail(err)
+		return c.reportFaults(err)
 	}
 	var opts []match.Option
 	if c.Settings != "" {
@@ -82,17 +83,18 @@
 		if err != nil {
 			return err
 		}
-		opts = append(opts, match.WithServices(known(&cfg)))
+		opts = append(opts, match.WithServices(knownServices(&cfg)))
 	}
 	if _, err := file.Compile(opts...); err != nil {
-		return c.fail(err)
+		return c.reportFaults(err)
 	}
 	fmt.Fprintf(c.app.out, "%s: %d rules are fine\n", c.Args.File, len(file.Rules))
 	return nil
 }
 
-// fail renders one fault a line, each behind the file's name.
-func (c *checkCmd) fail(err error) error {
+// reportFaults prints one fault per line, each after the file's name, and returns an
+// error with their number. It returns nil for a nil error.
+func (c *checkCmd) reportFaults(err error) error {
 	if err == nil {
 		return nil
 	}
@@ -112,7 +114,7 @@
 		lines = append(lines, err.Error())
 	}
 	for _, l := range lines {
-		fmt.Fprintf(c.app.err, "%s: %s\n", c.Args.File, l)
+		fmt.Fprintf(c.app.errOut, "%s: %s\n", c.Args.File, l)
 	}
 	return kinds.New(kinds.Malformed, fmt.Sprintf("%d faults in %s", len(lines), c.Args.File))
 }
--- a/internal/admin/cmds/demo.go
+++ b/internal/admin/cmds/demo.go
@@ -21,22 +21,22 @@
 	Log    bool          `long:"log" description:"the entry VMs' log lines on standard error"`
 }
 
-// Execute plays the demonstration.
+// Execute runs the demonstration.
 func (c *demoCmd) Execute(args []string) error {
-	if err := noMore(args); err != nil {
+	if err := rejectExtraArgs(args); err != nil {
 		return err
 	}
 	o := demo.Options{Length: c.Length}
 	if c.Log {
-		o.Log = slog.New(slog.NewJSONHandler(c.app.err, nil))
+		o.Log = slog.New(slog.NewJSONHandler(c.app.errOut, nil))
 	}
 	start := time.Now()
-	held, err := demo.Run(c.app.ctx, c.app.out, o)
+	passed, err := demo.Run(c.app.ctx, c.app.out, o)
 	if err != nil {
 		return err
 	}
-	if !held {
-		return errBroken
+	if !passed {
+		return errCheckFailed
 	}
 	fmt.Fprintf(c.app.out, "every promise was checked and held, in %v\n", time.Since(start).Round(100*time.Millisecond))
 	return nil
--- a/internal/admin/cmds/explain.go
+++ b/internal/admin/cmds/explain.go
@@ -27,12 +27,12 @@
 	} `positional-args:"yes"`
 }
 
-// Execute reads the logs and prints the story.
+// Execute reads the logs and prints the lines that concern the request.
 func (c *explainCmd) Execute(args []string) error {
-	if err := noMore(args); err != nil {
+	if err := rejectExtraArgs(args); err != nil {
 		return err
 	}
-	var all []entry
+	var all []logEntry
 	for _, path := range c.Args.Files {
 		f, err := os.Open(path)
 		if err != nil {
@@ -44,7 +44,7 @@
 	if len(c.Args.Files) == 0 {
 		all = readLog(os.Stdin)
 	}
-	story := storyOf(all, c.Args.ID)
+	story := relatedEntries(all, c.Args.ID)
 	if len(story) == 0 {
 		return kinds.New(kinds.NotFound, "no line speaks of "+c.Args.ID+
 			"; plain successes beyond the rate are summed up, and lines left out are counted")
@@ -55,8 +55,8 @@
 	return nil
 }
 
-// entry is one line of a log.
-type entry struct {
+// logEntry is one parsed log line.
+type logEntry struct {
 	at     time.Time
 	vm     string
 	msg    string
@@ -64,31 +64,34 @@
 	fields map[string]any
 }
 
-// longestLine is above what a line with all servers of a large system takes.
-const longestLine = 1 << 20
+// maxLineBytes limits the length of a log line. The longest lines list all servers; those
+// of a large system fit.
+const maxLineBytes = 1 << 20
 
-// readLog reads lines that hold a JSON object, whatever stands in front of it. Others
-// are passed over: a log holds what other programs print, too.
-func readLog(r io.Reader) []entry {
-	var all []entry
+// readLog parses the lines that hold a JSON object, with or without a prefix. It skips
+// other lines, because logs also hold the output of other programs.
+func readLog(r io.Reader) []logEntry {
+	var all []logEntry
 	lines := bufio.NewScanner(r)
-	lines.Buffer(nil, longestLine)
+	lines.Buffer(nil, maxLineBytes)
 	for lines.Scan() {
-		front, text, found := strings.Cut(lines.Text(), "{")
+		prefix, text, found := strings.Cut(lines.Text(), "{")
 		if !found {
 			continue
 		}
-		e := entry{}
+		e := logEntry{}
 		if json.Unmarshal([]byte("{"+text), &e.fields) != nil {
 			continue
 		}
-		e.read(front)
+		e.parseFields(prefix)
 		all = append(all, e)
 	}
 	return all
 }
 
-func (e *entry) read(front string) {
+// parseFields moves the common fields out of e.fields. A line without the field "vm" is
+// attributed to the last word of its prefix, which usually is the host's name.
+func (e *logEntry) parseFields(prefix string) {
 	text := func(name string) string {
 		s, _ := e.fields[name].(string)
 		delete(e.fields, name)
@@ -97,70 +100,72 @@
 	e.at, _ = time.Parse(time.RFC3339Nano, text("time"))
 	e.msg, e.id, e.vm = text("msg"), text("id"), text("vm")
 	delete(e.fields, "level")
-	if words := strings.Fields(front); e.vm == "" && len(words) > 0 {
+	if words := strings.Fields(prefix); e.vm == "" && len(words) > 0 {
 		e.vm = words[len(words)-1]
 	}
 }
 
-// beliefs are the lines that change what a VM believes; the last of each before a
-// decision is what it was decided by.
-var beliefs = map[string]bool{
+// stateMessages are the messages that report a change of a VM's state. The last one of
+// each kind before a decision shows the state in which the VM decided.
+var stateMessages = map[string]bool{
 	"start": true, "rules in force": true, "lead": true, "servers": true, "store lost": true, "store regained": true,
 	"leader lost": true, "leader regained": true, "keys move": true, "server does not answer": true,
 	"server answers again": true, "shutting down": true,
 }
 
-// printOf is the print of a request, by which its repeats are known, and when its last
-// line was written; empty where no line has a print.
-func printOf(all []entry, id string) (text string, until time.Time) {
+// fingerprintOf returns the fingerprint of a request, which its repeats share, and the
+// time of the request's last line. The fingerprint is empty if no line has one.
+func fingerprintOf(all []logEntry, id string) (fingerprint string, until time.Time) {
 	for _, e := range all {
 		if e.id != id {
 			continue
 		}
 		if s, ok := e.fields["print"].(string); ok {
-			text = s
+			fingerprint = s
 		}
 		until = e.at
 	}
-	return text, until
+	return fingerprint, until
 }
 
-// storyOf picks the lines about a request, before it those about repeats of it that
-// reached a server, and before each of its own those that say what its VM believed.
-func storyOf(all []entry, id string) []entry {
-	slices.SortStableFunc(all, func(a, b entry) int { return a.at.Compare(b.at) })
-	repeats, until := printOf(all, id)
-	last := map[string]map[string]int{} // VM -> belief -> its last line
+// relatedEntries returns, ordered by time: the lines of the request, earlier lines of its
+// repeats that reached a server, and for each line of the request the last state messages
+// of its VM.
+func relatedEntries(all []logEntry, id string) []logEntry {
+	slices.SortStableFunc(all, func(a, b logEntry) int { return a.at.Compare(b.at) })
+	fingerprint, until := fingerprintOf(all, id)
+	lastState := map[string]map[string]int{} // VM -> state message -> index of its last line
 	var picked []int
 	for i, e := range all {
-		if beliefs[e.msg] {
-			if last[e.vm] == nil {
-				last[e.vm] = map[string]int{}
+		if stateMessages[e.msg] {
+			if lastState[e.vm] == nil {
+				lastState[e.vm] = map[string]int{}
 			}
-			last[e.vm][e.msg] = i
+			lastState[e.vm][e.msg] = i
 		}
 		if e.id != id {
 			ran := e.fields["kind"] != kinds.Quarantined.String()
-			if repeats != "" && e.fields["print"] == repeats && !e.at.After(until) && ran {
+			if fingerprint != "" && e.fields["print"] == fingerprint && !e.at.After(until) && ran {
 				picked = append(picked, i)
 			}
 			continue
 		}
-		for _, j := range last[e.vm] {
+		for _, j := range lastState[e.vm] {
 			picked = append(picked, j)
 		}
 		picked = append(picked, i)
 	}
 	slices.Sort(picked)
-	story := make([]entry, 0, len(picked))
+	story := make([]logEntry, 0, len(picked))
 	for _, i := range slices.Compact(picked) {
 		story = append(story, all[i])
 	}
 	return story
 }
 
-// String renders a line for a reader: time, VM, what happened, and its fields by name.
-func (e entry) String() string {
+// String formats the line for the operator: time, VM, message, and the fields in
+// alphabetical order.
+func (e logEntry) String() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%s %-20s %s", e.at.Format("15:04:05.000"), e.vm, e.msg)
 	names := make([]string, 0, len(e.fields))
@@ -170,14 +175,15 @@
 	slices.Sort(names)
 	for _, name := range names {
 		if v := e.fields[name]; v != nil && v != "" {
-			fmt.Fprintf(&b, " %s=%s", name, short(name, v))
+			fmt.Fprintf(&b, " %s=%s", name, formatValue(name, v))
 		}
 	}
 	return b.String()
 }
 
-// short renders a value; how long a request took is in nanoseconds in the log.
-func short(name string, v any) string {
+// formatValue formats the value of a field. The field "took" is in nanoseconds in the
+// log and is shown as a duration.
+func formatValue(name string, v any) string {
 	if n, ok := v.(float64); ok && name == "took" {
 		return time.Duration(n).Round(10 * time.Microsecond).String()
 	}
--- a/internal/admin/cmds/explain_test.go
+++ b/internal/admin/cmds/explain_test.go
@@ -10,7 +10,7 @@
 	"gotest.tools/v3/assert"
 )
 
-const twoVMs = `host-1 {"time":"2026-05-16T01:00:01Z","level":"INFO","msg":"rules in force","rev":3}
+const twoVMLogs = `host-1 {"time":"2026-05-16T01:00:01Z","level":"INFO","msg":"rules in force","rev":3}
 not a line
 host-1 {"time":"2026-05-16T01:00:02Z","level":"INFO","msg":"rules in force","rev":9}
 host-2 {"time":"2026-05-16T01:00:02.5Z","level":"WARN","msg":"store lost","kind":"servers/"}
@@ -19,12 +19,11 @@
 host-2 {"time":"2026-05-16T01:00:05Z","level":"INFO","msg":"store regained","kind":"servers/"}
 `
 
-// A caller complains of one answer. Whoever looks for its cause has the logs of all
-// VMs and the request's id, and needs to see what the VM that answered believed then,
-// not what it learned later or what others believed.
-func TestExplainTellsWhatTheDecidingVMBelieved(t *testing.T) {
+// Guards against an explanation that shows what the deciding VM learned only later, or
+// what other VMs knew.
+func TestExplainShowsTheStateOfTheDecidingVM(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "all.log")
-	assert.NilError(t, os.WriteFile(path, []byte(twoVMs), 0o600))
+	assert.NilError(t, os.WriteFile(path, []byte(twoVMLogs), 0o600))
 	var out, errs bytes.Buffer
 	assert.Equal(t, Main(t.Context(), []string{"explain", "a1", path}, &out, &errs), ExitOK, errs.String())
 	lines := strings.Split(strings.TrimSpace(out.String()), "\n")
@@ -34,17 +33,18 @@
 	assert.Assert(t, strings.Contains(lines[1], "kind=moving"))
 }
 
-func TestExplainSaysWhenNothingIsKnown(t *testing.T) {
+func TestExplainReportsAnUnknownID(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "all.log")
-	assert.NilError(t, os.WriteFile(path, []byte(twoVMs), 0o600))
+	assert.NilError(t, os.WriteFile(path, []byte(twoVMLogs), 0o600))
 	var out, errs bytes.Buffer
 	assert.Assert(t, Main(t.Context(), []string{"explain", "zz", path}, &out, &errs) != ExitOK)
 	assert.Assert(t, strings.Contains(errs.String(), "no line speaks of zz"))
 	assert.Assert(t, Main(t.Context(), []string{"explain", "zz", path + "x"}, &out, &errs) != ExitOK)
 }
 
-// Guards against a quarantine of which nobody finds the crashes that led there.
-func TestTheStoryOfAQuarantinedRequestHasItsCrashes(t *testing.T) {
+// Guards against an explanation of a quarantined request that leaves out the crashes
+// which led to the quarantine.
+func TestExplainShowsTheCrashesBehindAQuarantine(t *testing.T) {
 	log := `{"time":"2026-01-01T00:00:01Z","msg":"decision","vm":"a","id":"r1","kind":"unknown","server":"s1","print":"p"}
 {"time":"2026-01-01T00:00:02Z","msg":"another server broke off under a request","vm":"b","id":"r2","server":"s2","print":"p"}
 {"time":"2026-01-01T00:00:03Z","msg":"request quarantined","vm":"a","print":"p"}
@@ -54,7 +54,7 @@
 {"time":"2026-01-01T00:00:07Z","msg":"request out of quarantine","vm":"a","print":"p"}
 `
 	var got []string
-	for _, e := range storyOf(readLog(strings.NewReader(log)), "r3") {
+	for _, e := range relatedEntries(readLog(strings.NewReader(log)), "r3") {
 		got = append(got, e.msg+" "+e.id)
 	}
 	assert.DeepEqual(t, got, []string{"decision r1", "another server broke off under a request r2", "request quarantined ", "decision r3"})
--- a/internal/admin/cmds/owners.go
+++ b/internal/admin/cmds/owners.go
@@ -22,21 +22,21 @@
 own any, so that a server that left does not count), and the moves of the last hour. With --key, who owns that key.`
 
 type ownersCmd struct {
-	target
+	platformFlags
 	app     *app
 	Service string `long:"service" description:"only this service"`
 	Key     string `long:"key" description:"who owns this key"`
 	JSON    bool   `long:"json" description:"as JSON"`
 }
 
-// holding is what one service's owners hold now.
-type holding struct {
+// serviceOwners is the current ownership of one service.
+type serviceOwners struct {
 	Service   ident.Service  `json:"service"`
 	Rev       ident.Revision `json:"rev"`
 	Slices    uint32         `json:"slices"`
 	Servers   []serverShare  `json:"servers"`
 	Hot       []table.Hot    `json:"hot,omitempty"`
-	Imbalance float64        `json:"imbalance"` // most slices over the mean of those that own any
+	Imbalance float64        `json:"imbalance"` // most slices of a server / mean over the servers that own any
 	Moves     int            `json:"moves"`     // in the last hour
 	Churn     float64        `json:"churn"`     // share of slices moved in the last hour
 }
@@ -47,9 +47,9 @@
 	Epoch  ident.Epoch  `json:"epoch"`
 }
 
-// Execute shows the owners.
+// Execute prints the owners of all slices, or of one key.
 func (c *ownersCmd) Execute(args []string) error {
-	if err := noMore(args); err != nil {
+	if err := rejectExtraArgs(args); err != nil {
 		return err
 	}
 	s, err := c.open(c.app.ctx)
@@ -63,9 +63,9 @@
 	}
 	tables = slices.DeleteFunc(tables, func(t table.Table) bool { return c.Service != "" && string(t.Service) != c.Service })
 	if c.Key != "" {
-		return c.ofKey(tables)
+		return c.printKeyOwner(tables)
 	}
-	all, err := holdings(s.ctx, s.store, tables)
+	all, err := readOwners(s.ctx, s.store, tables)
 	if err != nil {
 		return err
 	}
@@ -74,10 +74,10 @@
 		enc.SetIndent("", "  ")
 		return enc.Encode(all)
 	}
-	return c.print(all)
+	return c.printTables(all)
 }
 
-func (c *ownersCmd) ofKey(tables []table.Table) error {
+func (c *ownersCmd) printKeyOwner(tables []table.Table) error {
 	for _, t := range tables {
 		o, ok := table.NewView(t).Owner(ident.Key(c.Key))
 		if !ok {
@@ -109,29 +109,29 @@
 	return all, nil
 }
 
-func holdings(ctx context.Context, store object.Store, tables []table.Table) ([]holding, error) {
+func readOwners(ctx context.Context, store object.Store, tables []table.Table) ([]serviceOwners, error) {
 	moves, err := report.Run(ctx, store, report.Query{Since: time.Now().Add(-time.Hour), Action: record.Place})
 	if err != nil {
 		return nil, err
 	}
-	all := make([]holding, 0, len(tables))
+	all := make([]serviceOwners, 0, len(tables))
 	for _, t := range tables {
-		h := share(t)
+		owners := countSlices(t)
 		for i := range moves.Rows {
-			// A slice that had no owner before was assigned, not moved.
+			// Assigning a slice that had no owner does not count as a move.
 			if moves.Rows[i].Service == t.Service && moves.Rows[i].PrevOwner != "" {
-				h.Moves++
+				owners.Moves++
 			}
 		}
-		h.Churn = float64(h.Moves) / float64(max(h.Slices, 1))
-		all = append(all, h)
+		owners.Churn = float64(owners.Moves) / float64(max(owners.Slices, 1))
+		all = append(all, owners)
 	}
 	return all, nil
 }
 
-// share counts the slices of each server.
-func share(t table.Table) holding {
-	h := holding{Service: t.Service, Rev: t.Rev, Slices: t.Slices(), Hot: t.Hot}
+// countSlices counts the slices of each server.
+func countSlices(t table.Table) serviceOwners {
+	result := serviceOwners{Service: t.Service, Rev: t.Rev, Slices: t.Slices(), Hot: t.Hot}
 	counts := map[ident.Server]int{}
 	for s := range t.Slices() {
 		counts[t.OwnerOf(ident.Slice(s))]++
@@ -143,29 +143,29 @@
 		if n > 0 {
 			owners++
 		}
-		h.Servers = append(h.Servers, serverShare{row.Name, n, row.MinEpoch})
+		result.Servers = append(result.Servers, serverShare{row.Name, n, row.MinEpoch})
 	}
 	if t.Slices() > 0 {
-		h.Imbalance = float64(most) * float64(owners) / float64(t.Slices())
+		result.Imbalance = float64(most) * float64(owners) / float64(t.Slices())
 	}
 	if n := counts[""]; n > 0 {
-		h.Servers = append(h.Servers, serverShare{Server: "(no owner)", Slices: n})
+		result.Servers = append(result.Servers, serverShare{Server: "(no owner)", Slices: n})
 	}
-	return h
+	return result
 }
 
-func (c *ownersCmd) print(all []holding) error {
+func (c *ownersCmd) printTables(all []serviceOwners) error {
 	if len(all) == 0 {
 		fmt.Fprintln(c.app.out, "no service divided by key has a table yet")
 		return nil
 	}
-	for _, h := range all {
+	for _, owners := range all {
 		fmt.Fprintf(c.app.out, "%s, revision %d: %d slices, imbalance %.2f, %d moves in the last hour (%.1f%% of the slices)\n",
-			h.Service, h.Rev, h.Slices, h.Imbalance, h.Moves, 100*h.Churn)
+			owners.Service, owners.Rev, owners.Slices, owners.Imbalance, owners.Moves, 100*owners.Churn)
 		t := tabwriter.NewWriter(c.app.out, 0, 0, 2, ' ', 0)
 		fmt.Fprintln(t, "  SERVER\tSLICES\tEPOCH\tHOT KEYS")
-		for _, s := range h.Servers {
-			fmt.Fprintf(t, "  %s\t%d\t%d\t%s\n", s.Server, s.Slices, s.Epoch, hotOf(h, s.Server))
+		for _, s := range owners.Servers {
+			fmt.Fprintf(t, "  %s\t%d\t%d\t%s\n", s.Server, s.Slices, s.Epoch, hotKeys(owners, s.Server))
 		}
 		if err := t.Flush(); err != nil {
 			return err
@@ -174,9 +174,9 @@
 	return nil
 }
 
-func hotOf(h holding, s ident.Server) string {
+func hotKeys(owners serviceOwners, s ident.Server) string {
 	var keys []string
-	for _, k := range h.Hot {
+	for _, k := range owners.Hot {
 		if k.Server == s {
 			keys = append(keys, string(k.Key))
 		}
--- a/internal/admin/cmds/report.go
+++ b/internal/admin/cmds/report.go
@@ -21,7 +21,7 @@
 the end.`
 
 type reportCmd struct {
-	target
+	platformFlags
 	app     *app
 	Key     string `long:"key" description:"only this key, with the moves of its slice"`
 	Caller  string `long:"caller" description:"only this caller"`
@@ -36,9 +36,9 @@
 	JSON    bool   `long:"json" description:"as JSON"`
 }
 
-// Execute answers the question.
+// Execute prints the decisions that match the flags.
 func (c *reportCmd) Execute(args []string) error {
-	if err := noMore(args); err != nil {
+	if err := rejectExtraArgs(args); err != nil {
 		return err
 	}
 	q, err := c.query(time.Now())
@@ -50,7 +50,7 @@
 		return err
 	}
 	defer s.close()
-	q.Slices, q.Author = slicesOf(s.ctx, s.store), authorOf(s.ctx, s.store)
+	q.Slices, q.Author = sliceCounts(s.ctx, s.store), revisionAuthors(s.ctx, s.store)
 	r, err := report.Run(s.ctx, s.store, q)
 	switch {
 	case err != nil:
@@ -90,8 +90,9 @@
 	return at, kinds.Wrap(kinds.BadRequest, err, "time")
 }
 
-// cache remembers what f answered, for readers of several journals at once.
-func cache[K comparable, V any](f func(K) V) func(K) V {
+// memoize returns f with a cache of its results. It is safe for concurrent use, because
+// several journals are read at once.
+func memoize[K comparable, V any](f func(K) V) func(K) V {
 	var mu sync.Mutex
 	seen := map[K]V{}
 	return func(k K) V {
@@ -106,9 +107,10 @@
 	}
 }
 
-// slicesOf reads how many slices a service has from its table.
-func slicesOf(ctx context.Context, store object.Store) func(ident.Service) uint32 {
-	return cache(func(s ident.Service) uint32 {
+// sliceCounts returns a function that reads a service's number of slices from its table.
+// It returns 0 if the table cannot be read.
+func sliceCounts(ctx context.Context, store object.Store) func(ident.Service) uint32 {
+	return memoize(func(s ident.Service) uint32 {
 		t, err := readTable(ctx, store, s)
 		if err != nil {
 			return 0
@@ -117,9 +119,10 @@
 	})
 }
 
-// authorOf reads who put a revision of the rules in force from their history.
-func authorOf(ctx context.Context, store object.Store) func(ident.Revision) string {
-	return cache(func(rev ident.Revision) string {
+// revisionAuthors returns a function that reads the author of a revision from the history
+// of the rules. It returns "" if the revision cannot be read.
+func revisionAuthors(ctx context.Context, store object.Store) func(ident.Revision) string {
+	return memoize(func(rev ident.Revision) string {
 		rec, err := save.Revision(ctx, store, rev)
 		if err != nil {
 			return ""
@@ -128,7 +131,7 @@
 	})
 }
 
-// tablePrefix is where the tables of ownership stand in the object API.
+// tablePrefix is the prefix of the ownership tables' names in the object API.
 const tablePrefix = "table/"
 
 func readTable(ctx context.Context, store object.Store, s ident.Service) (table.Table, error) {
--- a/internal/admin/cmds/rules.go
+++ b/internal/admin/cmds/rules.go
@@ -35,15 +35,15 @@
 )
 
 type listCmd struct {
-	target
+	platformFlags
 	app  *app
 	Rev  uint64 `long:"rev" value-name:"N" description:"an earlier revision"`
 	TOML bool   `long:"toml" description:"as a file that put --all takes"`
 }
 
-// Execute shows the rules.
+// Execute prints the rules.
 func (c *listCmd) Execute(args []string) error {
-	if err := noMore(args); err != nil {
+	if err := rejectExtraArgs(args); err != nil {
 		return err
 	}
 	s, err := c.open(c.app.ctx)
@@ -71,21 +71,21 @@
 		return err
 	}
 	if c.Rev == 0 {
-		held, err := save.Accepted(s.ctx, s.store)
+		accepted, err := save.Accepted(s.ctx, s.store)
 		if err != nil {
 			return err
 		}
-		printAccepted(c.app.out, rec.Rev, held)
+		printAccepted(c.app.out, rec.Rev, accepted)
 	}
 	return printRules(c.app.out, rec)
 }
 
-func printAccepted(w io.Writer, rev ident.Revision, held quorum.Record) {
+func printAccepted(w io.Writer, rev ident.Revision, accepted quorum.Record) {
 	switch {
-	case held.Rev >= rev:
-		fmt.Fprintf(w, "accepted: %d of %d entry VMs held it\n", held.Confirmed, held.Live)
-	case held.Rev > 0:
-		fmt.Fprintf(w, "not accepted yet; revision %d is\n", held.Rev)
+	case accepted.Rev >= rev:
+		fmt.Fprintf(w, "accepted: %d of %d entry VMs held it\n", accepted.Confirmed, accepted.Live)
+	case accepted.Rev > 0:
+		fmt.Fprintf(w, "not accepted yet; revision %d is\n", accepted.Rev)
 	default:
 		fmt.Fprintln(w, "not accepted yet")
 	}
@@ -102,7 +102,7 @@
 	return t.Flush()
 }
 
-// ruleText takes the two inner tables out of the rule's own TOML form.
+// ruleText returns the contents of the tables "when" and "then" of the rule's TOML form.
 func ruleText(r *match.Rule) (when, then string) {
 	text, err := match.Render([]match.Rule{*r})
 	if err != nil {
@@ -124,9 +124,9 @@
 	return when, then
 }
 
-// edit is what all edits share.
-type edit struct {
-	target
+// editFlags are the flags of all commands that edit the rules.
+type editFlags struct {
+	platformFlags
 	app  *app
 	Seen uint64 `long:"seen" value-name:"N" required:"yes" description:"the revision that you looked at"`
 	By   string `long:"by" value-name:"NAME" env:"USER" description:"who makes the edit"`
@@ -135,14 +135,14 @@
 	Wait time.Duration `long:"wait" default:"7s" description:"longest wait until the edit is accepted; 0s does not wait"`
 }
 
-// place is where a rule goes.
-type place struct {
+// positionFlags are the flags for the position of a rule in the list.
+type positionFlags struct {
 	First  bool   `long:"first" description:"put it first"`
 	Last   bool   `long:"last" description:"put it last"`
 	Before string `long:"before" value-name:"RULE" description:"put it before this rule"`
 }
 
-func (p place) place() (revs.Position, error) {
+func (p positionFlags) position() (revs.Position, error) {
 	n := 0
 	for _, set := range []bool{p.First, p.Last, p.Before != ""} {
 		if set {
@@ -155,8 +155,8 @@
 	return revs.Position{First: p.First, Last: p.Last, Before: p.Before}, nil
 }
 
-// save makes the edit and says what is in force then.
-func (e *edit) save(change func(cur *revs.Record, e revs.Edit) (*revs.Record, error)) error {
+// save writes the edit as a new revision and waits until it is accepted.
+func (e *editFlags) save(change func(cur *revs.Record, e revs.Edit) (*revs.Record, error)) error {
 	s, err := e.open(e.app.ctx)
 	if err != nil {
 		return err
@@ -165,37 +165,39 @@
 	if e.By == "" {
 		return kinds.New(kinds.BadRequest, "say who you are: --by NAME")
 	}
-	rec, err := e.run(s, func(cur *revs.Record) (*revs.Record, error) {
+	rec, err := e.write(s, func(cur *revs.Record) (*revs.Record, error) {
 		return change(cur, revs.Edit{
-			Seen: ident.Revision(e.Seen), Author: e.By, Note: e.Note, Token: rand.Text(), At: time.Now(), Known: known(s.cfg),
+			Seen: ident.Revision(e.Seen), Author: e.By, Note: e.Note, Token: rand.Text(), At: time.Now(), Known: knownServices(s.cfg),
 		})
 	})
 	if err != nil {
 		return err
 	}
-	return e.await(s, rec.Rev)
+	return e.awaitAcceptance(s, rec.Rev)
 }
 
-// await says whether the edit is accepted. Until it is, an entry VM that is cut
-// off may answer under an older revision, and the operator must not be told
-// otherwise.
-func (e *edit) await(s *session, rev ident.Revision) error {
+// awaitAcceptance waits until the revision is accepted and prints the result. Before
+// that, an entry VM that is cut off may still apply an older revision, so the operator
+// must not be told that the edit is in force.
+func (e *editFlags) awaitAcceptance(s *session, rev ident.Revision) error {
 	if e.Wait <= 0 {
 		fmt.Fprintf(e.app.out, "written as revision %d; hawthorn rules list shows when it is accepted\n", rev)
 		return nil
 	}
 	ctx, cancel := context.WithTimeout(e.app.ctx, e.Wait)
 	defer cancel()
-	held, err := save.Await(ctx, s.store, rev)
+	accepted, err := save.Await(ctx, s.store, rev)
 	if err != nil {
 		return fmt.Errorf("written as revision %d and %w after %v: it stays, and is accepted once more than half of the entry VMs hold it.\n"+
 			"Entry VMs that are cut off may answer under an older revision meanwhile; hawthorn rules list shows when it is accepted", rev, errPending, e.Wait)
 	}
-	fmt.Fprintf(e.app.out, "accepted as revision %d: %d of %d entry VMs hold it; in force everywhere within seconds\n", rev, held.Confirmed, held.Live)
+	fmt.Fprintf(e.app.out, "accepted as revision %d: %d of %d entry VMs hold it; in force everywhere within seconds\n", rev, accepted.Confirmed, accepted.Live)
 	return nil
 }
 
-func (e *edit) run(s *session, f save.EditFunc) (*revs.Record, error) {
+// write writes the edit to the store. For a conflict, the error names the revision in
+// force and its author.
+func (e *editFlags) write(s *session, f save.EditFunc) (*revs.Record, error) {
 	rec, err := save.Save(s.ctx, s.store, f)
 	var c *revs.Conflict
 	if errors.As(err, &c) {
@@ -205,17 +207,17 @@
 }
 
 type putCmd struct {
-	edit
-	place
+	editFlags
+	positionFlags
 	All  bool `long:"all" description:"replace the whole list by the file"`
 	Args struct {
 		File string `positional-arg-name:"FILE" required:"yes" description:"rules"`
 	} `positional-args:"yes"`
 }
 
-// Execute puts the rules of the file in force.
+// Execute adds the rules of the file to the list, or replaces the list.
 func (c *putCmd) Execute(args []string) error {
-	if err := noMore(args); err != nil {
+	if err := rejectExtraArgs(args); err != nil {
 		return err
 	}
 	src, err := readFile(c.Args.File, match.MaxFile)
@@ -229,7 +231,7 @@
 	if len(file.Rules) == 0 && !c.All {
 		return kinds.New(kinds.Malformed, c.Args.File+" holds no rule")
 	}
-	at, err := c.place.place()
+	at, err := c.positionFlags.position()
 	if err != nil {
 		return err
 	}
@@ -241,8 +243,7 @@
 	})
 }
 
-// putAll makes one revision out of several rules, which keep their order in the
-// file.
+// putAll adds several rules in one revision. They keep their order in the file.
 func putAll(cur *revs.Record, e revs.Edit, rules []match.Rule, at revs.Position) (*revs.Record, error) {
 	rules = slices.Clone(rules)
 	if at.First {
@@ -264,8 +265,8 @@
 }
 
 type moveCmd struct {
-	edit
-	place
+	editFlags
+	positionFlags
 	Args struct {
 		Name string `positional-arg-name:"RULE" required:"yes"`
 	} `positional-args:"yes"`
@@ -273,10 +274,10 @@
 
 // Execute moves the rule.
 func (c *moveCmd) Execute(args []string) error {
-	if err := noMore(args); err != nil {
+	if err := rejectExtraArgs(args); err != nil {
 		return err
 	}
-	at, err := c.place.place()
+	at, err := c.positionFlags.position()
 	if err != nil {
 		return err
 	}
@@ -289,7 +290,7 @@
 }
 
 type retireCmd struct {
-	edit
+	editFlags
 	Args struct {
 		Name string `positional-arg-name:"RULE" required:"yes"`
 	} `positional-args:"yes"`
@@ -297,7 +298,7 @@
 
 // Execute retires the rule.
 func (c *retireCmd) Execute(args []string) error {
-	if err := noMore(args); err != nil {
+	if err := rejectExtraArgs(args); err != nil {
 		return err
 	}
 	return c.save(func(cur *revs.Record, e revs.Edit) (*revs.Record, error) {
@@ -306,14 +307,14 @@
 }
 
 type historyCmd struct {
-	target
+	platformFlags
 	app *app
 	N   int `short:"n" default:"20" value-name:"N" description:"how many revisions"`
 }
 
 // Execute lists the revisions.
 func (c *historyCmd) Execute(args []string) error {
-	if err := noMore(args); err != nil {
+	if err := rejectExtraArgs(args); err != nil {
 		return err
 	}
 	s, err := c.open(c.app.ctx)
--- a/internal/admin/cmds/serve.go
+++ b/internal/admin/cmds/serve.go
@@ -34,13 +34,13 @@
 	Settings string `short:"c" long:"settings" value-name:"FILE" description:"settings; without it those of the platform that started the process"`
 }
 
-// Execute serves until the context ends.
+// Execute runs the entry VM until the context is done.
 func (c *serveCmd) Execute(args []string) error {
-	if err := noMore(args); err != nil {
+	if err := rejectExtraArgs(args); err != nil {
 		return err
 	}
 	if path, ok := platform.SettingsPath(); ok && c.Settings == "" {
-		return c.join(path)
+		return c.servePlatform(path)
 	}
 	if c.Settings == "" {
 		return kinds.New(kinds.BadRequest, "say which settings: -c FILE")
@@ -49,11 +49,11 @@
 	if err != nil {
 		return err
 	}
-	first, err := firstRules(cfg)
+	first, err := initialRules(cfg)
 	if err != nil {
 		return err
 	}
-	log := slog.New(slog.NewJSONHandler(c.app.out, &slog.HandlerOptions{Level: level(cfg.Log.Level)}))
+	log := slog.New(slog.NewJSONHandler(c.app.out, &slog.HandlerOptions{Level: parseLevel(cfg.Log.Level)}))
 	d, err := daemon.New(cfg, daemon.WithLog(log))
 	if err != nil {
 		return err
@@ -63,27 +63,28 @@
 	}
 	log.Info("serving", slog.Any("vm", cfg.VM), slog.String("callers", d.Callers().String()),
 		slog.String("operators", d.Operators().String()), slog.String("peers", d.Peers().String()))
-	c.bootstrap(cfg, first, log)
+	c.putInitialRules(cfg, first, log)
 	<-c.app.ctx.Done()
 	log.Info("shutting down")
-	if c.app.release != nil {
-		c.app.release() // a second signal ends the process
+	if c.app.restoreSignals != nil {
+		c.app.restoreSignals() // a second signal ends the process
 	}
 	return d.Close()
 }
 
-// collectAt makes the garbage collector run when the heap has grown by half since the
-// last time. The VMs are small, memory is paid for, and collecting some megabytes takes
-// less than a thousandth of a core.
-const collectAt = 50
+// gcPercent makes the garbage collector run when the heap has grown by 50 % since the
+// last collection. The VMs are small and memory costs money, while collecting a few
+// megabytes takes less than a thousandth of a core.
+const gcPercent = 50
 
-// join runs an entry VM on the platform that started the process.
-func (c *serveCmd) join(path string) error {
+// servePlatform runs an entry VM with the settings of the platform that started the
+// process, at path.
+func (c *serveCmd) servePlatform(path string) error {
 	cfg, err := platform.Load(path)
 	if err != nil {
 		return err
 	}
-	debug.SetGCPercent(collectAt)
+	debug.SetGCPercent(gcPercent)
 	out := logbuf.New(slog.NewJSONHandler(c.app.out, nil), 0)
 	defer out.Close()
 	log := slog.New(out.Handler())
@@ -99,16 +100,17 @@
 		case <-hup:
 			c.reload(path, cfg, log)
 		case <-c.app.ctx.Done():
-			if c.app.release != nil {
-				c.app.release() // a second signal ends the process
+			if c.app.restoreSignals != nil {
+				c.app.restoreSignals() // a second signal ends the process
 			}
 			return h.Close()
 		}
 	}
 }
 
-// reload reads the settings again after a signal. Nothing in them can change while
-// the process runs: addresses are open and the rest follows from the store.
+// reload reads the settings again after SIGHUP and logs whether they changed. No setting
+// can change while the process runs: the addresses are in use, and everything else comes
+// from the store.
 func (c *serveCmd) reload(path string, old host.Config, log *slog.Logger) {
 	cfg, err := platform.Load(path)
 	switch {
@@ -121,9 +123,9 @@
 	}
 }
 
-// firstRules reads the rules that the settings bring along, if any, and checks
-// them against the services.
-func firstRules(cfg config.Config) ([]match.Rule, error) {
+// initialRules parses the rules in the settings, if any, and checks them against the
+// services.
+func initialRules(cfg config.Config) ([]match.Rule, error) {
 	text := []byte(cfg.Rules.Text)
 	if cfg.Rules.File != "" {
 		var err error
@@ -138,30 +140,31 @@
 	if err != nil {
 		return nil, err
 	}
-	_, err = file.Compile(match.WithServices(known(&cfg)))
+	_, err = file.Compile(match.WithServices(knownServices(&cfg)))
 	return file.Rules, err
 }
 
-// bootstrap puts the settings' rules in force where there are none yet. Losing
-// against another VM that does the same is as good.
-func (c *serveCmd) bootstrap(cfg config.Config, rules []match.Rule, log *slog.Logger) {
+// putInitialRules writes the rules of the settings to the store if it has none yet. A
+// conflict is no failure: another VM has written its initial rules first.
+func (c *serveCmd) putInitialRules(cfg config.Config, rules []match.Rule, log *slog.Logger) {
 	if len(rules) == 0 {
 		return
 	}
-	ctx, cancel := context.WithTimeout(c.app.ctx, bootstrapWait)
+	ctx, cancel := context.WithTimeout(c.app.ctx, initialRulesTimeout)
 	defer cancel()
 	_, err := save.Save(ctx, objcli.New(cfg.Platform.Objects), func(cur *revs.Record) (*revs.Record, error) {
 		e := revs.Edit{Author: string(cfg.VM), Note: "from the settings", Token: "boot-" + string(cfg.VM), At: time.Now()}
 		return revs.Replace(cur, e, rules)
 	})
 	if err != nil && kinds.Of(err) != kinds.Conflict {
-		log.Warn("first rules not put in force", slog.String("err", err.Error()))
+		log.Warn("could not save the initial rules", slog.String("err", err.Error()))
 	}
 }
 
-const bootstrapWait = 10 * time.Second
+// initialRulesTimeout limits the write of the initial rules to the store.
+const initialRulesTimeout = 10 * time.Second
 
-func level(name string) slog.Level {
+func parseLevel(name string) slog.Level {
 	var l slog.Level
 	if err := l.UnmarshalText([]byte(name)); err != nil {
 		fmt.Fprintln(os.Stderr, err)
--- a/internal/admin/cmds/serve_test.go
+++ b/internal/admin/cmds/serve_test.go
@@ -16,17 +16,17 @@
 	"hawthornfield.org/hawthornfield/internal/fake/origin"
 )
 
-// An operator starts an entry VM from a file, sends a request through it, and
-// ends it with a signal. The exit code is 0 and the request is in the report.
-func TestServeFromAFileToTheReport(t *testing.T) {
-	d := newDesk(t)
+// Starts an entry VM from a settings file, sends a request through it and shuts it down.
+// The exit code must be 0 and the report must contain the request.
+func TestServeRoutesAndRecordsARequest(t *testing.T) {
+	cli := newTestCLI(t)
 	o := origin.New(origin.Config{Service: "upload", Server: "upload-1", Slots: 4, Queue: 4, Conns: 100})
-	at, err := o.Start()
+	addr, err := o.Start()
 	assert.NilError(t, err)
 	defer o.Close()
-	settings := d.file("vm.toml", "vm = \"vm-1\"\ncentre = \"north\"\n[platform]\nobjects = \""+d.at+"\"\n"+
+	settings := cli.writeFile("vm.toml", "vm = \"vm-1\"\ncentre = \"north\"\n[platform]\nobjects = \""+cli.addr+"\"\n"+
 		"[limit]\ndrain = \"1s\"\n"+
-		"[rules]\ntext = '''\n"+rest+"'''\n[[service]]\nname = \"upload\"\n[[service.server]]\nname = \"upload-1\"\ndata = \""+at.String()+"\"\n")
+		"[rules]\ntext = '''\n"+catchAllRule+"'''\n[[service]]\nname = \"upload\"\n[[service.server]]\nname = \"upload-1\"\ndata = \""+addr.String()+"\"\n")
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	r, w := io.Pipe()
@@ -48,7 +48,7 @@
 		_, err := io.Copy(io.Discard, r)
 		return err
 	})
-	ask := func() int {
+	sendRequest := func() int {
 		req, err := http.NewRequestWithContext(t.Context(), http.MethodGet, "http://"+callers+"/anything", nil)
 		assert.NilError(t, err)
 		req.Header.Set("Hawthorn-Id", "asked")
@@ -57,20 +57,20 @@
 		assert.NilError(t, resp.Body.Close())
 		return resp.StatusCode
 	}
-	for ask() != http.StatusOK { // until the first rules are in force
+	for sendRequest() != http.StatusOK { // until the first rules are in force
 	}
 	cancel()
 	assert.NilError(t, g.Wait())
 	assert.Equal(t, code, ExitOK, errs.String())
-	assert.Assert(t, strings.Contains(d.must("report --id asked"), "upload-1"))
+	assert.Assert(t, strings.Contains(cli.mustRun("report --id asked"), "upload-1"))
 }
 
 func TestServeOpensNothingWithWrongSettings(t *testing.T) {
-	d := newDesk(t)
-	assert.Equal(t, d.run("serve"), ExitUsage)
-	assert.Equal(t, d.run("serve -c", d.file("vm.toml", "vm = \"x\"\nspeed = 1\n")), ExitInvalid)
-	assert.Assert(t, strings.Contains(d.errs.String(), "line 2: speed: unknown setting"), d.errs.String())
-	hidden := strings.Replace(vm, "[platform]", "[rules]\ntext = '''\n"+rest+lookups+"'''\n[platform]", 1)
-	assert.Equal(t, d.run("serve -c", d.file("vm.toml", hidden)), ExitInvalid)
-	assert.Assert(t, strings.Contains(d.errs.String(), "can never match"), d.errs.String())
+	cli := newTestCLI(t)
+	assert.Equal(t, cli.run("serve"), ExitUsage)
+	assert.Equal(t, cli.run("serve -c", cli.writeFile("vm.toml", "vm = \"x\"\nspeed = 1\n")), ExitInvalid)
+	assert.Assert(t, strings.Contains(cli.errs.String(), "line 2: speed: unknown setting"), cli.errs.String())
+	hidden := strings.Replace(settingsTOML, "[platform]", "[rules]\ntext = '''\n"+catchAllRule+lookupRule+"'''\n[platform]", 1)
+	assert.Equal(t, cli.run("serve -c", cli.writeFile("vm.toml", hidden)), ExitInvalid)
+	assert.Assert(t, strings.Contains(cli.errs.String(), "can never match"), cli.errs.String())
 }
