--- a/internal/admin/demo/callers.go
+++ b/internal/admin/demo/callers.go
@@ -23,80 +23,81 @@
 	"hawthornfield.org/hawthornfield/internal/fake/origin"
 )
 
-// class names what a caller did.
+// class is the kind of a request. It is printed in the table of answers.
 type class string
 
 const (
-	lookup  class = "lookup"
-	submit  class = "submission"
-	uploads class = "upload"
-	hurried class = "hurried"
+	classLookup     class = "lookup"
+	classSubmission class = "submission"
+	classUpload     class = "upload"
+	classHurried    class = "hurried" // uploads with a short deadline, see sendBurst
 )
 
-// attempt is one request as its caller saw it.
+// attempt is one request and its outcome, as its caller saw them.
 type attempt struct {
-	class  class
-	id     ident.Request
-	key    ident.Key
-	vm     int
-	start  time.Time
-	took   time.Duration
-	status int           // zero when no answer came
-	ran    kinds.Ran     // what the answer promises
-	within time.Duration // the caller's own deadline; zero leaves it to the rule
-	whole  bool          // a 200 whose body names this request and key, with the right sum
-	cut    bool          // the connection broke after it was opened
+	class     class
+	id        ident.Request
+	key       ident.Key
+	vm        int
+	start     time.Time
+	took      time.Duration
+	status    int           // zero if there was no answer
+	ran       kinds.Ran     // whether the request ran, according to the answer
+	timeout   time.Duration // sent as the caller's deadline; zero means the rule's deadline
+	intact    bool          // status 200, and the body names this request and key and has the right checksum
+	connBroke bool          // the connection broke after it was opened
 }
 
 func (a *attempt) ok() bool { return a.status == http.StatusOK }
 
-// callers send requests through the entry VMs, as the platform's balancer does:
-// to those that say they are ready.
+// callers sends requests of many callers to the entry VMs. Like the platform's load
+// balancer, it uses only entry VMs that report that they are ready.
 type callers struct {
 	site   *site
 	client *http.Client
-	ctx    context.Context // of their requests
+	ctx    context.Context // of all requests
 	cancel context.CancelFunc
 	group  group.Group
 	rng    *rand.Rand
-	turn   atomic.Uint64
-	n      atomic.Int64
+	nextVM atomic.Uint64
+	lastID atomic.Int64
 
-	mu  sync.Mutex
-	all []attempt
+	mu       sync.Mutex
+	attempts []attempt
 }
 
-// Shares and sizes of the mix.
+// Shares and sizes of the requests.
 const (
-	repeated   = 5       // one submission in five is sent again, through another VM
-	uploadSize = 1 << 20 // bytes
-	hotShare   = 10      // one lookup in ten asks for the hot key
-	seed       = 20261202
+	repeatOneIn = 5 // one submission in five is sent twice, through different VMs
+	uploadBytes = 1 << 20
+	hotOneIn    = 10 // one lookup in ten asks for the hot key
+	seed        = 20261202
 
-	lookupTries = 50
-	askAgain    = 50 * time.Millisecond
+	maxLookupTries   = 50
+	lookupRetryDelay = 50 * time.Millisecond
 
-	// dueWait is how long answers are waited for after the last request was sent. A
-	// caller without one by then never got it.
-	dueWait = 30 * time.Second
+	// drainTimeout is the wait for outstanding answers after the last request was sent.
+	// Requests without an answer by then count as unanswered.
+	drainTimeout = 30 * time.Second
 
-	burstCount  = 150
-	burstSize   = 4 << 10
-	burstWithin = 150 * time.Millisecond
-	longCount   = 6
-	longWork    = 400 * time.Millisecond
+	burstCount   = 150
+	burstBytes   = 4 << 10
+	burstTimeout = 150 * time.Millisecond
+	slowCount    = 6
+	slowWork     = 400 * time.Millisecond
 )
 
 func newCallers(ctx context.Context, s *site) *callers {
 	ctx, cancel := context.WithCancel(ctx)
-	t := &http.Transport{MaxIdleConnsPerHost: 64, IdleConnTimeout: notice / 2}
+	t := &http.Transport{MaxIdleConnsPerHost: 64, IdleConnTimeout: shutdownDelay / 2}
 	return &callers{site: s, client: &http.Client{Transport: t}, ctx: ctx, cancel: cancel, rng: rand.New(rand.NewPCG(seed, uint64(len(s.name))))}
 }
 
-// run sends the mix until stop ends, and waits for the answers that are due.
+// run sends requests of all classes until stop is done, then waits for the outstanding
+// answers.
 func (c *callers) run(stop context.Context) {
-	u := &c.site.user
-	tick := time.NewTicker(time.Second / time.Duration(u.keyed.rate))
+	spec := &c.site.siteSpec
+	tick := time.NewTicker(time.Second / time.Duration(spec.lookups.rate))
 	defer tick.Stop()
 	for i := 0; ; i++ {
 		select {
@@ -106,46 +107,46 @@
 			return
 		}
 		c.lookup()
-		if i%(u.keyed.rate/u.once.rate) == 0 {
+		if i%(spec.lookups.rate/spec.submissions.rate) == 0 {
 			c.submit()
 		}
-		if i%(u.keyed.rate/u.upload.rate) == 0 {
+		if i%(spec.lookups.rate/spec.uploads.rate) == 0 {
 			c.upload()
 		}
 	}
 }
 
-// drain waits for the answers that are due.
+// drain waits for the outstanding answers, for at most drainTimeout.
 func (c *callers) drain() {
 	defer c.cancel()
-	defer time.AfterFunc(dueWait, c.cancel).Stop()
+	defer time.AfterFunc(drainTimeout, c.cancel).Stop()
 	_ = c.group.Wait()
 	c.client.CloseIdleConnections()
 }
 
-// hot is the key that everybody asks for.
-func (c *callers) hot() ident.Key { return ident.Key(fmt.Sprintf("%s-%d", c.site.noun, 7)) }
+// hotKey returns the key that gets far more requests than any other.
+func (c *callers) hotKey() ident.Key { return ident.Key(fmt.Sprintf("%s-%d", c.site.keyNoun, 7)) }
 
-func (c *callers) key() ident.Key {
-	if c.rng.IntN(hotShare) == 0 {
-		return c.hot()
+func (c *callers) randomKey() ident.Key {
+	if c.rng.IntN(hotOneIn) == 0 {
+		return c.hotKey()
 	}
-	return ident.Key(fmt.Sprintf("%s-%d", c.site.noun, c.rng.IntN(c.site.keys)))
+	return ident.Key(fmt.Sprintf("%s-%d", c.site.keyNoun, c.rng.IntN(c.site.keyCount)))
 }
 
-func (c *callers) id(kind class) ident.Request {
-	return ident.Request(fmt.Sprintf("%s-%s-%d", c.site.noun, kind, c.n.Add(1)))
+func (c *callers) newID(kind class) ident.Request {
+	return ident.Request(fmt.Sprintf("%s-%s-%d", c.site.keyNoun, kind, c.lastID.Add(1)))
 }
 
-// lookup asks for a key, and goes on asking while there is no answer: the time
-// until there is one is what the key was unavailable for.
+// lookup requests a key and retries until the request succeeds. The time until then is
+// the time for which the key was unavailable.
 func (c *callers) lookup() {
-	a := attempt{class: lookup, id: c.id(lookup), key: c.key()}
-	path := fmt.Sprintf("/%s/%s", c.site.noun, a.key)
+	a := attempt{class: classLookup, id: c.newID(classLookup), key: c.randomKey()}
+	path := fmt.Sprintf("/%s/%s", c.site.keyNoun, a.key)
 	c.group.Go(func(context.Context) error {
-		for range lookupTries {
+		for range maxLookupTries {
 			c.send(&a, http.MethodGet, path, nil)
-			if a.ok() || !group.Sleep(c.ctx, askAgain) {
+			if a.ok() || !group.Sleep(c.ctx, lookupRetryDelay) {
 				return nil
 			}
 		}
@@ -153,12 +154,12 @@
 	})
 }
 
-// submit sends a receipt or a sanction. Some callers send it again at once,
-// through another entry VM, as impatient ones do; all send it again while the
-// answer is that it did not run.
+// submit sends a submission, which must run at most once. Some callers send it twice at
+// the same time, through different entry VMs. All repeat it while the answer says that it
+// did not run.
 func (c *callers) submit() {
-	a := attempt{class: submit, id: c.id(submit), key: c.key()}
-	path := fmt.Sprintf("/%s/%s/%s", c.site.noun, a.key, c.site.once.name)
+	a := attempt{class: classSubmission, id: c.newID(classSubmission), key: c.randomKey()}
+	path := fmt.Sprintf("/%s/%s/%s", c.site.keyNoun, a.key, c.site.submissions.name)
 	send := func(a attempt) {
 		const tries = 5
 		for range tries {
@@ -169,7 +170,7 @@
 		}
 	}
 	copies := 1
-	if c.rng.IntN(repeated) == 0 {
+	if c.rng.IntN(repeatOneIn) == 0 {
 		copies = 2
 	}
 	for range copies {
@@ -181,20 +182,20 @@
 }
 
 func (c *callers) upload() {
-	a := attempt{class: uploads, id: c.id(uploads), key: ident.Key("batch-" + strconv.FormatInt(c.n.Load(), 10))}
-	body := bytes.Repeat([]byte("sugar and beet\n"), uploadSize/15)
+	a := attempt{class: classUpload, id: c.newID(classUpload), key: ident.Key("batch-" + strconv.FormatInt(c.lastID.Load(), 10))}
+	body := bytes.Repeat([]byte("sugar and beet\n"), uploadBytes/15)
 	c.group.Go(func(context.Context) error {
 		c.send(&a, http.MethodPut, "/upload/"+string(a.key), body)
 		return nil
 	})
 }
 
-// burst sends many uploads at once whose callers will not wait: more than the
-// service can do in that time, so some must be refused.
-func (c *callers) burst() {
-	body := bytes.Repeat([]byte("x"), burstSize)
+// sendBurst sends many uploads with a short deadline at once. The service cannot process
+// all of them in that time, so some must be refused.
+func (c *callers) sendBurst() {
+	body := bytes.Repeat([]byte("x"), burstBytes)
 	for range burstCount {
-		a := attempt{class: hurried, id: c.id(hurried), within: burstWithin}
+		a := attempt{class: classHurried, id: c.newID(classHurried), timeout: burstTimeout}
 		c.group.Go(func(context.Context) error {
 			c.send(&a, http.MethodPut, "/upload/hurried", body)
 			return nil
@@ -202,55 +203,56 @@
 	}
 }
 
-// long starts uploads through one entry VM that take a while.
-func (c *callers) long(vm int) {
-	for range longCount {
-		a := attempt{class: uploads, id: c.id(uploads), vm: vm}
+// startSlowUploads starts uploads through one entry VM that take slowWork each.
+func (c *callers) startSlowUploads(vm int) {
+	for range slowCount {
+		a := attempt{class: classUpload, id: c.newID(classUpload), vm: vm}
 		c.group.Go(func(context.Context) error {
-			c.sendTo(&a, http.MethodPut, "/upload/slow?"+origin.ParamWork+"="+longWork.String(), []byte("slow"))
+			c.sendTo(&a, http.MethodPut, "/upload/slow?"+origin.ParamWork+"="+slowWork.String(), []byte("slow"))
 			return nil
 		})
 	}
 }
 
-// send makes one attempt through the next entry VM.
+// send makes one attempt through the next ready entry VM.
 func (c *callers) send(a *attempt, method, path string, body []byte) {
-	a.vm = c.pick()
+	a.vm = c.pickVM()
 	c.sendTo(a, method, path, body)
 }
 
-// sendTo makes one attempt and notes it.
+// sendTo makes one attempt through the entry VM a.vm and records it.
 func (c *callers) sendTo(a *attempt, method, path string, body []byte) {
-	a.start, a.status, a.ran, a.whole, a.cut = time.Now(), 0, "", false, false
+	a.start, a.status, a.ran, a.intact, a.connBroke = time.Now(), 0, "", false, false
 	url := "http://" + c.site.vms[a.vm].Callers().String() + path
 	r, err := http.NewRequestWithContext(c.ctx, method, url, bytes.NewReader(body))
 	if err == nil {
 		r.Header.Set(relay.HeaderID, string(a.id))
-		if a.within > 0 {
-			r.Header.Set(relay.HeaderDeadline, strconv.FormatInt(a.within.Milliseconds(), 10))
+		if a.timeout > 0 {
+			r.Header.Set(relay.HeaderDeadline, strconv.FormatInt(a.timeout.Milliseconds(), 10))
 		}
 		r.Header.Set(relay.HeaderCaller, callerOf(a.id))
-		c.receive(a, r, len(body))
+		c.roundTrip(a, r, len(body))
 	}
 	a.took = time.Since(a.start)
 	c.mu.Lock()
-	c.all = append(c.all, *a)
+	c.attempts = append(c.attempts, *a)
 	c.mu.Unlock()
 }
 
-// callerOf spreads the requests over as many callers as a small site has. All from
-// one would be a hot caller, who is held to a fair share and refused beyond it.
+// callerOf distributes the requests over 97 callers, as many as a small site has. A
+// single caller would be limited to its fair share and refused beyond it.
 func callerOf(id ident.Request) string {
-	const callers = 97
+	const callerCount = 97
 	h := fnv.New32a()
 	h.Write([]byte(id))
-	return "caller-" + strconv.Itoa(int(h.Sum32()%callers))
+	return "caller-" + strconv.Itoa(int(h.Sum32()%callerCount))
 }
 
-// pick takes the entry VMs in turn and passes over those that are not ready.
-func (c *callers) pick() int {
+// pickVM returns the next ready entry VM in round-robin order. If none is ready, it
+// returns the next one.
+func (c *callers) pickVM() int {
 	n := len(c.site.vms)
-	first := int(c.turn.Add(1)) % n
+	first := int(c.nextVM.Add(1)) % n
 	for i := range n {
 		if at := (first + i) % n; c.site.vms[at].Ready() == nil {
 			return at
@@ -259,42 +261,43 @@
 	return first
 }
 
-func (c *callers) receive(a *attempt, r *http.Request, sent int) {
+// roundTrip sends the request and records the outcome in a.
+func (c *callers) roundTrip(a *attempt, r *http.Request, sentBytes int) {
 	resp, err := c.client.Do(r)
 	if err != nil {
-		a.cut = !refused(err)
+		a.connBroke = !dialFailed(err)
 		a.ran = kinds.RanUnknown
-		if !a.cut {
+		if !a.connBroke {
 			a.ran = kinds.RanNo
 		}
 		return
 	}
 	defer resp.Body.Close()
 	sum := fnv.New64a()
-	text, err := io.ReadAll(io.TeeReader(resp.Body, sum))
+	answer, err := io.ReadAll(io.TeeReader(resp.Body, sum))
 	a.status, a.ran = resp.StatusCode, kinds.Ran(resp.Header.Get(kinds.HeaderRan))
 	if err != nil {
-		a.cut, a.ran = true, kinds.RanUnknown
+		a.connBroke, a.ran = true, kinds.RanUnknown
 		return
 	}
 	if !a.ok() {
 		return
 	}
 	a.ran = kinds.RanYes
-	a.whole = strings.Contains(string(text), "served "+string(a.id)+" ") &&
+	a.intact = strings.Contains(string(answer), "served "+string(a.id)+" ") &&
 		resp.Trailer.Get(origin.TrailerSum) == fmt.Sprintf("%x", sum.Sum64()) &&
-		(sent == 0 || resp.Header.Get(origin.HeaderBytes) == strconv.Itoa(sent)) &&
-		(a.class != lookup || strings.Contains(string(text), "key="+string(a.key)+"\n"))
+		(sentBytes == 0 || resp.Header.Get(origin.HeaderBytes) == strconv.Itoa(sentBytes)) &&
+		(a.class != classLookup || strings.Contains(string(answer), "key="+string(a.key)+"\n"))
 }
 
-// refused reports whether the connection was never opened.
-func refused(err error) bool {
+// dialFailed reports whether the connection was never opened.
+func dialFailed(err error) bool {
 	var op *net.OpError
 	return errors.As(err, &op) && op.Op == "dial"
 }
 
-func (c *callers) attempts() []attempt {
+func (c *callers) snapshot() []attempt {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return append([]attempt(nil), c.all...)
+	return append([]attempt(nil), c.attempts...)
 }
--- a/internal/admin/demo/callers_test.go
+++ b/internal/admin/demo/callers_test.go
@@ -12,9 +12,8 @@
 	"hawthornfield.org/hawthornfield/internal/core/ident"
 )
 
-// If all requests name one caller, the demonstration's callers are held to one
-// caller's fair share as soon as a queue stands, and are refused where as many real
-// ones would be served.
+// Guards against requests that all name the same caller: as soon as requests queue, that
+// caller would be limited to its fair share and refused, where many callers are served.
 func TestRequestsComeFromManyCallers(t *testing.T) {
 	sent := map[string]int{}
 	for i := range 1000 {
@@ -26,10 +25,11 @@
 	}
 }
 
-// A run whose callers got no answers went on for minutes, also after it was told to end.
+// Guards against a run that goes on for minutes when callers get no answers, even after
+// its context was canceled.
 func TestCallersEndWithTheirRun(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		waits := func(c *callers) {
+		addUnanswered := func(c *callers) {
 			c.group.Go(func(context.Context) error {
 				<-c.ctx.Done()
 				return nil
@@ -37,13 +37,13 @@
 		}
 		start := time.Now()
 		c := newCallers(t.Context(), &site{})
-		waits(c)
+		addUnanswered(c)
 		c.drain()
-		assert.Equal(t, time.Since(start), dueWait)
+		assert.Equal(t, time.Since(start), drainTimeout)
 
 		ctx, cancel := context.WithCancel(t.Context())
 		c = newCallers(ctx, &site{})
-		waits(c)
+		addUnanswered(c)
 		cancel()
 		start = time.Now()
 		c.drain()
--- a/internal/admin/demo/print.go
+++ b/internal/admin/demo/print.go
@@ -13,37 +13,37 @@
 	"hawthornfield.org/hawthornfield/internal/core/kinds"
 )
 
-// historyRows is how many submissions of a key are printed.
-const historyRows = 3
+// maxSubmissionRows is how many submissions of a key are printed in its history.
+const maxSubmissionRows = 3
 
-func printAll(w io.Writer, e *evidence, verdicts []verdict) error {
-	u := &e.user
-	fmt.Fprintf(w, "== %s: %d %s, %d %s and %d %s servers in %d data centres, %d entry VMs\n\n", u.name,
-		u.keyed.servers, u.keyed.name, u.once.servers, u.once.name, u.upload.servers, u.upload.name, len(u.centres), e.vms)
+func printReport(w io.Writer, e *evidence, results []checkResult) error {
+	spec := &e.spec
+	fmt.Fprintf(w, "== %s: %d %s, %d %s and %d %s servers in %d data centres, %d entry VMs\n\n", spec.name,
+		spec.lookups.servers, spec.lookups.name, spec.submissions.servers, spec.submissions.name, spec.uploads.servers, spec.uploads.name, len(spec.centres), e.vmCount)
 	printEvents(w, e)
-	if err := printReceived(w, e); err != nil {
+	if err := printAnswers(w, e); err != nil {
 		return err
 	}
 	printFigures(w, e)
 	if err := printHistory(w, e); err != nil {
 		return err
 	}
-	return printVerdicts(w, verdicts)
+	return printResults(w, results)
 }
 
 func printEvents(w io.Writer, e *evidence) {
-	fmt.Fprintf(w, "lost: %s; leaving:", e.lost)
-	for _, name := range slices.Sorted(mapKeys(e.drained)) {
+	fmt.Fprintf(w, "lost: %s; leaving:", e.lostServer)
+	for _, name := range slices.Sorted(mapKeys(e.drainedAt)) {
 		fmt.Fprintf(w, " %s", name)
 	}
 	slowest := time.Duration(0)
-	for _, at := range e.edit.inForce {
-		slowest = max(slowest, at.Sub(e.edit.written))
+	for _, at := range e.ruleEdit.inForceAt {
+		slowest = max(slowest, at.Sub(e.ruleEdit.writtenAt))
 	}
 	fmt.Fprintf(w, "; entry VM %d shut down in %v; rules revision %d accepted after %v and in force everywhere after %v; store away for %v\n\n",
-		e.left+1, e.goneAt.Sub(e.leftAt).Round(time.Millisecond), e.edit.rev,
-		e.edit.accepted.Sub(e.edit.written).Round(time.Millisecond), slowest.Round(time.Millisecond),
-		e.backAt.Sub(e.downAt).Round(time.Millisecond))
+		e.leftVM+1, e.shutdownEnd.Sub(e.shutdownStart).Round(time.Millisecond), e.ruleEdit.rev,
+		e.ruleEdit.acceptedAt.Sub(e.ruleEdit.writtenAt).Round(time.Millisecond), slowest.Round(time.Millisecond),
+		e.outageEnd.Sub(e.outageStart).Round(time.Millisecond))
 }
 
 func mapKeys[K comparable, V any](m map[K]V) func(yield func(K) bool) {
@@ -56,12 +56,12 @@
 	}
 }
 
-// printReceived is what callers received, by class.
-func printReceived(w io.Writer, e *evidence) error {
+// printAnswers prints the outcomes and latencies of the requests by class.
+func printAnswers(w io.Writer, e *evidence) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(t, "callers received\tsent\tanswered\tnot run\tknown before\tunknown\tp50\tp99\tmax\t")
-	for _, c := range []class{lookup, submit, uploads, hurried} {
-		var sent, ok, no, repeat, unknown int
+	for _, c := range []class{classLookup, classSubmission, classUpload, classHurried} {
+		var sent, ok, notRun, repeat, unknown int
 		var took []time.Duration
 		for i := range e.attempts {
 			a := &e.attempts[i]
@@ -74,7 +74,7 @@
 				ok++
 				took = append(took, a.took)
 			case a.ran == kinds.RanNo:
-				no++
+				notRun++
 			case a.status == kinds.Repeated.Answer().Status:
 				repeat++
 			default:
@@ -82,37 +82,39 @@
 			}
 		}
 		slices.Sort(took)
-		fmt.Fprintf(t, "%s\t%d\t%d\t%d\t%d\t%d\t%v\t%v\t%v\t\n", c, sent, ok, no, repeat, unknown, at(took, 50), at(took, 99), at(took, 100))
+		fmt.Fprintf(t, "%s\t%d\t%d\t%d\t%d\t%d\t%v\t%v\t%v\t\n", c, sent, ok, notRun, repeat, unknown, percentile(took, 50), percentile(took, 99), percentile(took, 100))
 	}
 	fmt.Fprintln(t)
 	return t.Flush()
 }
 
-func at(sorted []time.Duration, percent int) time.Duration {
+// percentile returns a percentile of sorted durations, and 0 if there are none.
+func percentile(sorted []time.Duration, percent int) time.Duration {
 	if len(sorted) == 0 {
 		return 0
 	}
 	return sorted[min(len(sorted)-1, len(sorted)*percent/100)].Round(100 * time.Microsecond)
 }
 
-// printFigures shows the three figures that the users measure by.
+// printFigures prints the three figures by which the users measure the router:
+// unavailable time, imbalance and churn.
 func printFigures(w io.Writer, e *evidence) {
-	gaps := unavailable(e)
-	fmt.Fprintf(w, "unavailable time of a key: p50 %v, p99 %v, longest %v (%d keys asked for)\n", at(gaps, 50), at(gaps, 99), at(gaps, 100), len(gaps))
-	fmt.Fprintf(w, "imbalance (most over mean): %.2f of the load in the last quarter, %.2f of the slices\n", loadImbalance(e), imbalance(e))
+	gaps := unavailableTimes(e)
+	fmt.Fprintf(w, "unavailable time of a key: p50 %v, p99 %v, longest %v (%d keys asked for)\n", percentile(gaps, 50), percentile(gaps, 99), percentile(gaps, 100), len(gaps))
+	fmt.Fprintf(w, "imbalance (most over mean): %.2f of the load in the last quarter, %.2f of the slices\n", loadImbalance(e), sliceImbalance(e))
 	moved := len(e.moves)
 	fmt.Fprintf(w, "churn: %d of %d slices moved (%.1f%%); the two servers that went held %.1f%%\n\n",
-		moved, slicesOf(e), 100*float64(moved)/float64(slicesOf(e)), 200/float64(e.user.keyed.servers))
+		moved, sliceCount(e), 100*float64(moved)/float64(sliceCount(e)), 200/float64(e.spec.lookups.servers))
 }
 
-func slicesOf(e *evidence) int { return int(e.table.Slices()) }
+func sliceCount(e *evidence) int { return int(e.finalTable.Slices()) }
 
-// unavailable is for each key the longest time from a caller's question until
-// anybody who asked for it had an answer.
-func unavailable(e *evidence) []time.Duration {
+// unavailableTimes returns, for each key, the longest time from the start of a lookup
+// until the next success of any lookup of the key. The times are sorted.
+func unavailableTimes(e *evidence) []time.Duration {
 	byKey := map[ident.Key][]*attempt{}
 	for i := range e.attempts {
-		if a := &e.attempts[i]; a.class == lookup {
+		if a := &e.attempts[i]; a.class == classLookup {
 			byKey[a.key] = append(byKey[a.key], a)
 		}
 	}
@@ -136,20 +138,20 @@
 	return longest
 }
 
-func imbalance(e *evidence) float64 {
+func sliceImbalance(e *evidence) float64 {
 	counts := map[ident.Server]int{}
-	for x := range e.table.Slices() {
-		counts[e.table.OwnerOf(ident.Slice(x))]++
+	for x := range e.finalTable.Slices() {
+		counts[e.finalTable.OwnerOf(ident.Slice(x))]++
 	}
 	most := 0
 	for _, n := range counts {
 		most = max(most, n)
 	}
-	return float64(most) * float64(len(counts)) / float64(max(slicesOf(e), 1))
+	return float64(most) * float64(len(counts)) / float64(max(sliceCount(e), 1))
 }
 
-// loadImbalance compares what the servers that own keys ran in the last quarter
-// of the run.
+// loadImbalance returns the imbalance of the requests that the owners of slices ran in
+// the last quarter of the run: the most of any server divided by the mean.
 func loadImbalance(e *evidence) float64 {
 	end := lastServed(e)
 	first := end
@@ -159,8 +161,8 @@
 		}
 	}
 	counts := map[ident.Server]int{}
-	for x := range e.table.Slices() {
-		counts[e.table.OwnerOf(ident.Slice(x))] = 0
+	for x := range e.finalTable.Slices() {
+		counts[e.finalTable.OwnerOf(ident.Slice(x))] = 0
 	}
 	total, most := 0, 0
 	for _, s := range e.served {
@@ -174,39 +176,40 @@
 	return float64(most) * float64(len(counts)) / float64(max(total, 1))
 }
 
-// printHistory shows one key's history as an auditor gets it: its moves, and
-// the lookups and submissions around them.
+// printHistory prints an excerpt of one key's history as the report shows it: its moves,
+// the rows directly before and after them, the first lookup and some submissions.
 func printHistory(w io.Writer, e *evidence) error {
-	key, all := busiestMoved(e)
+	key, all := busiestMovedKey(e)
 	fmt.Fprintf(w, "history of %s, read after every entry VM was shut down: %d decisions, among them\n", key, len(all))
-	short := &report.Report{Journals: e.report.Journals, Segments: e.report.Segments, Gaps: e.report.Gaps}
+	excerpt := &report.Report{Journals: e.report.Journals, Segments: e.report.Segments, Gaps: e.report.Gaps}
 	lookups, submissions := 0, 0
 	for i, row := range all {
 		nextMoves := i+1 < len(all) && all[i+1].Action == record.Place
 		show := row.Action == record.Place || nextMoves || i > 0 && all[i-1].Action == record.Place
 		switch {
-		case row.Service == e.user.once.name:
+		case row.Service == e.spec.submissions.name:
 			submissions++
-			show = show || submissions <= historyRows
+			show = show || submissions <= maxSubmissionRows
 		case row.Action == record.Route:
 			lookups++
 			show = show || lookups == 1
 		}
 		if show {
-			short.Rows = append(short.Rows, row)
+			excerpt.Rows = append(excerpt.Rows, row)
 		}
 	}
-	return short.WriteTable(w)
+	return excerpt.WriteTable(w)
 }
 
-// busiestMoved finds the key with the most decisions among those that moved.
-func busiestMoved(e *evidence) (ident.Key, []report.Row) {
+// busiestMovedKey returns the key with the most decisions among the keys that moved, and
+// its rows in the report.
+func busiestMovedKey(e *evidence) (ident.Key, []report.Row) {
 	moved := map[ident.Slice]bool{}
 	for _, m := range e.moves {
 		moved[m.Slice] = true
 	}
 	n, most := map[ident.Key]int{}, ident.Key("")
-	sliceOf := func(k ident.Key) ident.Slice { return ident.SliceOf(k, e.table.Slices()) }
+	sliceOf := func(k ident.Key) ident.Slice { return ident.SliceOf(k, e.finalTable.Slices()) }
 	for i := range e.report.Rows {
 		k := e.report.Rows[i].Key
 		if k == "" || !moved[sliceOf(k)] {
@@ -219,26 +222,26 @@
 	}
 	var rows []report.Row
 	for _, row := range e.report.Rows {
-		if row.Key == most || row.Action == record.Place && row.Service == e.user.keyed.name && row.Slice == sliceOf(most) {
+		if row.Key == most || row.Action == record.Place && row.Service == e.spec.lookups.name && row.Slice == sliceOf(most) {
 			rows = append(rows, row)
 		}
 	}
 	return most, rows
 }
 
-func printVerdicts(w io.Writer, all []verdict) error {
+func printResults(w io.Writer, all []checkResult) error {
 	fmt.Fprintln(w)
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(t, "WHAT MUST ALWAYS HOLD\tCHECKS\t")
-	for _, v := range all {
-		word := "held"
+	for _, r := range all {
+		status := "held"
 		switch {
-		case len(v.broken) > 0:
-			word = fmt.Sprintf("BROKEN %d times: %s", len(v.broken), v.broken[0])
-		case v.checks == 0:
-			word = "NOT CHECKED"
+		case len(r.failures) > 0:
+			status = fmt.Sprintf("BROKEN %d times: %s", len(r.failures), r.failures[0])
+		case r.checks == 0:
+			status = "NOT CHECKED"
 		}
-		fmt.Fprintf(t, "%s\t%d\t%s\n", v.promise, v.checks, word)
+		fmt.Fprintf(t, "%s\t%d\t%s\n", r.promise, r.checks, status)
 	}
 	fmt.Fprintln(t)
 	return t.Flush()
--- a/internal/admin/demo/site.go
+++ b/internal/admin/demo/site.go
@@ -1,11 +1,16 @@
-// Package demo is the embedded default of the program: the surroundings of both
-// users at their real sizes in one process, several entry VMs, and a short mixed
-// run in which servers are lost and drained, an entry VM leaves and the rules
-// change. It ends by itself, and succeeds only if every promise was checked and
-// held.
+// Package demo implements the command "hawthorn demo". It runs the sites of both users
+// at their real sizes in one process: a fake platform, fake backend servers, and several
+// entry VMs. During a short run with mixed requests, servers are lost and drained, an
+// entry VM is shut down, the rules change and the store has an outage. The run succeeds
+// only if every promise of the router was checked and held.
 //
-// The judges read the stand-in backend servers' own records and what the
-// callers received, never the router's view of itself.
+// The checks use the fake backend servers' own records, the store's history and what
+// callers received. The router's own account is not trusted: its report is itself checked
+// against these.
+//
+// site.go starts a site, callers.go sends the requests, scenario.go triggers the events
+// and collects the evidence, tables.go reads the history of the ownership table, checks.go
+// checks the promises, and print.go prints the results.
 package demo
 
 import (
@@ -33,146 +38,149 @@
 	"hawthornfield.org/hawthornfield/internal/rules/save"
 )
 
-// user is one user's site: sizes, and what its callers ask for.
-type user struct {
-	name    string
-	centres []ident.Centre
-	slots   int
-	conns   int
-	keyed   service // lookups, divided by key
-	once    service // receipts, at most once
-	upload  service
-	keys    int // scales or wards
-	noun    string
+// siteSpec describes one user's site: its size, services and keys.
+type siteSpec struct {
+	name        string
+	centres     []ident.Centre
+	slots       int
+	conns       int
+	lookups     service // divided by key
+	submissions service // each runs at most once
+	uploads     service
+	keyCount    int
+	keyNoun     string // what a key names; used in paths and keys
 }
 
+// service describes one service of a site. Each request takes a backend server workTime.
 type service struct {
-	name    ident.Service
-	servers int
-	work    time.Duration
-	rate    int // requests a second
+	name     ident.Service
+	servers  int
+	workTime time.Duration
+	rate     int // requests a second
 }
 
-// users are the sizes of today. The rates are what one process can serve beside
-// everything else that runs in it.
-var users = []user{
+// siteSpecs are the users' sites at their current sizes. The rates are what one process
+// can serve while it runs everything else of the demonstration, too.
+var siteSpecs = []siteSpec{
 	{
-		name: "Columbia Basin", centres: []ident.Centre{"ground-1", "ground-2", "ground-3"}, slots: 4, conns: 100, keys: 300, noun: "scale",
-		keyed:  service{"lookup", 16, 5 * time.Millisecond, 250},
-		once:   service{"receipts", 8, 10 * time.Millisecond, 20},
-		upload: service{"lab", 6, 40 * time.Millisecond, 4},
+		name: "Columbia Basin", centres: []ident.Centre{"ground-1", "ground-2", "ground-3"}, slots: 4, conns: 100, keyCount: 300, keyNoun: "scale",
+		lookups:     service{"lookup", 16, 5 * time.Millisecond, 250},
+		submissions: service{"receipts", 8, 10 * time.Millisecond, 20},
+		uploads:     service{"lab", 6, 40 * time.Millisecond, 4},
 	},
 	{
-		name: "Kayalpadam", centres: []ident.Centre{"tvm", "kollam", "kochi", "kozhikode"}, slots: 2, conns: 45, keys: 400, noun: "ward",
-		keyed:  service{"forecast", 17, 5 * time.Millisecond, 250},
-		once:   service{"sanction", 10, 10 * time.Millisecond, 20},
-		upload: service{"intake", 8, 40 * time.Millisecond, 4},
+		name: "Kayalpadam", centres: []ident.Centre{"tvm", "kollam", "kochi", "kozhikode"}, slots: 2, conns: 45, keyCount: 400, keyNoun: "ward",
+		lookups:     service{"forecast", 17, 5 * time.Millisecond, 250},
+		submissions: service{"sanction", 10, 10 * time.Millisecond, 20},
+		uploads:     service{"intake", 8, 40 * time.Millisecond, 4},
 	},
 }
 
-// keyParts is how many slices the keys hash to. It is small so that moves of a
-// short run can be read.
-const keyParts = 512
+// lookupSlices is the number of slices of the service for lookups. It is small, so that
+// the list of moves of a short run stays readable.
+const lookupSlices = 512
 
-// site is a user's platform, backend servers and entry VMs, running.
+// site is the running platform, backend servers and entry VMs of one user.
 type site struct {
-	user
-	api     *objapi.API
-	store   *objcli.Client
-	at      netip.AddrPort
-	record  *origin.Record // what the backend servers ran, by their own word
-	origins map[ident.Server]*origin.Origin
-	names   map[ident.Service][]ident.Server
-	vms     []*daemon.Daemon
-	log     *slog.Logger
-	group   group.Group
+	siteSpec
+	api         *objapi.API
+	store       *objcli.Client
+	storeAddr   netip.AddrPort
+	runLog      *origin.Record // what the backend servers ran, by their own account
+	origins     map[ident.Server]*origin.Origin
+	serverNames map[ident.Service][]ident.Server
+	vms         []*daemon.Daemon
+	log         *slog.Logger
+	group       group.Group
 }
 
-// open starts everything of a user but its callers.
-func open(ctx context.Context, u user, log *slog.Logger) (*site, error) {
+// startSite starts the platform, the backend servers and the entry VMs of a site. The
+// caller must close the site, also after an error.
+func startSite(ctx context.Context, spec siteSpec, log *slog.Logger) (*site, error) {
 	s := &site{
-		user: u, api: objapi.New(), record: &origin.Record{}, log: log,
-		origins: map[ident.Server]*origin.Origin{}, names: map[ident.Service][]ident.Server{},
+		siteSpec: spec, api: objapi.New(), runLog: &origin.Record{}, log: log,
+		origins: map[ident.Server]*origin.Origin{}, serverNames: map[ident.Service][]ident.Server{},
 	}
-	s.api.RecordHistory(tableName(u.keyed.name))
-	if err := s.platform(); err != nil {
+	s.api.RecordHistory(tableObject(spec.lookups.name))
+	if err := s.startPlatform(); err != nil {
 		return s, err
 	}
 	var services []config.Service
-	for _, svc := range []service{u.keyed, u.once, u.upload} {
-		c, err := s.servers(svc, svc == u.keyed)
+	for _, svc := range []service{spec.lookups, spec.submissions, spec.uploads} {
+		c, err := s.startServers(svc, svc == spec.lookups)
 		if err != nil {
 			return s, err
 		}
 		services = append(services, c)
 	}
-	if _, err := s.accept(ctx, 0, s.rules("2s")); err != nil {
+	if _, err := s.replaceRules(ctx, 0, s.rulesTOML("2s")); err != nil {
 		return s, err
 	}
-	return s, s.entries(ctx, services)
+	return s, s.startVMs(ctx, services)
 }
 
-// close ends what open started. Entry VMs that were closed before stay closed.
+// close stops everything that startSite started and returns the first error. Closing an
+// entry VM again has no effect.
 func (s *site) close() error {
-	var first error
-	note := func(err error) {
-		if first == nil {
-			first = err
+	var firstErr error
+	keepFirst := func(err error) {
+		if firstErr == nil {
+			firstErr = err
 		}
 	}
 	for _, d := range s.vms {
-		note(d.Close())
+		keepFirst(d.Close())
 	}
 	for _, o := range s.origins {
-		note(o.Close())
+		keepFirst(o.Close())
 	}
-	note(s.group.Close())
-	return first
+	keepFirst(s.group.Close())
+	return firstErr
 }
 
-func (s *site) platform() error {
-	l, err := net.ListenTCP("tcp4", net.TCPAddrFromAddrPort(local))
+func (s *site) startPlatform() error {
+	l, err := net.ListenTCP("tcp4", net.TCPAddrFromAddrPort(loopback))
 	if err != nil {
 		return kinds.Wrap(kinds.Internal, err, "listen")
 	}
-	s.at = l.Addr().(*net.TCPAddr).AddrPort()
-	s.store = objcli.New(s.at)
-	web := &http.Server{Handler: s.api.Handler(), ReadHeaderTimeout: time.Second}
+	s.storeAddr = l.Addr().(*net.TCPAddr).AddrPort()
+	s.store = objcli.New(s.storeAddr)
+	srv := &http.Server{Handler: s.api.Handler(), ReadHeaderTimeout: time.Second}
 	s.group.Go(func(ctx context.Context) error {
-		defer context.AfterFunc(ctx, func() { _ = web.Close() })()
-		_ = web.Serve(l)
+		defer context.AfterFunc(ctx, func() { _ = srv.Close() })()
+		_ = srv.Serve(l)
 		return nil
 	})
 	return nil
 }
 
-var local = netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 0, 0, 1}), 0)
+var loopback = netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 0, 0, 1}), 0)
 
-func (s *site) servers(svc service, keyed bool) (config.Service, error) {
+func (s *site) startServers(svc service, keyed bool) (config.Service, error) {
 	c := config.Service{Name: svc.name, Divided: keyed}
 	if keyed {
-		c.Slices = keyParts
+		c.Slices = lookupSlices
 	}
 	for i := range svc.servers {
 		name := ident.Server(fmt.Sprintf("%s-%02d", svc.name, i+1))
 		centre := s.centres[i%len(s.centres)]
 		o := origin.New(origin.Config{
 			Service: svc.name, Server: name, Centre: centre, Keyed: keyed, Slices: c.Slices, Slots: s.slots, Queue: s.slots,
-			Conns: s.conns, ConnectDelay: time.Millisecond, Work: svc.work, Record: s.record,
+			Conns: s.conns, ConnectDelay: time.Millisecond, Work: svc.workTime, Record: s.runLog,
 		})
 		at, err := o.Start()
 		if err != nil {
 			return c, err
 		}
 		s.origins[name] = o
-		s.names[svc.name] = append(s.names[svc.name], name)
+		s.serverNames[svc.name] = append(s.serverNames[svc.name], name)
 		c.Servers = append(c.Servers, config.Server{Name: name, Data: at, Control: at, Centre: centre, Slots: s.slots, Conns: s.conns})
 	}
 	return c, nil
 }
 
-// rules renders the site's rules; the deadline of lookups is what the run edits.
-func (s *site) rules(deadline string) string {
+// rulesTOML returns the site's rules. The scenario edits the deadline of lookups.
+func (s *site) rulesTOML(deadline string) string {
 	return fmt.Sprintf(`[[rule]]
 name = "lookups"
 when = { method = ["GET"], path = "/%[1]s/{key}" }
@@ -185,11 +193,12 @@
 name = "uploads"
 when = { method = ["PUT"], path = "/upload/{rest...}" }
 then = { service = %[4]q, size = "long", class = "bulk", deadline = "10s" }
-`, s.noun, s.keyed.name, s.once.name, s.upload.name, deadline)
+`, s.keyNoun, s.lookups.name, s.submissions.name, s.uploads.name, deadline)
 }
 
-// accept replaces the rules, as an operator does, and returns the revision.
-func (s *site) accept(ctx context.Context, seen ident.Revision, text string) (ident.Revision, error) {
+// replaceRules replaces the rules, as an operator would, and returns the new revision.
+// seen is the revision that the edit is based on.
+func (s *site) replaceRules(ctx context.Context, seen ident.Revision, text string) (ident.Revision, error) {
 	f, err := match.Parse([]byte(text))
 	if err != nil {
 		return 0, err
@@ -204,27 +213,27 @@
 	return rec.Rev, nil
 }
 
-// held waits until more than half of the entry VMs are known to hold a revision.
-func (s *site) held(ctx context.Context, rev ident.Revision) (quorum.Record, error) {
-	ctx, cancel := context.WithTimeout(ctx, rulesWithin)
+// awaitQuorum waits until more than half of the entry VMs are known to hold a revision.
+func (s *site) awaitQuorum(ctx context.Context, rev ident.Revision) (quorum.Record, error) {
+	ctx, cancel := context.WithTimeout(ctx, rulesDeadline)
 	defer cancel()
 	return save.Await(ctx, s.store, rev)
 }
 
-// entries starts one entry VM in each data centre.
-func (s *site) entries(ctx context.Context, services []config.Service) error {
+// startVMs starts one entry VM in each data centre.
+func (s *site) startVMs(ctx context.Context, services []config.Service) error {
 	ca, err := certs.NewAuthority(time.Hour)
 	if err != nil {
 		return err
 	}
 	for i, centre := range s.centres {
-		vm := ident.VM(fmt.Sprintf("%s-vm-%d", s.noun, i+1))
-		pem, err := ca.Issue(vm, local.Addr())
+		vm := ident.VM(fmt.Sprintf("%s-vm-%d", s.keyNoun, i+1))
+		pem, err := ca.Issue(vm, loopback.Addr())
 		if err != nil {
 			return err
 		}
-		cfg := config.Config{VM: vm, Centre: centre, Services: services, Platform: config.Platform{Objects: s.at}}
-		d, err := daemon.New(cfg, daemon.WithPEM(pem), daemon.WithLog(s.log), daemon.WithShutdownDelay(notice))
+		cfg := config.Config{VM: vm, Centre: centre, Services: services, Platform: config.Platform{Objects: s.storeAddr}}
+		d, err := daemon.New(cfg, daemon.WithPEM(pem), daemon.WithLog(s.log), daemon.WithShutdownDelay(shutdownDelay))
 		if err != nil {
 			return err
 		}
@@ -237,12 +246,13 @@
 	return nil
 }
 
-// notice is how long a leaving entry VM waits for the balancer.
-const notice = 500 * time.Millisecond
+// shutdownDelay is how long an entry VM that shuts down still accepts requests, until the
+// load balancer has stopped sending it new ones.
+const shutdownDelay = 500 * time.Millisecond
 
-// ready waits until every entry VM serves.
-func (s *site) ready(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, readyWait)
+// awaitReady waits until all entry VMs are ready.
+func (s *site) awaitReady(ctx context.Context) error {
+	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
 	for _, d := range s.vms {
 		for d.Ready() != nil {
@@ -254,4 +264,5 @@
 	return nil
 }
 
-const readyWait = 10 * time.Second
+// readyTimeout limits the wait until the entry VMs are ready.
+const readyTimeout = 10 * time.Second
--- a/internal/admin/demo/owners.go
+++ b/internal/admin/demo/tables.go
@@ -12,49 +12,50 @@
 	"hawthornfield.org/hawthornfield/internal/owner/table"
 )
 
-// agreed is a table and the moment at which the store took it.
-type agreed struct {
+// storedTable is one version of an ownership table and the time when it was stored.
+type storedTable struct {
 	table.Table
-	at time.Time
+	storedAt time.Time
 }
 
-// tablesOf reads what the store kept of a service's table.
-func tablesOf(kept []objapi.Written) ([]agreed, error) {
-	var all []agreed
-	for _, w := range kept {
+// decodeTables decodes the history of a table's object in the store.
+func decodeTables(written []objapi.Written) ([]storedTable, error) {
+	var all []storedTable
+	for _, w := range written {
 		t, err := table.Decode(w.Value)
 		if err != nil {
-			return nil, kinds.Wrap(kinds.Malformed, err, "a table that the store has kept")
+			return nil, kinds.Wrap(kinds.Malformed, err, "decode a table from the store's history")
 		}
-		all = append(all, agreed{t, w.At})
+		all = append(all, storedTable{t, w.At})
 	}
 	return all, nil
 }
 
-// ownerAt returns the server that the store named as a key's owner at a moment,
-// "" when it named none.
+// ownerAt returns the owner of a key according to the table that was in the store at the
+// given time, or "" if there was none.
 func (e *evidence) ownerAt(key ident.Key, at time.Time) ident.Server {
-	n := sort.Search(len(e.tables), func(i int) bool { return e.tables[i].at.After(at) })
+	n := sort.Search(len(e.tableHistory), func(i int) bool { return e.tableHistory[i].storedAt.After(at) })
 	if n == 0 {
 		return ""
 	}
-	t := e.tables[n-1]
-	if owner, apart := t.HotOwner(key); apart {
+	t := e.tableHistory[n-1]
+	if owner, isHot := t.HotOwner(key); isHot {
 		return owner
 	}
 	return t.OwnerOf(ident.SliceOf(key, t.Slices()))
 }
 
-// step is a slice's way from one server to another, in one table.
+// step is the change of a slice's owner between two consecutive tables.
 type step struct {
 	from, to ident.Server
 	rev      ident.Revision
 }
 
-// steps are those of each slice, in the store's order.
+// steps holds the steps of each slice in the order of the tables.
 type steps map[ident.Slice][]step
 
-func stepsOf(tables []agreed) steps {
+// stepsBetween returns the steps between consecutive tables.
+func stepsBetween(tables []storedTable) steps {
 	all := steps{}
 	for i := 1; i < len(tables); i++ {
 		older, newer := tables[i-1].Table, tables[i].Table
@@ -67,9 +68,9 @@
 	return all
 }
 
-// take finds the step that a logged move tells of and takes it out, so that two
-// logged moves need two steps. A move is logged under the table that made it or
-// a later one.
+// take removes the step that corresponds to a logged move and reports whether there was
+// one. Because it is removed, two logged moves need two steps. A move is logged with the
+// revision of the table that made it or of a later one.
 func (s steps) take(m record.Decision) bool {
 	list := s[m.Slice]
 	i := slices.IndexFunc(list, func(t step) bool { return t.from == m.PrevOwner && t.to == m.Server && t.rev <= m.Rev })
