--- a/internal/admin/bench/bench_test.go
+++ b/internal/admin/bench/bench_test.go
@@ -38,7 +38,7 @@
 	svg, err := os.ReadFile(filepath.Join(dir, "curve.svg"))
 	assert.NilError(t, err)
 	assert.Assert(t, strings.Contains(string(svg), "<svg"))
-	back, err := Read(filepath.Join(dir, RawFile))
+	back, err := Read(filepath.Join(dir, ResultsFile))
 	assert.NilError(t, err)
 	assert.DeepEqual(t, back, r)
 }
--- a/internal/admin/bench/control.go
+++ b/internal/admin/bench/control.go
@@ -10,19 +10,20 @@
 	"hawthornfield.org/hawthornfield/internal/core/group"
 )
 
-// How long the fleet settles before the measurement, and is measured.
+// The fleet runs for settleTime before it is measured for controlTime.
 const (
-	controlSettle = 16 * time.Second // after the seats are even
-	controlSpan   = 20 * time.Second
-	controlQuick  = 3 * time.Second
+	settleTime       = 16 * time.Second // by then the authorities over servers are spread evenly over the VMs
+	controlTime      = 20 * time.Second
+	controlTimeQuick = 3 * time.Second // for both, in a quick run
 )
 
-// Control measures what entry VMs cost that have no requests: whole daemons at
-// today's size, with their surroundings, in one process.
+// Control measures the cost of entry VMs without requests: traffic, processor time and
+// memory. It runs complete daemons at the size of today's fleet in one process, together
+// with a fake platform and fake backend servers.
 func Control(ctx context.Context, o Options) (Section, error) {
-	settle, span := controlSettle, controlSpan
+	settle, span := settleTime, controlTime
 	if o.Quick {
-		settle, span = controlQuick, controlQuick
+		settle, span = controlTimeQuick, controlTimeQuick
 	}
 	s := Section{
 		Title: "Control traffic of idle entry VMs",
@@ -43,68 +44,68 @@
 			return s, err
 		}
 	}
-	s.control(measured(ctx, f, span))
+	s.addControl(measureFleet(ctx, f, span))
 	return s, ctx.Err()
 }
 
-// spent is what one span cost.
-type spent struct {
-	span  time.Duration
-	cpu   time.Duration
-	heap  float64
-	tasks int
-	sides []side
+// fleetCost is what the fleet used during one measurement.
+type fleetCost struct {
+	span       time.Duration
+	cpu        time.Duration
+	heap       float64
+	goroutines int
+	links      []linkTraffic
 }
 
-// side is the traffic of all VMs on one kind of link.
-type side struct {
+// linkTraffic is the traffic of the VMs on one kind of link.
+type linkTraffic struct {
 	name            string
-	messages, bytes float64 // a second and VM
-	most            float64 // bytes a second of the busiest VM
+	messages, bytes float64 // per second and VM
+	busiest         float64 // bytes per second of the busiest VM
 }
 
-func measured(ctx context.Context, f *fleet, span time.Duration) spent {
-	before, cpu, start := f.read(), processTime(), time.Now()
+func measureFleet(ctx context.Context, f *fleet, span time.Duration) fleetCost {
+	before, cpu, start := f.readMeters(), cpuTime(), time.Now()
 	f.wait(ctx, span)
-	after := f.read()
+	after := f.readMeters()
 	took := time.Since(start)
-	r := spent{span: took, cpu: processTime() - cpu, tasks: runtime.NumGoroutine()}
-	r.heap = live()
-	for i, name := range meterNames {
-		x := side{name: name}
+	cost := fleetCost{span: took, cpu: cpuTime() - cpu, goroutines: runtime.NumGoroutine()}
+	cost.heap = liveMemory()
+	for i, name := range linkNames {
+		link := linkTraffic{name: name}
 		for vm := range after {
-			d := after[vm][i].less(before[vm][i])
-			x.messages += float64(d.messages) / took.Seconds() / controlVMs
-			x.bytes += float64(d.bytes) / took.Seconds() / controlVMs
-			x.most = max(x.most, float64(d.bytes)/took.Seconds())
+			d := after[vm][i].minus(before[vm][i])
+			link.messages += float64(d.messages) / took.Seconds() / controlVMs
+			link.bytes += float64(d.bytes) / took.Seconds() / controlVMs
+			link.busiest = max(link.busiest, float64(d.bytes)/took.Seconds())
 		}
-		r.sides = append(r.sides, x)
+		cost.links = append(cost.links, link)
 	}
-	return r
+	return cost
 }
 
-func (s *Section) control(r spent) {
+func (s *Section) addControl(cost fleetCost) {
 	t := Table{Head: []string{"link", "messages/s and VM", "bytes/s and VM", "busiest VM, bytes/s"}}
 	var sum float64
-	for _, x := range r.sides {
-		t.Rows = append(t.Rows, []string{x.name, round(x.messages), round(x.bytes), round(x.most)})
+	for _, link := range cost.links {
+		t.Rows = append(t.Rows, []string{link.name, round(link.messages), round(link.bytes), round(link.busiest)})
 		s.Figures = append(s.Figures,
-			Figure{Name: x.name + ", messages of a VM", Value: x.messages, Unit: "a second", Better: Lower},
-			Figure{Name: x.name + ", bytes of a VM", Value: x.bytes, Unit: "a second", Better: Lower},
+			Figure{Name: link.name + ", messages of a VM", Value: link.messages, Unit: "a second", Better: Lower},
+			Figure{Name: link.name + ", bytes of a VM", Value: link.bytes, Unit: "a second", Better: Lower},
 		)
-		sum += x.bytes
+		sum += link.bytes
 	}
 	s.Tables = append(s.Tables, t)
 	s.Figures = append(s.Figures,
 		Figure{Name: "all links, bytes of a VM", Value: sum, Unit: "a second", Better: Lower, Target: "<= 5000"},
-		Figure{Name: "processor time of a VM, upper bound", Value: 100 * r.cpu.Seconds() / r.span.Seconds() / controlVMs, Unit: "% of a core", Better: Lower, Target: "<= 2.5"},
-		Figure{Name: "heap of a VM, upper bound", Value: r.heap / controlVMs / (1 << 20), Unit: "MB", Better: Lower, Target: "<= 64"},
-		Figure{Name: "goroutines of a VM, upper bound", Value: float64(r.tasks) / controlVMs, Unit: "goroutines", Better: Lower},
+		Figure{Name: "processor time of a VM, upper bound", Value: 100 * cost.cpu.Seconds() / cost.span.Seconds() / controlVMs, Unit: "% of a core", Better: Lower, Target: "<= 2.5"},
+		Figure{Name: "heap of a VM, upper bound", Value: cost.heap / controlVMs / (1 << 20), Unit: "MB", Better: Lower, Target: "<= 64"},
+		Figure{Name: "goroutines of a VM, upper bound", Value: float64(cost.goroutines) / controlVMs, Unit: "goroutines", Better: Lower},
 	)
 }
 
-// processTime is the processor time that this process has used.
-func processTime() time.Duration {
+// cpuTime returns the processor time that this process has used, and 0 if it is unknown.
+func cpuTime() time.Duration {
 	var u syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
 		return 0
@@ -112,7 +113,7 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// wait lets the fleet run.
+// wait lets the fleet run for d or until ctx is done.
 func (f *fleet) wait(ctx context.Context, d time.Duration) {
 	t := time.NewTimer(d)
 	defer t.Stop()
@@ -122,7 +123,7 @@
 	}
 }
 
-// close ends what newFleet started, the entry VMs side by side.
+// close stops everything that newFleet started. The entry VMs shut down concurrently.
 func (f *fleet) close() {
 	var g group.Group
 	for _, vm := range f.vms {
--- a/internal/admin/bench/costs.go
+++ b/internal/admin/bench/costs.go
@@ -20,51 +20,52 @@
 	"hawthornfield.org/hawthornfield/internal/rules/match"
 )
 
-// Sizes of the decisions that are timed.
+// Sizes of the rules and of the table that the timed decisions use.
 const (
 	costRules   = 200
 	costSlices  = 65536
 	costServers = 500
 )
 
-// Costs times the decisions that every request pays for.
+// Costs measures the time and the allocations of the decisions that the router makes for
+// each request.
 func Costs(ctx context.Context, o Options) (Section, error) {
 	s := Section{
 		Title: "What a decision costs",
 		Note:  "Each decision alone on one processor, by testing.Benchmark.",
 	}
-	set, req, err := costSet(costRules)
+	set, req, err := manyRules(costRules)
 	if err != nil {
 		return s, err
 	}
-	view, err := costView()
+	view, err := largeView()
 	if err != nil {
 		return s, err
 	}
 	key := ident.Key("scale-7")
-	s.add("match 200 rules and read the key", "", func(b *testing.B) { matchLoop(b, set, req) })
-	s.add("find the owner among 64k slices", "", func(b *testing.B) {
+	s.addBenchmark("match 200 rules and read the key", "", func(b *testing.B) { benchMatch(b, set, req) })
+	s.addBenchmark("find the owner among 64k slices", "", func(b *testing.B) {
 		for b.Loop() {
 			view.Owner(key)
 		}
 	})
-	s.add("routing decision: both together", "< 1000 ns, 0 allocations", func(b *testing.B) {
+	s.addBenchmark("routing decision: both together", "< 1000 ns, 0 allocations", func(b *testing.B) {
 		for b.Loop() {
 			rule, _ := set.Match(req)
 			k, _ := match.KeyOf(rule, req)
 			view.Owner(k)
 		}
 	})
-	s.add("admission: enter and done", "< 500 ns, 0 allocations", costAdmission)
-	s.add("record a decision", "0 allocations", costRecord)
-	if err := s.matchCurve(o); err != nil {
+	s.addBenchmark("admission: enter and done", "< 500 ns, 0 allocations", benchAdmission)
+	s.addBenchmark("record a decision", "0 allocations", benchRecord)
+	if err := s.addMatchCurve(o); err != nil {
 		return s, err
 	}
 	return s, ctx.Err()
 }
 
-// add times one decision and notes time and allocations.
-func (s *Section) add(name, target string, f func(b *testing.B)) {
+// addBenchmark runs one benchmark and adds its time and allocations to the figures.
+func (s *Section) addBenchmark(name, target string, f func(b *testing.B)) {
 	r := testing.Benchmark(f)
 	s.Figures = append(s.Figures,
 		Figure{Name: name, Value: float64(r.T.Nanoseconds()) / float64(max(r.N, 1)), Unit: "ns", Better: Lower, Target: target},
@@ -72,7 +73,8 @@
 	)
 }
 
-func costSet(n int) (*match.Set, *match.Request, error) {
+// manyRules returns n compiled rules and a request that only the last one matches.
+func manyRules(n int) (*match.Set, *match.Request, error) {
 	rules := make([]match.Rule, n)
 	for i := range rules {
 		id := strconv.Itoa(i)
@@ -86,7 +88,7 @@
 	return set, &match.Request{Method: "GET", Path: "/area" + strconv.Itoa((n-1)/5) + "/scale-7/part" + last, Caller: "hauler"}, err
 }
 
-func matchLoop(b *testing.B, set *match.Set, req *match.Request) {
+func benchMatch(b *testing.B, set *match.Set, req *match.Request) {
 	for b.Loop() {
 		rule, ok := set.Match(req)
 		if !ok {
@@ -98,7 +100,8 @@
 	}
 }
 
-func costView() (*table.View, error) {
+// largeView returns a view of costSlices slices over costServers servers.
+func largeView() (*table.View, error) {
 	names := make([]ident.Server, costServers)
 	for i := range names {
 		names[i] = ident.Server(fmt.Sprintf("lookup-%03d", i))
@@ -115,7 +118,7 @@
 	return table.NewView(t), err
 }
 
-func costAdmission(b *testing.B) {
+func benchAdmission(b *testing.B) {
 	g := gate.New(gate.Config{Service: "lookup"})
 	defer g.Close()
 	var all []gate.ServerInfo
@@ -123,18 +126,18 @@
 		all = append(all, gate.ServerInfo{Name: ident.Server(fmt.Sprint("lookup-", i)), Slots: 4, Conns: 100})
 	}
 	g.SetServers(all)
-	by := time.Now().Add(time.Hour)
+	deadline := time.Now().Add(time.Hour)
 	ctx := context.Background()
 	for b.Loop() {
-		pass, err := g.Enter(ctx, gate.Job{Caller: "hauler", Deadline: by})
+		permit, err := g.Enter(ctx, gate.Job{Caller: "hauler", Deadline: deadline})
 		if err != nil {
 			b.Fatal(err)
 		}
-		pass.Done(gate.Outcome{})
+		permit.Done(gate.Outcome{})
 	}
 }
 
-func costRecord(b *testing.B) {
+func benchRecord(b *testing.B) {
 	w := record.New("vm-1", slog.New(slog.NewJSONHandler(io.Discard, nil)), record.WithRing(1<<16))
 	defer w.Close()
 	d := record.Decision{At: time.Now(), Action: record.Route, ID: "r-1", Key: "scale-7", Rule: "lookups", Rev: 12, Server: "lookup-3", Caller: "hauler"}
@@ -143,27 +146,28 @@
 	}
 }
 
-// matchCurve shows how matching grows with the list.
-func (s *Section) matchCurve(o Options) error {
+// addMatchCurve plots the time of matching against the number of rules.
+func (s *Section) addMatchCurve(o Options) error {
 	sizes := []int{10, 50, 200, 1000}
 	if o.Quick {
 		sizes = []int{10, 200}
 	}
 	line := Line{Name: "match and read the key"}
 	for _, n := range sizes {
-		set, req, err := costSet(n)
+		set, req, err := manyRules(n)
 		if err != nil {
 			return err
 		}
-		r := testing.Benchmark(func(b *testing.B) { matchLoop(b, set, req) })
+		r := testing.Benchmark(func(b *testing.B) { benchMatch(b, set, req) })
 		line.Points = append(line.Points, Point{float64(n), float64(r.T.Nanoseconds()) / float64(max(r.N, 1))})
 	}
 	s.Plots = append(s.Plots, Plot{Name: "match", Title: "Matching against the number of rules", X: "rules", Y: "ns", LogX: true, Lines: []Line{line}})
 	return nil
 }
 
-// Journal works out the journal's writes at the fleet's sizes from its own
-// model: how often one VM and all VMs write, and how much a crash loses.
+// Journal simulates the journal's writes to the store at several sizes of the fleet: how
+// often one VM and all VMs write, how long an entry waits for its write and so could be
+// lost in a crash, and at which rate a VM begins to drop entries.
 func Journal(ctx context.Context, o Options) (Section, error) {
 	s := Section{
 		Title: "Journal: writes by the number of VMs",
@@ -175,23 +179,23 @@
 	t := Table{Head: []string{"VMs", "writes/s, one VM", "writes/s, all", "bytes/s, one VM", "bytes a decision", "longest wait for a write", "kept up with, decisions/s and VM"}}
 	one, all := Line{Name: "one VM"}, Line{Name: "all VMs"}
 	for _, vms := range []int{1, 10, 50, 200, 520} {
-		p, err := ledger.Simulate(vms, journalRate, journalSpan, journalEntry())
+		result, err := ledger.Simulate(vms, journalRate, journalTime, decisionSource())
 		if err != nil {
 			return s, err
 		}
-		most, err := journalMost(ctx, vms, o)
+		maxRate, err := maxJournalRate(ctx, vms, o)
 		if err != nil {
 			return s, err
 		}
 		t.Rows = append(t.Rows, []string{
-			fmt.Sprint(vms), fmt.Sprintf("%.2f", p.Writes), fmt.Sprintf("%.1f", p.Writes*float64(vms)), fmt.Sprintf("%.0f", p.Bytes),
-			fmt.Sprintf("%.0f", p.Bytes/journalRate), p.Longest.Round(10 * time.Millisecond).String(), fmt.Sprint(most),
+			fmt.Sprint(vms), fmt.Sprintf("%.2f", result.Writes), fmt.Sprintf("%.1f", result.Writes*float64(vms)), fmt.Sprintf("%.0f", result.Bytes),
+			fmt.Sprintf("%.0f", result.Bytes/journalRate), result.Longest.Round(10 * time.Millisecond).String(), fmt.Sprint(maxRate),
 		})
-		one.Points = append(one.Points, Point{float64(vms), p.Writes})
-		all.Points = append(all.Points, Point{float64(vms), p.Writes * float64(vms)})
-		s.Figures = append(s.Figures, Figure{Name: fmt.Sprintf("writes of %d VMs", vms), Value: p.Writes * float64(vms), Unit: "a second", Better: Lower, Target: "about 100"})
+		one.Points = append(one.Points, Point{float64(vms), result.Writes})
+		all.Points = append(all.Points, Point{float64(vms), result.Writes * float64(vms)})
+		s.Figures = append(s.Figures, Figure{Name: fmt.Sprintf("writes of %d VMs", vms), Value: result.Writes * float64(vms), Unit: "a second", Better: Lower, Target: "about 100"})
 	}
-	kept, err := journalKept(ctx, o)
+	kept, err := journalByPolicy(ctx, o)
 	if err != nil {
 		return s, err
 	}
@@ -200,14 +204,15 @@
 	return s, ctx.Err()
 }
 
+// The load of each simulation of the journal.
 const (
-	journalRate = 500
-	journalSpan = 2 * time.Minute
+	journalRate = 500 // decisions per second and VM
+	journalTime = 2 * time.Minute
 )
 
-// journalEntry makes decisions as the request path does: few names of rules and
-// servers, many callers and keys.
-func journalEntry() func(now time.Time) record.Decision {
+// decisionSource returns a function that makes decisions like those of the request path:
+// they name few rules and servers, but many callers and keys.
+func decisionSource() func(now time.Time) record.Decision {
 	n := 0
 	return func(now time.Time) record.Decision {
 		n++
@@ -220,69 +225,72 @@
 	}
 }
 
-// journalMost doubles the rate until the journal drops entries.
-func journalMost(ctx context.Context, vms int, o Options) (int, error) {
-	span := journalSpan
+// maxJournalRate returns the highest rate, in decisions per second and VM, at which the
+// journal drops no entries. It doubles the rate from 125 until entries are dropped.
+func maxJournalRate(ctx context.Context, vms int, o Options) (int, error) {
+	span := journalTime
 	if o.Quick {
 		span /= 4
 	}
-	most := 0
+	maxRate := 0
 	for rate := 125; rate <= 16_000 && ctx.Err() == nil; rate *= 2 {
-		p, err := ledger.Simulate(vms, rate, span, journalEntry())
+		result, err := ledger.Simulate(vms, rate, span, decisionSource())
 		if err != nil {
 			return 0, err
 		}
-		if p.Lost > 0 {
+		if result.Lost > 0 {
 			break
 		}
-		most = rate
+		maxRate = rate
 	}
-	return most, nil
+	return maxRate, nil
 }
 
-// What a VM of the two-year size routes a second, and what of it is what.
+// The load of a VM that is expected in two years.
 const (
-	keptRate    = 2500
-	keptRules   = 20
-	submitsOne  = 50
-	failsOne    = 1000
-	keptSpan    = time.Minute
-	keptSampled = 100
+	twoYearRate     = 2500 // requests per second and VM
+	twoYearRules    = 20
+	submissionOneIn = 50   // one request in 50 is a submission
+	failureOneIn    = 1000 // one request in 1000 fails
+	twoYearTime     = time.Minute
+	sampleOneIn     = 100 // the sampling policy keeps one decision in 100
 )
 
-// journalKept works out what the rules' choice costs at the two-year rate.
-func journalKept(ctx context.Context, o Options) (Table, error) {
+// journalByPolicy simulates the journal at the two-year load under each retention policy
+// that rules can choose.
+func journalByPolicy(ctx context.Context, o Options) (Table, error) {
 	t := Table{Head: []string{"rules keep", "VMs", "bytes/s, one VM", "writes/s, all", "decisions dropped, one VM, of 150,000"}}
-	span := keptSpan
+	span := twoYearTime
 	if o.Quick {
 		span /= 6
 	}
-	for _, word := range []retain.Policy{retain.All, retain.Submissions, retain.Sample(keptSampled), retain.None} {
+	for _, policy := range []retain.Policy{retain.All, retain.Submissions, retain.Sample(sampleOneIn), retain.None} {
 		for _, vms := range []int{10, 50, 200, 520} {
-			p, err := ledger.Simulate(vms, keptRate, span, keptEntry(word))
+			result, err := ledger.Simulate(vms, twoYearRate, span, policyDecisionSource(policy))
 			if err != nil || ctx.Err() != nil {
 				return t, cmp.Or(err, ctx.Err())
 			}
 			t.Rows = append(t.Rows, []string{
-				string(word), fmt.Sprint(vms), fmt.Sprintf("%.0f", p.Bytes), fmt.Sprintf("%.1f", p.Writes*float64(vms)), fmt.Sprint(p.Lost),
+				string(policy), fmt.Sprint(vms), fmt.Sprintf("%.0f", result.Bytes), fmt.Sprintf("%.1f", result.Writes*float64(vms)), fmt.Sprint(result.Lost),
 			})
 		}
 	}
 	return t, nil
 }
 
-// keptEntry is journalEntry under rules that keep what word says.
-func keptEntry(word retain.Policy) func(now time.Time) record.Decision {
-	next, n := journalEntry(), 0
+// policyDecisionSource returns a function that makes decisions at the two-year mix, under
+// rules with the given retention policy.
+func policyDecisionSource(policy retain.Policy) func(now time.Time) record.Decision {
+	next, n := decisionSource(), 0
 	return func(now time.Time) record.Decision {
 		n++
 		d := next(now)
-		c := retain.Case{Key: d.Key, Safe: n%submitsOne != 0, Succeeded: n%failsOne != 1}
+		c := retain.Case{Key: d.Key, Safe: n%submissionOneIn != 0, Succeeded: n%failureOneIn != 1}
 		if !c.Succeeded {
 			d.Ran, d.Status, d.Reason = kinds.RanNo, 503, "overload: the queue is full"
 		}
-		d.Rule = fmt.Sprint("lookups-", n*7919%keptRules)
-		d.Keep, d.Skip = word, !word.Retains(c)
+		d.Rule = fmt.Sprint("lookups-", n*7919%twoYearRules)
+		d.Keep, d.Skip = policy, !policy.Retains(c)
 		return d
 	}
 }
--- a/internal/admin/bench/all.go
+++ b/internal/admin/bench/experiments.go
@@ -1,13 +1,13 @@
 package bench
 
-// All lists the experiments in the order in which they run.
+// All returns the experiments in the order in which they run.
 func All() []Experiment {
 	return []Experiment{
 		{"costs", Costs},
 		{"latency", Latency},
 		{"load", Load},
-		{"owner", Owner},
-		{"place", Place},
+		{"owner", Outages},
+		{"place", Placement},
 		{"peers", Peers},
 		{"journal", Journal},
 		{"slopes", Slopes},
--- a/internal/admin/bench/fleet.go
+++ b/internal/admin/bench/fleet.go
@@ -26,11 +26,11 @@
 	"hawthornfield.org/hawthornfield/internal/rules/save"
 )
 
-// Today's size.
+// The size of today's fleet.
 const (
 	controlVMs     = 10
-	controlDivided = 17
-	controlPlain   = 17
+	controlDivided = 17 // backend servers of the service that is divided by key
+	controlPlain   = 17 // backend servers of the other service
 	controlSlices  = 4096
 )
 
@@ -42,24 +42,24 @@
 then = { service = "lookup", key = "path:scale" }
 `
 
-// fleet is today's entry VMs with their surroundings, in this process.
+// fleet is a running fleet of entry VMs with a fake platform and fake backend servers.
 type fleet struct {
-	api     *objapi.API
-	at      netip.AddrPort
-	origins []*origin.Origin
-	vms     []*idler
-	group   group.Group
+	api       *objapi.API
+	storeAddr netip.AddrPort
+	origins   []*origin.Origin
+	vms       []*meteredVM
+	group     group.Group
 }
 
-// idler is one entry VM whose links are counted.
-type idler struct {
+// meteredVM is one entry VM whose traffic is counted. meters is indexed by link.
+type meteredVM struct {
 	daemon *daemon.Daemon
-	meters [len(meterNames)]meter
+	meters [len(linkNames)]meter
 }
 
-// read takes all VMs' counts down.
-func (f *fleet) read() [][len(meterNames)]count {
-	all := make([][len(meterNames)]count, len(f.vms))
+// readMeters returns the current counts of all VMs.
+func (f *fleet) readMeters() [][len(linkNames)]count {
+	all := make([][len(linkNames)]count, len(f.vms))
 	for i, vm := range f.vms {
 		for k := range vm.meters {
 			all[i][k] = vm.meters[k].read()
@@ -68,21 +68,21 @@
 	return all
 }
 
-var anyPort = netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 0, 0, 1}), 0)
+var anyLoopbackPort = netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 0, 0, 1}), 0)
 
 func newFleet(ctx context.Context) (*fleet, error) {
 	f := &fleet{api: objapi.New()}
-	if err := f.platform(); err != nil {
+	if err := f.startPlatform(); err != nil {
 		return f, err
 	}
 	var all []config.Service
 	for _, svc := range []config.Service{{Name: "lookup", Divided: true, Slices: controlSlices}, {Name: "receipts"}} {
-		if err := f.servers(&svc); err != nil {
+		if err := f.startServers(&svc); err != nil {
 			return f, err
 		}
 		all = append(all, svc)
 	}
-	if err := f.accept(ctx); err != nil {
+	if err := f.putRules(ctx); err != nil {
 		return f, err
 	}
 	ca, err := certs.NewAuthority(time.Hour)
@@ -90,19 +90,19 @@
 		return f, err
 	}
 	for i := range controlVMs {
-		if err := f.entry(ctx, ca, i, all); err != nil {
+		if err := f.startVM(ctx, ca, i, all); err != nil {
 			return f, err
 		}
 	}
 	return f, nil
 }
 
-func (f *fleet) platform() error {
-	l, err := net.ListenTCP("tcp4", net.TCPAddrFromAddrPort(anyPort))
+func (f *fleet) startPlatform() error {
+	l, err := net.ListenTCP("tcp4", net.TCPAddrFromAddrPort(anyLoopbackPort))
 	if err != nil {
 		return kinds.Wrap(kinds.Internal, err, "listen")
 	}
-	f.at = l.Addr().(*net.TCPAddr).AddrPort()
+	f.storeAddr = l.Addr().(*net.TCPAddr).AddrPort()
 	web := &http.Server{Handler: f.api.Handler(), ReadHeaderTimeout: time.Second}
 	f.group.Go(func(ctx context.Context) error {
 		defer context.AfterFunc(ctx, func() { _ = web.Close() })()
@@ -112,7 +112,7 @@
 	return nil
 }
 
-func (f *fleet) servers(svc *config.Service) error {
+func (f *fleet) startServers(svc *config.Service) error {
 	n := controlPlain
 	if svc.Divided {
 		n = controlDivided
@@ -132,32 +132,33 @@
 	return nil
 }
 
-func (f *fleet) accept(ctx context.Context) error {
+// putRules saves the rules in the store.
+func (f *fleet) putRules(ctx context.Context) error {
 	rules, err := match.Parse([]byte(controlRules))
 	if err != nil {
 		return err
 	}
-	_, err = save.Save(ctx, objcli.New(f.at), func(cur *revs.Record) (*revs.Record, error) {
+	_, err = save.Save(ctx, objcli.New(f.storeAddr), func(cur *revs.Record) (*revs.Record, error) {
 		return revs.Replace(cur, revs.Edit{Author: "bench", Token: "bench", At: time.Now()}, rules.Rules)
 	})
 	return err
 }
 
-// entry starts one entry VM with counted links.
-func (f *fleet) entry(ctx context.Context, ca *certs.Authority, i int, svcs []config.Service) error {
+// startVM starts one entry VM with a meter on each of its links.
+func (f *fleet) startVM(ctx context.Context, ca *certs.Authority, i int, svcs []config.Service) error {
 	name, centre := ident.VM(fmt.Sprintf("vm-%02d", i)), controlCentres[i%len(controlCentres)]
-	pem, err := ca.Issue(name, anyPort.Addr())
+	pem, err := ca.Issue(name, anyLoopbackPort.Addr())
 	if err != nil {
 		return err
 	}
-	vm := &idler{}
-	store, list, control := objcli.New(f.at), vmcli.New(f.at), &srvcli.Client{}
-	store.HTTP, list.HTTP = vm.meters[onObjects].client(), vm.meters[onList].client()
-	control.Transport = vm.meters[onServers].transport
-	cfg := config.Config{VM: name, Centre: centre, Services: svcs, Platform: config.Platform{Objects: f.at}}
+	vm := &meteredVM{}
+	store, list, control := objcli.New(f.storeAddr), vmcli.New(f.storeAddr), &srvcli.Client{}
+	store.HTTP, list.HTTP = vm.meters[linkObjects].client(), vm.meters[linkVMList].client()
+	control.Transport = vm.meters[linkServers].transport
+	cfg := config.Config{VM: name, Centre: centre, Services: svcs, Platform: config.Platform{Objects: f.storeAddr}}
 	vm.daemon, err = daemon.New(cfg,
 		daemon.WithPEM(pem), daemon.WithShutdownDelay(time.Millisecond), daemon.WithLog(slog.New(slog.DiscardHandler)),
-		daemon.WithStore(store), daemon.WithVMs(list), daemon.WithControl(control), daemon.WithPacketConn(vm.meters[onPeers].packets))
+		daemon.WithStore(store), daemon.WithVMs(list), daemon.WithControl(control), daemon.WithPacketConn(vm.meters[linkPeers].packets))
 	if err != nil {
 		return err
 	}
--- a/internal/admin/bench/edge.go
+++ b/internal/admin/bench/latency.go
@@ -12,7 +12,7 @@
 	"hawthornfield.org/hawthornfield/internal/edge/perf"
 )
 
-// Latency measures what one entry VM adds to a request on loopback.
+// Latency measures the latency that one entry VM adds to requests over loopback.
 func Latency(ctx context.Context, o Options) (Section, error) {
 	s := Section{
 		Title: "What one entry VM adds",
@@ -28,30 +28,30 @@
 		return s, err
 	}
 	t := Table{Head: []string{"way", "p50", "p99", "p99.9", "req/s", "sent", "failed", "by status"}}
-	for _, side := range []struct {
+	for _, path := range []struct {
 		name string
 		perf.PathResult
 	}{{"direct", r.Direct}, {"through an entry VM", r.Routed}} {
 		t.Rows = append(t.Rows, []string{
-			side.name, side.P50.String(), side.P99.String(), side.P999.String(),
-			fmt.Sprintf("%.0f", side.Rate), fmt.Sprint(side.Count), fmt.Sprint(side.Failed),
-			codes(side.Codes),
+			path.name, path.P50.String(), path.P99.String(), path.P999.String(),
+			fmt.Sprintf("%.0f", path.Rate), fmt.Sprint(path.Count), fmt.Sprint(path.Failed),
+			formatCodes(path.Codes),
 		})
 	}
 	s.Tables = append(s.Tables, t)
 	s.Figures = append(s.Figures,
 		Figure{Name: "added latency, p50", Value: micros(r.P50), Unit: "µs", Better: Lower},
 		Figure{Name: "added latency, p99", Value: micros(r.P99), Unit: "µs", Better: Lower, Target: "< 1000 µs"},
-		// A direct call knows the owner of the moment in which it leaves, so one
-		// whose key moves on the way meets 421; holding such requests is the
-		// router's work, and only its own failures count here.
+		// Failures of direct requests are not counted. A direct request is sent to the
+		// current owner of its key, and fails with status 421 if the key moves meanwhile.
+		// The router holds such requests instead, so its own failures do count.
 		Figure{Name: "failed requests, through the entry VM", Value: float64(r.Routed.Failed), Unit: "requests", Better: Lower, Target: "0"},
 	)
-	return s, s.path()
+	return s, s.addRequestPath()
 }
 
-// codes renders failures by status, "no answer" for those without one.
-func codes(by map[int]int64) string {
+// formatCodes formats the numbers of failures by status. Status 0 means no answer.
+func formatCodes(by map[int]int64) string {
 	parts := make([]string, 0, len(by))
 	for _, code := range slices.Sorted(maps.Keys(by)) {
 		name := strconv.Itoa(code)
@@ -63,17 +63,17 @@
 	return strings.Join(parts, ", ")
 }
 
-// pathRequests is how many requests the allocations are a mean of.
-const pathRequests = 5000
+// allocRequests is the number of requests over which allocations are averaged.
+const allocRequests = 5000
 
-// path adds the request path alone, without sockets.
-func (s *Section) path() error {
+// addRequestPath adds the time and allocations of the request path without sockets.
+func (s *Section) addRequestPath() error {
 	p, err := perf.NewPath()
 	if err != nil {
 		return err
 	}
 	defer p.Close()
-	allocs, bytes, took, err := p.Allocs(pathRequests)
+	allocs, bytes, took, err := p.Allocs(allocRequests)
 	if err != nil {
 		return err
 	}
--- a/internal/admin/bench/load.go
+++ b/internal/admin/bench/load.go
@@ -5,35 +5,36 @@
 	"fmt"
 	"strings"
 
-	lab "hawthornfield.org/hawthornfield/internal/load/bench"
+	loadbench "hawthornfield.org/hawthornfield/internal/load/bench"
 )
 
-// loadSeed is that of every quoted run.
+// loadSeed is the seed of all simulations. It is fixed, so that the figures quoted in the
+// documentation can be reproduced.
 const loadSeed = 20261202
 
-// Load plays every load pattern under the router's policies and under a naive
-// one, on both users' services, and shows what callers received.
+// Load simulates every load pattern on both users' services, under the router's policies
+// and under a naive one, and shows what callers received.
 func Load(ctx context.Context, o Options) (Section, error) {
 	s := Section{
 		Title: "What callers receive under load",
 		Note: "Discrete events under the fake clock, seeded arrivals, the daemon's own decision modules; " +
 			"beside it the naive policy (round robin, unbounded queue, immediate retries) under the same seed.",
 	}
-	services := lab.Services()
+	services := loadbench.Services()
 	if o.Quick {
 		services = services[:1]
 	}
-	var scenes []lab.Scene
+	var scenes []loadbench.Scene
 	for _, svc := range services {
-		scenes = append(scenes, lab.Scenes(svc)...)
+		scenes = append(scenes, loadbench.Scenes(svc)...)
 	}
-	rows, err := lab.RunAll(scenes, loadSeed)
+	rows, err := loadbench.RunAll(scenes, loadSeed)
 	if err != nil {
 		return s, err
 	}
-	s.loadFigures(rows)
+	s.addLoadFigures(rows)
 	var text strings.Builder
-	if err := lab.Table(&text, rows); err != nil {
+	if err := loadbench.Table(&text, rows); err != nil {
 		return s, err
 	}
 	s.Tables = append(s.Tables, parseTable(text.String()))
@@ -41,11 +42,12 @@
 	return s, ctx.Err()
 }
 
-// loadFigures picks what is compared between versions: goodput and the waits of
-// those who are not the trouble, by scene.
-func (s *Section) loadFigures(rows []lab.Row) {
+// addLoadFigures adds the figures that are compared between versions: goodput and
+// latencies of the callers that do not cause the overload, for each scene under the
+// router's policies.
+func (s *Section) addLoadFigures(rows []loadbench.Row) {
 	for _, r := range rows {
-		if r.Policy != lab.Policy(0).String() || r.Group != lab.Other.String() {
+		if r.Policy != loadbench.Policy(0).String() || r.Group != loadbench.Other.String() {
 			continue
 		}
 		name := fmt.Sprintf("%s, %s, window %d: ", r.Service, r.Scene, r.Window)
@@ -63,13 +65,14 @@
 	}
 }
 
-// loadPlot draws the share that was answered in time, scene by scene.
-func loadPlot(rows []lab.Row) Plot {
+// loadPlot plots the share of requests that were answered in time, for each scene and
+// policy.
+func loadPlot(rows []loadbench.Row) Plot {
 	p := Plot{Name: "load", Title: "Answered in time (scenes in the order of the table)", X: "scene", Y: "share of all asked"}
-	for _, policy := range []string{lab.Policy(0).String(), lab.Policy(1).String()} {
+	for _, policy := range []string{loadbench.Policy(0).String(), loadbench.Policy(1).String()} {
 		line := Line{Name: policy}
 		for _, r := range rows {
-			if r.Policy == policy && r.Group == lab.Other.String() && r.Window == 0 {
+			if r.Policy == policy && r.Group == loadbench.Other.String() && r.Window == 0 {
 				line.Points = append(line.Points, Point{float64(len(line.Points) + 1), float64(r.InTime) / float64(max(r.Asked, 1))})
 			}
 		}
@@ -78,7 +81,8 @@
 	return p
 }
 
-// parseTable reads a Markdown table back, so that all tables look alike.
+// parseTable parses a Markdown table, so that all tables of the report are formatted in
+// the same way.
 func parseTable(text string) (t Table) {
 	for i, line := range strings.Split(strings.TrimSpace(text), "\n") {
 		cells := strings.Split(strings.Trim(line, "| "), " | ")
--- a/internal/admin/bench/meter.go
+++ b/internal/admin/bench/meter.go
@@ -9,33 +9,34 @@
 	"hawthornfield.org/hawthornfield/internal/plat/srvcli"
 )
 
-// The links of an entry VM that are counted.
+// The kinds of links of an entry VM on which traffic is counted.
 const (
-	onPeers = iota
-	onServers
-	onObjects
-	onList
+	linkPeers = iota
+	linkServers
+	linkObjects
+	linkVMList
 )
 
-var meterNames = [...]string{
-	onPeers: "other entry VMs", onServers: "backend servers' control side", onObjects: "object API", onList: "VM list",
+var linkNames = [...]string{
+	linkPeers: "other entry VMs", linkServers: "backend servers' control side", linkObjects: "object API", linkVMList: "VM list",
 }
 
-// packetHead is what IP and UDP add to a packet.
-const packetHead = 28
+// packetOverhead is the size of the IPv4 and UDP headers of a packet, in bytes.
+const packetOverhead = 28
 
-// meter counts what crosses one kind of link, both ways.
+// meter counts the traffic of one kind of link in both directions.
 type meter struct{ messages, bytes atomic.Int64 }
 
 type count struct{ messages, bytes int64 }
 
 func (m *meter) read() count { return count{m.messages.Load(), m.bytes.Load()} }
 
-func (c count) less(before count) count {
+func (c count) minus(before count) count {
 	return count{c.messages - before.messages, c.bytes - before.bytes}
 }
 
-// packets counts the packets of a UDP socket. A call of the socket is a packet.
+// packets returns a socket that counts the packets of a UDP socket. Each read or write is
+// one packet.
 func (m *meter) packets(c net.PacketConn) net.PacketConn { return &packetMeter{c, m} }
 
 type packetMeter struct {
@@ -43,8 +44,8 @@
 	*meter
 }
 
-// SetReadBuffer and SetWriteBuffer let the QUIC library size the socket's
-// buffers as it does without a meter.
+// SetReadBuffer passes on the size that the QUIC library sets. Without it, the metered
+// socket would have other buffers than a plain one.
 func (p *packetMeter) SetReadBuffer(n int) error {
 	if c, ok := p.PacketConn.(*net.UDPConn); ok {
 		return c.SetReadBuffer(n)
@@ -52,7 +53,7 @@
 	return nil
 }
 
-// SetWriteBuffer is SetReadBuffer's other half.
+// SetWriteBuffer passes on the size that the QUIC library sets, like SetReadBuffer.
 func (p *packetMeter) SetWriteBuffer(n int) error {
 	if c, ok := p.PacketConn.(*net.UDPConn); ok {
 		return c.SetWriteBuffer(n)
@@ -75,19 +76,19 @@
 
 func (p *packetMeter) add(n int) {
 	p.messages.Add(1)
-	p.bytes.Add(int64(n + packetHead))
+	p.bytes.Add(int64(n + packetOverhead))
 }
 
-// client makes HTTP clients whose calls and bytes are counted.
+// client returns an HTTP/1 client whose requests and bytes are counted.
 func (m *meter) client() *http.Client {
 	p := &http.Protocols{}
 	p.SetHTTP1(true)
 	t := m.transport(p).(*callMeter)
-	t.DisableCompression = false // as the platform's adapters have it
+	t.DisableCompression = false // as in the clients of the platform's API
 	return &http.Client{Transport: t}
 }
 
-// transport carries calls in the given protocols and counts them and their bytes.
+// transport returns a transport for the given protocols that counts requests and bytes.
 func (m *meter) transport(p *http.Protocols) http.RoundTripper {
 	var d net.Dialer
 	t := srvcli.Transport(p).(*http.Transport)
--- a/internal/admin/bench/owner.go
+++ b/internal/admin/bench/outages.go
@@ -7,14 +7,14 @@
 	"hawthornfield.org/hawthornfield/internal/owner/outage"
 )
 
-// How many histories are played for each fault and mode.
+// The number of simulated histories for each fault and mode.
 const (
 	ownerRuns      = 100
 	ownerRunsQuick = 10
 )
 
-// Owner measures how long a key is without an owner, fault by fault.
-func Owner(ctx context.Context, o Options) (Section, error) {
+// Outages measures how long a key has no owner that serves it, for each kind of fault.
+func Outages(ctx context.Context, o Options) (Section, error) {
 	runs := ownerRuns
 	if o.Quick {
 		runs = ownerRunsQuick
--- a/internal/admin/bench/peers.go
+++ b/internal/admin/bench/peers.go
@@ -8,7 +8,8 @@
 	"hawthornfield.org/hawthornfield/internal/node/netsim"
 )
 
-// Peers measures the exchange between entry VMs by their number.
+// Peers simulates the exchange of state between entry VMs and measures its traffic and
+// speed for fleets of several sizes.
 func Peers(ctx context.Context, o Options) (Section, error) {
 	s := Section{
 		Title: "Exchange between entry VMs",
--- a/internal/admin/bench/place.go
+++ b/internal/admin/bench/placement.go
@@ -10,9 +10,9 @@
 	"hawthornfield.org/hawthornfield/internal/owner/place"
 )
 
-// Place measures what keeping the load even costs in moved keys, and what a plan
-// of the largest size costs in time.
-func Place(ctx context.Context, _ Options) (Section, error) {
+// Placement measures how many keys must move to keep the load even, for several placement
+// strategies, and how long the planning of the largest service takes.
+func Placement(ctx context.Context, _ Options) (Section, error) {
 	s := Section{
 		Title: "Placement: imbalance against churn",
 		Note: "One simulated hour of 4,096 slices over 17 servers with drifting load and servers that leave and return, " +
@@ -44,12 +44,13 @@
 		p.Lines = append(p.Lines, *lines[way])
 	}
 	s.Tables, s.Plots = []Table{t}, []Plot{p}
-	s.planTime()
+	s.addPlanTime()
 	return s, ctx.Err()
 }
 
-// planTime times a plan of 64k slices over 500 servers, one of which was lost.
-func (s *Section) planTime() {
+// addPlanTime adds the time of a plan of 64k slices over 500 servers, one of which was
+// lost.
+func (s *Section) addPlanTime() {
 	in := place.Input{Owners: make([]ident.Server, costSlices), Loads: make([]float64, costSlices), Band: place.BandFor(place.Weights{}, costSlices)}
 	for i := range costServers {
 		in.Servers = append(in.Servers, place.Server{ID: ident.Server(fmt.Sprintf("lookup-%03d", i)), Accepting: i != 7})
--- a/internal/admin/bench/draw.go
+++ b/internal/admin/bench/plot.go
@@ -16,13 +16,14 @@
 	"hawthornfield.org/hawthornfield/internal/core/kinds"
 )
 
-// The size of a plot.
+// The size of the plots.
 const (
 	plotWidth  = 16 * vg.Centimeter
 	plotHeight = 9 * vg.Centimeter
 )
 
-func draw(path string, p Plot) error {
+// drawPlot writes p as an SVG file.
+func drawPlot(path string, p Plot) error {
 	pl := plot.New()
 	pl.Title.Text, pl.X.Label.Text, pl.Y.Label.Text = p.Title, p.X, p.Y
 	pl.Add(plotter.NewGrid())
@@ -49,7 +50,7 @@
 
 func goVersion() string { return runtime.Version() }
 
-// loadAverage is how many processors other work keeps busy, zero if unknown.
+// loadAverage returns the system's load average of the last minute, and 0 if it is unknown.
 func loadAverage() (busy float64) {
 	text, err := os.ReadFile("/proc/loadavg")
 	if err != nil {
@@ -60,7 +61,8 @@
 	return busy
 }
 
-// machine names the processor and how many there are, if the system tells.
+// machine returns the processor's model and the number of processors, or the architecture
+// if they are unknown.
 func machine() string {
 	name := runtime.GOARCH
 	f, err := os.Open("/proc/cpuinfo")
--- a/internal/admin/bench/result.go
+++ b/internal/admin/bench/result.go
@@ -1,9 +1,9 @@
-// Package bench runs the measurements behind every figure that the pages quote,
-// writes them as one Markdown report with SVG plots, and keeps the raw results
-// as JSON beside it, so that two versions can be compared.
+// Package bench implements the command "hawthorn bench". It runs the experiments that
+// produce the figures quoted in the documentation. The results are written as a Markdown
+// report with SVG plots, and as JSON, so that two versions can be compared.
 //
-// An experiment is a function that returns a [Section]. Its figures say which
-// way is better; that is all that [Compare] needs to know.
+// Each [Experiment] returns a [Section] of figures, tables and plots. A [Figure] says in
+// which direction it improves, which is all that [Compare] needs.
 package bench
 
 import (
@@ -21,10 +21,10 @@
 	"hawthornfield.org/hawthornfield/internal/core/kinds"
 )
 
-// Better says which way a figure improves.
+// Better is the direction in which a figure improves.
 type Better string
 
-// The ways. A figure without one is shown and never compared.
+// The directions. A figure without one is shown but not compared.
 const (
 	Lower  Better = "lower"
 	Higher Better = "higher"
@@ -36,10 +36,10 @@
 	Value  float64 `json:"value"`
 	Unit   string  `json:"unit"`
 	Better Better  `json:"better,omitempty"`
-	Target string  `json:"target,omitempty"` // what it should be, in words
+	Target string  `json:"target,omitempty"` // what the value should be, as text
 }
 
-// Table is shown as it is.
+// Table is a table of the report. It is not compared.
 type Table struct {
 	Title string     `json:"title"`
 	Head  []string   `json:"head"`
@@ -60,7 +60,7 @@
 
 // Plot is drawn as one SVG file.
 type Plot struct {
-	Name  string `json:"name"` // of the file, without its ending
+	Name  string `json:"name"` // of the file, without its extension
 	Title string `json:"title"`
 	X     string `json:"x"`
 	Y     string `json:"y"`
@@ -68,7 +68,7 @@
 	Lines []Line `json:"lines"`
 }
 
-// Section is what one experiment found.
+// Section is the result of one experiment.
 type Section struct {
 	Name    string   `json:"name"`
 	Title   string   `json:"title"`
@@ -78,32 +78,32 @@
 	Plots   []Plot   `json:"plots,omitempty"`
 }
 
-// Result is one run of the command.
+// Result is the result of one run of the command.
 type Result struct {
 	At       time.Time     `json:"at"`
 	Took     time.Duration `json:"took"`
 	Go       string        `json:"go"`
 	Machine  string        `json:"machine"`
-	Busy     float64       `json:"busy"` // load average at the start: other work makes figures worse
+	Busy     float64       `json:"busy"` // load average at the start: other processes make figures worse
 	Quick    bool          `json:"quick"`
 	Sections []Section     `json:"sections"`
-	Failed   []string      `json:"failed,omitempty"` // experiments that did not run, and why
+	Failed   []string      `json:"failed,omitempty"` // names of failed experiments, each with its error
 }
 
-// Options tell an experiment how long it may take.
+// Options configure a run.
 type Options struct {
-	Quick bool      // a few seconds in place of minutes; figures are rougher
-	Log   io.Writer // progress
+	Quick bool      // take a few seconds instead of minutes, with rougher figures
+	Log   io.Writer // receives the progress
 }
 
-// Experiment measures one thing.
+// Experiment is one named measurement.
 type Experiment struct {
 	Name string
 	Run  func(ctx context.Context, o Options) (Section, error)
 }
 
-// Run runs experiments one after another: two at once would measure each other.
-// One that fails is noted, and the others still run.
+// Run runs the experiments one after another, because concurrent ones would influence
+// each other's figures. If one fails, the error is recorded and the others still run.
 func Run(ctx context.Context, all []Experiment, o Options) Result {
 	r := Result{At: time.Now().UTC().Truncate(time.Second), Go: goVersion(), Machine: machine(), Busy: loadAverage(), Quick: o.Quick}
 	start := time.Now()
@@ -121,13 +121,13 @@
 	return r
 }
 
-// The files that Write makes.
+// The files that Write creates beside the plots.
 const (
-	ReportFile = "report.md"
-	RawFile    = "results.json"
+	ReportFile  = "report.md"
+	ResultsFile = "results.json"
 )
 
-// Write puts the report, its plots and the raw results into a directory.
+// Write writes the report, its plots and the raw results to a directory.
 func Write(dir string, r Result) error {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return kinds.Wrap(kinds.Internal, err, "results")
@@ -136,12 +136,12 @@
 	if err != nil {
 		return kinds.Wrap(kinds.Internal, err, "results")
 	}
-	if err := os.WriteFile(filepath.Join(dir, RawFile), raw, 0o644); err != nil {
+	if err := os.WriteFile(filepath.Join(dir, ResultsFile), raw, 0o644); err != nil {
 		return kinds.Wrap(kinds.Internal, err, "results")
 	}
 	for _, s := range r.Sections {
 		for _, p := range s.Plots {
-			if err := draw(filepath.Join(dir, p.Name+".svg"), p); err != nil {
+			if err := drawPlot(filepath.Join(dir, p.Name+".svg"), p); err != nil {
 				return err
 			}
 		}
@@ -149,7 +149,7 @@
 	return kinds.Wrap(kinds.Internal, os.WriteFile(filepath.Join(dir, ReportFile), []byte(Markdown(r)), 0o644), "results")
 }
 
-// Read reads raw results back.
+// Read reads a file of raw results.
 func Read(path string) (Result, error) {
 	var r Result
 	raw, err := os.ReadFile(path)
@@ -159,7 +159,7 @@
 	return r, kinds.Wrap(kinds.Malformed, json.Unmarshal(raw, &r), path)
 }
 
-// Markdown renders the report.
+// Markdown returns the report as Markdown.
 func Markdown(r Result) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "# Measurements\n\n%s, %s, %s, load average %.1f at the start, took %v", r.At.Format(time.DateTime), r.Go, r.Machine, r.Busy, r.Took)
@@ -206,6 +206,7 @@
 	}
 }
 
+// round formats v with three significant digits below 10, and as an integer otherwise.
 func round(v float64) string {
 	switch {
 	case v != 0 && v < 10 && v > -10:
@@ -215,16 +216,17 @@
 	}
 }
 
-// Change is a figure that two results have both.
+// Change is the difference of a figure between two results.
 type Change struct {
 	Section, Name, Unit string
 	Old, New            float64
-	Worse               float64 // share by which it got worse; negative when better
+	Worse               float64 // share by which it got worse, see Compare; negative when better
 }
 
-// Compare returns the figures that got worse by more than a tolerance (0.1 is a
-// tenth), the worst first, and how many were compared. Figures that only one
-// result has are left out.
+// Compare returns the figures that got worse by more than tolerance, the worst first, and
+// the number of figures that were compared. The share by which a figure got worse is its
+// change divided by the larger of its two values; a tolerance of 0.1 is a tenth. Figures
+// that only one of the results has are skipped.
 func Compare(before, after Result, tolerance float64) (worse []Change, compared int) {
 	old := map[string]Figure{}
 	for _, s := range before.Sections {
@@ -234,12 +236,12 @@
 	}
 	for _, s := range after.Sections {
 		for _, f := range s.Figures {
-			was, ok := old[s.Name+"/"+f.Name]
-			if !ok || f.Better == "" || was.Unit != f.Unit {
+			prev, ok := old[s.Name+"/"+f.Name]
+			if !ok || f.Better == "" || prev.Unit != f.Unit {
 				continue
 			}
 			compared++
-			c := Change{s.Name, f.Name, f.Unit, was.Value, f.Value, worseBy(was.Value, f.Value, f.Better)}
+			c := Change{s.Name, f.Name, f.Unit, prev.Value, f.Value, worseBy(prev.Value, f.Value, f.Better)}
 			if c.Worse > tolerance {
 				worse = append(worse, c)
 			}
@@ -249,8 +251,8 @@
 	return worse, compared
 }
 
-// worseBy compares by the larger of the two, so that a figure that was zero has
-// a share as well.
+// worseBy returns the share by which a figure got worse. It divides by the larger of the
+// two values, so that the share is also defined for a figure that was zero.
 func worseBy(before, after float64, better Better) float64 {
 	diff := after - before
 	if better == Higher {
--- a/internal/admin/bench/slopes.go
+++ b/internal/admin/bench/slopes.go
@@ -18,8 +18,8 @@
 	"hawthornfield.org/hawthornfield/internal/plat/vmlist"
 )
 
-// Slopes measures what each role's state and work cost at four sizes, from which
-// docs/CAPACITY.md works out the size of two years from now.
+// Slopes measures memory and processor time of each part of the router at four sizes.
+// docs/CAPACITY.md extrapolates the needs in two years from them.
 func Slopes(ctx context.Context, _ Options) (Section, error) {
 	s := Section{
 		Title: "Slopes: what a role costs as it grows",
@@ -27,7 +27,7 @@
 			"time is by testing.Benchmark on one processor.",
 	}
 	for _, measure := range []func(context.Context, *Section) error{
-		viewSlope, rulesSlope, planSlope, gateSlope, callerSlope, rosterSlope, sketchSlope, seatSlope, watchSlope,
+		viewSlope, rulesSlope, planSlope, gateSlope, callerSlope, membershipSlope, sketchSlope, lessorSlope, watcherSlope,
 	} {
 		if err := measure(ctx, &s); err != nil {
 			return s, err
@@ -36,18 +36,18 @@
 	return s, ctx.Err()
 }
 
-// slope is one cost at several sizes, with the least-squares line through it.
+// slope is one cost at several sizes, to which a line is fitted by least squares.
 type slope struct {
 	name, per, unit string
 	xs, ys          []float64
 }
 
-func (p *slope) at(x, y float64) {
+func (p *slope) add(x, y float64) {
 	p.xs = append(p.xs, x)
 	p.ys = append(p.ys, y)
 }
 
-// fit returns the line through the points: the cost of one more, and the rest.
+// fit returns the fitted line: the cost of each additional unit and the constant base.
 func (p *slope) fit() (each, base float64) {
 	n := float64(len(p.xs))
 	var sx, sy, sxx, sxy float64
@@ -58,17 +58,17 @@
 	return each, (sy - each*sx) / n
 }
 
-func (s *Section) slope(p slope) {
+func (s *Section) addSlope(p slope) {
 	if len(s.Tables) == 0 {
 		s.Tables = []Table{{Head: []string{"cost", "unit", "sizes", "measured", "one more", "rest"}}}
 	}
 	each, base := p.fit()
 	t := &s.Tables[0]
-	t.Rows = append(t.Rows, []string{p.name, p.unit, list(p.xs) + " " + p.per, list(p.ys), round(each), round(base)})
+	t.Rows = append(t.Rows, []string{p.name, p.unit, formatList(p.xs) + " " + p.per, formatList(p.ys), round(each), round(base)})
 	s.Figures = append(s.Figures, Figure{Name: p.name + ", each " + p.per, Value: each, Unit: p.unit, Better: Lower})
 }
 
-func list(values []float64) string {
+func formatList(values []float64) string {
 	var out string
 	for i, v := range values {
 		if i > 0 {
@@ -79,18 +79,19 @@
 	return out
 }
 
-// heap returns the live heap and stacks that build leaves behind, and its result.
-func heap[T any](build func() (T, error)) (T, float64, error) {
-	before := live()
+// measureHeap returns the result of build and the bytes of heap and stack that it retains.
+func measureHeap[T any](build func() (T, error)) (T, float64, error) {
+	before := liveMemory()
 	v, err := build()
-	after := live()
+	after := liveMemory()
 	runtime.KeepAlive(v)
 	return v, after - before, err
 }
 
-// live collects until pools and finalizers have let go of what they kept, which
-// takes two collections, and one more for what those ran.
-func live() float64 {
+// liveMemory returns the bytes of heap and stack in use after garbage collection. It
+// collects three times: pools and finalizers release their objects only after two
+// collections, and the third one frees what they released.
+func liveMemory() float64 {
 	for range 3 {
 		runtime.GC()
 	}
@@ -99,7 +100,8 @@
 	return float64(m.HeapAlloc + m.StackInuse)
 }
 
-func nanos(f func(b *testing.B)) float64 {
+// nsPerOp runs a benchmark and returns the nanoseconds per operation.
+func nsPerOp(f func(b *testing.B)) float64 {
 	r := testing.Benchmark(f)
 	return float64(r.T.Nanoseconds()) / float64(max(r.N, 1))
 }
@@ -112,33 +114,34 @@
 	return names
 }
 
-func fullTable(parts, servers int) (table.Table, error) {
+// fullTable returns a table whose slices are evenly assigned to the servers.
+func fullTable(sliceCount, servers int) (table.Table, error) {
 	names := serverNames(servers)
-	t, err := table.New("lookup", uint32(parts), names...)
+	t, err := table.New("lookup", uint32(sliceCount), names...)
 	if err != nil {
 		return t, err
 	}
-	moves := make([]table.Move, parts)
+	moves := make([]table.Move, sliceCount)
 	for i := range moves {
 		moves[i] = table.Move{Slice: ident.Slice(i), To: names[i%servers]}
 	}
 	return t.WithAssigned(moves...)
 }
 
-// viewSlope: what every VM holds of a service's ownership, what the store holds,
-// and what one move costs in the exchange.
+// viewSlope measures the size of a service's ownership in the memory of a VM, in the
+// store, and of the difference that VMs exchange after one move.
 func viewSlope(_ context.Context, s *Section) error {
 	memory := slope{name: "ownership in memory (table and view)", per: "slices", unit: "bytes"}
 	stored := slope{name: "table object in the store", per: "slices", unit: "bytes"}
 	moved := slope{name: "difference of one move", per: "slices", unit: "bytes"}
-	for _, parts := range []int{4096, 16384, 32768, 65536} {
-		type kept struct {
+	for _, sliceCount := range []int{4096, 16384, 32768, 65536} {
+		type ownership struct {
 			table.Table
 			*table.View
 		}
-		v, bytes, err := heap(func() (kept, error) {
-			t, err := fullTable(parts, costServers)
-			return kept{t, table.NewView(t)}, err
+		v, bytes, err := measureHeap(func() (ownership, error) {
+			t, err := fullTable(sliceCount, costServers)
+			return ownership{t, table.NewView(t)}, err
 		})
 		if err != nil {
 			return err
@@ -155,53 +158,55 @@
 		if err != nil {
 			return err
 		}
-		memory.at(float64(parts), bytes)
-		stored.at(float64(parts), float64(len(raw)))
-		moved.at(float64(parts), float64(len(delta)))
+		memory.add(float64(sliceCount), bytes)
+		stored.add(float64(sliceCount), float64(len(raw)))
+		moved.add(float64(sliceCount), float64(len(delta)))
 	}
-	s.slope(memory)
-	s.slope(stored)
-	s.slope(moved)
+	s.addSlope(memory)
+	s.addSlope(stored)
+	s.addSlope(moved)
 	return nil
 }
 
+// rulesSlope measures the memory of compiled rules.
 func rulesSlope(_ context.Context, s *Section) error {
 	memory := slope{name: "compiled rules", per: "rules", unit: "bytes"}
 	for _, n := range []int{50, 200, 1000, 4000} {
-		set, bytes, err := heap(func() (any, error) {
-			set, _, err := costSet(n)
+		set, bytes, err := measureHeap(func() (any, error) {
+			set, _, err := manyRules(n)
 			return set, err
 		})
 		if err != nil {
 			return err
 		}
 		runtime.KeepAlive(set)
-		memory.at(float64(n), bytes)
+		memory.add(float64(n), bytes)
 	}
-	s.slope(memory)
+	s.addSlope(memory)
 	return nil
 }
 
-// planSlope: one plan after the load drifted, at growing services.
+// planSlope measures the time of one plan after the load has shifted between servers.
 func planSlope(_ context.Context, s *Section) error {
 	cost := slope{name: "one plan (500 servers)", per: "slices", unit: "ms"}
-	for _, parts := range []int{8192, 16384, 32768, 65536} {
-		in := planInput(parts, costServers)
-		cost.at(float64(parts), nanos(func(b *testing.B) {
+	for _, sliceCount := range []int{8192, 16384, 32768, 65536} {
+		in := planInput(sliceCount, costServers)
+		cost.add(float64(sliceCount), nsPerOp(func(b *testing.B) {
 			for b.Loop() {
 				place.Plan(in)
 			}
 		})/1e6)
 	}
-	s.slope(cost)
+	s.addSlope(cost)
 	return nil
 }
 
-func planInput(parts, servers int) place.Input {
+// planInput returns the input of a plan for evenly assigned slices with uneven loads.
+func planInput(sliceCount, servers int) place.Input {
 	names := serverNames(servers)
 	in := place.Input{
-		Owners: make([]ident.Server, parts), Loads: make([]float64, parts),
-		Band: place.BandFor(place.Weights{Imbalance: 1, Churn: 1, Unavailable: 1}, parts),
+		Owners: make([]ident.Server, sliceCount), Loads: make([]float64, sliceCount),
+		Band: place.BandFor(place.Weights{Imbalance: 1, Churn: 1, Unavailable: 1}, sliceCount),
 	}
 	for _, name := range names {
 		in.Servers = append(in.Servers, place.Server{ID: name, Accepting: true})
@@ -213,36 +218,37 @@
 	return in
 }
 
-// gateSlope: the admission point's memory and the cost of a decision as servers
-// are added.
+// gateSlope measures the gate's memory and the time of one admission by the number of
+// servers.
 func gateSlope(ctx context.Context, s *Section) error {
 	memory := slope{name: "gate", per: "servers", unit: "bytes"}
 	cost := slope{name: "enter and done", per: "servers", unit: "ns"}
 	for _, n := range []int{10, 50, 200, 500} {
-		g, bytes, err := heap(func() (*gate.Gate, error) { return fullGate(n), nil })
+		g, bytes, err := measureHeap(func() (*gate.Gate, error) { return fullGate(n), nil })
 		if err != nil {
 			return err
 		}
-		memory.at(float64(n), bytes)
+		memory.add(float64(n), bytes)
 		job := gate.Job{Caller: "hauler", Deadline: time.Now().Add(time.Hour)}
-		cost.at(float64(n), nanos(func(b *testing.B) {
+		cost.add(float64(n), nsPerOp(func(b *testing.B) {
 			for b.Loop() {
-				pass, err := g.Enter(ctx, job)
+				permit, err := g.Enter(ctx, job)
 				if err != nil {
 					b.Fatal(err)
 				}
-				pass.Done(gate.Outcome{})
+				permit.Done(gate.Outcome{})
 			}
 		}))
 		if err := g.Close(); err != nil {
 			return err
 		}
 	}
-	s.slope(memory)
-	s.slope(cost)
+	s.addSlope(memory)
+	s.addSlope(cost)
 	return nil
 }
 
+// fullGate returns a gate with n servers.
 func fullGate(n int) *gate.Gate {
 	g := gate.New(gate.Config{Service: "lookup"})
 	infos := make([]gate.ServerInfo, 0, n)
@@ -253,39 +259,41 @@
 	return g
 }
 
-// callerSlope: what the gate remembers of callers, which must not grow without
-// bound.
+// callerSlope measures the gate's memory by the number of callers that it has seen. It
+// must not grow without bound.
 func callerSlope(ctx context.Context, s *Section) error {
 	memory := slope{name: "gate after requests of many callers", per: "callers", unit: "bytes"}
 	for _, n := range []int{1000, 10_000, 100_000, 1_000_000} {
-		g, bytes, err := heap(func() (*gate.Gate, error) { return askedBy(ctx, n) })
+		g, bytes, err := measureHeap(func() (*gate.Gate, error) { return gateAfterCallers(ctx, n) })
 		if err != nil {
 			return err
 		}
-		memory.at(float64(n), bytes)
+		memory.add(float64(n), bytes)
 		if err := g.Close(); err != nil {
 			return err
 		}
 	}
-	s.slope(memory)
+	s.addSlope(memory)
 	return nil
 }
 
-func askedBy(ctx context.Context, callers int) (*gate.Gate, error) {
+// gateAfterCallers returns a gate that has processed one request of each caller.
+func gateAfterCallers(ctx context.Context, callers int) (*gate.Gate, error) {
 	g := fullGate(16)
-	by := time.Now().Add(time.Hour)
+	deadline := time.Now().Add(time.Hour)
 	for i := range callers {
-		pass, err := g.Enter(ctx, gate.Job{Caller: ident.Caller(fmt.Sprint("caller-", i)), Deadline: by})
+		permit, err := g.Enter(ctx, gate.Job{Caller: ident.Caller(fmt.Sprint("caller-", i)), Deadline: deadline})
 		if err != nil {
 			return g, err
 		}
-		pass.Done(gate.Outcome{})
+		permit.Done(gate.Outcome{})
 	}
 	return g, nil
 }
 
-// rosterSlope: one tick of membership over growing fleets, ten times a second.
-func rosterSlope(_ context.Context, s *Section) error {
+// membershipSlope measures the processor time of package detect, which decides which
+// members are live and ticks ten times a second, by the number of members.
+func membershipSlope(_ context.Context, s *Section) error {
 	cost := slope{name: "membership, processor time a second", per: "members", unit: "µs"}
 	for _, n := range []int{50, 200, 500, 1000} {
 		m := detect.New[ident.Server](detect.Config{})
@@ -295,21 +303,21 @@
 		}
 		now := time.Unix(0, 0)
 		m.Update(now, detect.ListMsg[ident.Server]{Rows: rows})
-		cost.at(float64(n), nanos(func(b *testing.B) {
+		cost.add(float64(n), nsPerOp(func(b *testing.B) {
 			for b.Loop() {
 				for range 10 {
 					now = now.Add(100 * time.Millisecond)
-					tick(m, now)
+					tickMembership(m, now)
 				}
 			}
 		})/1e3)
 	}
-	s.slope(cost)
+	s.addSlope(cost)
 	return nil
 }
 
-// tick lets time pass and answers every probe that it makes due.
-func tick(m *detect.Model[ident.Server], now time.Time) {
+// tickMembership sends a tick at the given time and answers all resulting probes.
+func tickMembership(m *detect.Model[ident.Server], now time.Time) {
 	_, cmds := m.Update(now, detect.TickMsg{})
 	for _, cmd := range cmds {
 		if probe, ok := cmd.(detect.ProbeCmd[ident.Server]); ok {
@@ -318,17 +326,18 @@
 	}
 }
 
-// sketchSlope: what finding hot keys costs, by the size of the sketch.
+// sketchSlope measures the memory of the sketch that finds hot keys, and the time to count
+// one request, by the sketch's number of counters.
 func sketchSlope(_ context.Context, s *Section) error {
 	memory := slope{name: "hot-key sketch", per: "counters", unit: "bytes"}
-	add := slope{name: "counting one request", per: "counters", unit: "ns"}
+	addCost := slope{name: "counting one request", per: "counters", unit: "ns"}
 	keys := make([]ident.Key, 1<<16)
 	for i := range keys {
 		keys[i] = ident.Key(fmt.Sprint("scale-", i))
 	}
 	now := time.Unix(0, 0)
 	for _, n := range []int{128, 256, 512, 1024} {
-		sk, bytes, err := heap(func() (*sketch.Sketch[ident.Key], error) {
+		sk, bytes, err := measureHeap(func() (*sketch.Sketch[ident.Key], error) {
 			sk := sketch.New[ident.Key](n, time.Minute)
 			for k := range slices.Values(keys) {
 				sk.Add(now, k, 1)
@@ -338,16 +347,16 @@
 		if err != nil {
 			return err
 		}
-		memory.at(float64(n), bytes)
+		memory.add(float64(n), bytes)
 		i := 0
-		add.at(float64(n), nanos(func(b *testing.B) {
+		addCost.add(float64(n), nsPerOp(func(b *testing.B) {
 			for b.Loop() {
 				i++
 				sk.Add(now, keys[i%len(keys)], 1)
 			}
 		}))
 	}
-	s.slope(memory)
-	s.slope(add)
+	s.addSlope(memory)
+	s.addSlope(addCost)
 	return nil
 }
--- a/internal/admin/cmds/bench.go
+++ b/internal/admin/cmds/bench.go
@@ -51,7 +51,7 @@
 	if err := bench.Write(c.Out, r); err != nil {
 		return err
 	}
-	fmt.Fprintf(c.app.out, "%d sections in %s/%s, raw results in %s/%s\n", len(r.Sections), c.Out, bench.ReportFile, c.Out, bench.RawFile)
+	fmt.Fprintf(c.app.out, "%d sections in %s/%s, raw results in %s/%s\n", len(r.Sections), c.Out, bench.ReportFile, c.Out, bench.ResultsFile)
 	if len(r.Failed) > 0 {
 		return kinds.New(kinds.Internal, "not measured: "+strings.Join(r.Failed, "; "))
 	}
