--- a/cmd/standin/main.go
+++ b/cmd/standin/main.go
@@ -74,25 +74,25 @@
 }
 
 func serveAll(ctx context.Context, o options) error {
-	s := &environment{workTime: o.WorkTime, api: objapi.New(), opened: map[netip.AddrPort]bool{}}
-	defer s.close()
+	e := &environment{workTime: o.WorkTime, api: objapi.New(), opened: map[netip.AddrPort]bool{}}
+	defer e.close()
 	for _, file := range o.Args.Files {
 		cfg, err := config.Load(file)
 		if err != nil {
 			return err
 		}
-		if err := s.addSettings(cfg); err != nil {
+		if err := e.addSettings(cfg); err != nil {
 			return err
 		}
 	}
-	fmt.Printf("standin: platform and %d backend servers are up\n", len(s.origins))
-	s.toggleOutages(ctx)
+	fmt.Printf("standin: platform and %d backend servers are up\n", len(e.origins))
+	e.toggleOutages(ctx)
 	return nil
 }
 
 // toggleOutages starts or ends an outage of the store on each SIGUSR1, until ctx is
 // done.
-func (s *environment) toggleOutages(ctx context.Context) {
+func (e *environment) toggleOutages(ctx context.Context) {
 	toggle := make(chan os.Signal, 1)
 	signal.Notify(toggle, syscall.SIGUSR1)
 	defer signal.Stop(toggle)
@@ -100,7 +100,7 @@
 		select {
 		case <-toggle:
 			down = !down
-			s.api.Outage(down)
+			e.api.Outage(down)
 			fmt.Printf("standin: store down: %v\n", down)
 		case <-ctx.Done():
 			return
@@ -108,28 +108,28 @@
 	}
 }
 
-func (s *environment) close() {
-	for _, o := range s.origins {
+func (e *environment) close() {
+	for _, o := range e.origins {
 		if err := o.Close(); err != nil {
 			fmt.Fprintln(os.Stderr, "standin:", err)
 		}
 	}
-	if err := s.group.Close(); err != nil {
+	if err := e.group.Close(); err != nil {
 		fmt.Fprintln(os.Stderr, "standin:", err)
 	}
 }
 
-func (s *environment) addSettings(cfg config.Config) error {
-	s.api.SetVM(vmlist.VM{ID: cfg.VM, Addr: cfg.Listen.Peers, Centre: cfg.Centre, State: vmlist.Live})
-	if err := s.servePlatform(cfg.Platform.Objects); err != nil {
+func (e *environment) addSettings(cfg config.Config) error {
+	e.api.SetVM(vmlist.VM{ID: cfg.VM, Addr: cfg.Listen.Peers, Centre: cfg.Centre, State: vmlist.Live})
+	if err := e.servePlatform(cfg.Platform.Objects); err != nil {
 		return err
 	}
-	if err := s.servePlatform(cfg.Platform.VMs); err != nil {
+	if err := e.servePlatform(cfg.Platform.VMs); err != nil {
 		return err
 	}
 	for _, svc := range cfg.Services {
 		for _, srv := range svc.Servers {
-			if err := s.startServer(svc, srv); err != nil {
+			if err := e.startServer(svc, srv); err != nil {
 				return err
 			}
 		}
@@ -137,18 +137,18 @@
 	return nil
 }
 
-func (s *environment) servePlatform(addr netip.AddrPort) error {
-	l, err := s.listen(addr)
+func (e *environment) servePlatform(addr netip.AddrPort) error {
+	l, err := e.listen(addr)
 	if l == nil {
 		return err
 	}
-	s.serve(l, s.api.Handler())
+	e.serve(l, e.api.Handler())
 	return nil
 }
 
-func (s *environment) serve(l net.Listener, h http.Handler) {
+func (e *environment) serve(l net.Listener, h http.Handler) {
 	server := &http.Server{Handler: h, ReadHeaderTimeout: time.Second}
-	s.group.Go(func(ctx context.Context) error {
+	e.group.Go(func(ctx context.Context) error {
 		defer context.AfterFunc(ctx, func() { _ = server.Close() })()
 		if err := server.Serve(l); !errors.Is(err, http.ErrServerClosed) {
 			return err
@@ -157,32 +157,32 @@
 	})
 }
 
-func (s *environment) startServer(svc config.Service, srv config.Server) error {
-	l, err := s.listen(srv.Data)
+func (e *environment) startServer(svc config.Service, srv config.Server) error {
+	l, err := e.listen(srv.Data)
 	if l == nil {
 		return err
 	}
 	o := origin.New(origin.Config{
 		Service: svc.Name, Server: srv.Name, Centre: srv.Centre,
 		Keyed: svc.Divided, Slices: svc.Slices, FenceChecks: svc.FenceChecks,
-		Slots: srv.Slots, Queue: srv.Slots, Conns: srv.Conns, Work: s.workTime,
+		Slots: srv.Slots, Queue: srv.Slots, Conns: srv.Conns, Work: e.workTime,
 	})
-	s.origins = append(s.origins, o)
+	e.origins = append(e.origins, o)
 	o.Serve(l)
-	control, err := s.listen(srv.Control)
+	control, err := e.listen(srv.Control)
 	if control == nil {
 		return err
 	}
-	s.serve(control, o.Handler())
+	e.serve(control, o.Handler())
 	return nil
 }
 
 // listen opens a listener on addr. It returns nil for an address that is invalid or
 // already open, because several settings files name the same platform and servers.
-func (s *environment) listen(addr netip.AddrPort) (net.Listener, error) {
-	if !addr.IsValid() || s.opened[addr] {
+func (e *environment) listen(addr netip.AddrPort) (net.Listener, error) {
+	if !addr.IsValid() || e.opened[addr] {
 		return nil, nil
 	}
-	s.opened[addr] = true
+	e.opened[addr] = true
 	return net.ListenTCP("tcp", net.TCPAddrFromAddrPort(addr))
 }
--- a/examples/ownership/main.go
+++ b/examples/ownership/main.go
@@ -20,26 +20,26 @@
 )
 
 func main() {
-	w, err := newEnvironment("scale-a", "scale-b")
+	e, err := newEnvironment("scale-a", "scale-b")
 	if err != nil {
 		fmt.Println(err)
 		return
 	}
-	for name := range w.servers {
-		w.loops[name] = hawthornfield.NewLoop(hawthornfield.NewLessor(hawthornfield.LessorConfig{
+	for name := range e.servers {
+		e.loops[name] = hawthornfield.NewLoop(hawthornfield.NewLessor(hawthornfield.LessorConfig{
 			Self: "vm-1", Service: "scales", Server: name, FenceChecks: true,
-		}), &runner{environment: w, server: name})
+		}), &runner{environment: e, server: name})
 	}
-	for _, loop := range w.loops {
+	for _, loop := range e.loops {
 		defer loop.Close()
 		loop.Send(hawthornfield.RoleMsg{Lead: true})
 	}
-	w.waitServed("scale-a", movedSlice)
+	e.waitServed("scale-a", movedSlice)
 	fmt.Println("slice", movedSlice, "is served by scale-a")
-	w.loops["scale-a"].Send(hawthornfield.MoveMsg{Moves: []hawthornfield.Move{{Slice: movedSlice, To: "scale-b"}}})
-	report := w.waitMoved()
+	e.loops["scale-a"].Send(hawthornfield.MoveMsg{Moves: []hawthornfield.Move{{Slice: movedSlice, To: "scale-b"}}})
+	report := e.waitMoved()
 	fmt.Println("moved under epoch", report.Epoch, "at revision", report.Rev)
-	w.waitServed("scale-b", movedSlice)
+	e.waitServed("scale-b", movedSlice)
 	fmt.Println("slice", movedSlice, "is served by scale-b")
 }
 
@@ -70,40 +70,40 @@
 	if err != nil {
 		return nil, err
 	}
-	w := &environment{
+	e := &environment{
 		table: t, version: 1,
 		servers: map[hawthornfield.Server]*backend{},
 		loops:   map[hawthornfield.Server]*hawthornfield.Loop{},
 	}
-	w.changed = sync.NewCond(&w.mu)
+	e.changed = sync.NewCond(&e.mu)
 	for _, name := range names {
-		w.servers[name] = &backend{start: time.Now()}
+		e.servers[name] = &backend{start: time.Now()}
 	}
 	all := make([]hawthornfield.Move, 0, sliceCount)
 	for x := range hawthornfield.Slice(sliceCount) {
 		all = append(all, hawthornfield.Move{Slice: x, To: names[0]})
 	}
-	w.table, err = t.WithAssigned(all...)
-	return w, err
+	e.table, err = t.WithAssigned(all...)
+	return e, err
 }
 
-func (w *environment) waitServed(name hawthornfield.Server, x hawthornfield.Slice) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	for !w.servers[name].owned[x] || !time.Now().Before(w.servers[name].leaseEnd) {
-		w.changed.Wait()
+func (e *environment) waitServed(name hawthornfield.Server, x hawthornfield.Slice) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	for !e.servers[name].owned[x] || !time.Now().Before(e.servers[name].leaseEnd) {
+		e.changed.Wait()
 	}
 }
 
 // waitMoved waits for the report of the move. The lessors' loops run concurrently, so
 // the next owner may be granted the slice before or after the report arrives.
-func (w *environment) waitMoved() hawthornfield.MovedCmd {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	for w.moveReport == nil {
-		w.changed.Wait()
+func (e *environment) waitMoved() hawthornfield.MovedCmd {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	for e.moveReport == nil {
+		e.changed.Wait()
 	}
-	return *w.moveReport
+	return *e.moveReport
 }
 
 // runner executes the commands of one lessor.
@@ -146,29 +146,29 @@
 	return hawthornfield.RecordPutMsg{Cmd: c, Version: r.record.Version}
 }
 
-func (w *environment) putTable(c hawthornfield.PutTableCmd) hawthornfield.TablePutMsg {
-	if c.Old != w.version || !c.Valid(time.Now()) {
+func (e *environment) putTable(c hawthornfield.PutTableCmd) hawthornfield.TablePutMsg {
+	if c.Old != e.version || !c.Valid(time.Now()) {
 		return hawthornfield.TablePutMsg{Cmd: c, Kind: hawthornfield.KindOf(hawthornfield.ErrConflict)}
 	}
-	w.version++
-	w.table = c.Table
-	for _, loop := range w.loops {
-		loop.Send(hawthornfield.TableMsg{Table: w.table, Version: w.version})
+	e.version++
+	e.table = c.Table
+	for _, loop := range e.loops {
+		loop.Send(hawthornfield.TableMsg{Table: e.table, Version: e.version})
 	}
-	return hawthornfield.TablePutMsg{Cmd: c, Version: w.version}
+	return hawthornfield.TablePutMsg{Cmd: c, Version: e.version}
 }
 
 func (b *backend) handleOrder(c hawthornfield.OrderCmd) hawthornfield.Reply {
 	if c.Order.Fence.Less(b.fence) {
-		r := b.reply()
-		r.Reason = "fence"
-		return r
+		reply := b.reply()
+		reply.Reason = "fence"
+		return reply
 	}
 	b.fence = c.Order.Fence
 	b.apply(c)
-	r := b.reply()
-	r.Done = true
-	return r
+	reply := b.reply()
+	reply.Done = true
+	return reply
 }
 
 func (b *backend) reply() hawthornfield.Reply {
