--- a/internal/admin/cmds/certs.go
+++ b/internal/admin/cmds/certs.go
@@ -46,8 +46,8 @@
 
 // Execute creates the authority and the certificates. It parses all arguments before it
 // writes any file.
-func (c *certsCmd) Execute(rest []string) error {
-	if err := rejectExtraArgs(rest); err != nil {
+func (c *certsCmd) Execute(args []string) error {
+	if err := rejectExtraArgs(args); err != nil {
 		return err
 	}
 	if c.Days < 1 {
