--- a/internal/admin/demo/callers.go
+++ b/internal/admin/demo/callers.go
@@ -70,9 +70,10 @@
 const (
 	repeatOneIn = 5 // one submission in five is sent twice, through different VMs
 	uploadBytes = 1 << 20
-	hotOneIn    = 10 // one lookup in ten asks for the hot key
-	seed        = 20261202
+	hotOneIn    = 10       // one lookup in ten asks for the hot key
+	seed        = 20261202 // of the random choices
 
+	// Retries of a lookup that gets no answer.
 	maxLookupTries   = 50
 	lookupRetryDelay = 50 * time.Millisecond
 
@@ -80,11 +81,14 @@
 	// Requests without an answer by then count as unanswered.
 	drainTimeout = 30 * time.Second
 
+	// The burst of uploads with a short deadline.
 	burstCount   = 150
 	burstBytes   = 4 << 10
 	burstTimeout = 150 * time.Millisecond
-	slowCount    = 6
-	slowWork     = 400 * time.Millisecond
+
+	// The slow uploads that are in flight when an entry VM is shut down.
+	slowCount = 6
+	slowWork  = 400 * time.Millisecond
 )
 
 func newCallers(ctx context.Context, s *site) *callers {
@@ -296,6 +300,7 @@
 	return errors.As(err, &op) && op.Op == "dial"
 }
 
+// snapshot returns all attempts so far.
 func (c *callers) snapshot() []attempt {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/admin/demo/print.go
+++ b/internal/admin/demo/print.go
@@ -46,6 +46,7 @@
 		e.outageEnd.Sub(e.outageStart).Round(time.Millisecond))
 }
 
+// mapKeys returns an iterator over the keys of m.
 func mapKeys[K comparable, V any](m map[K]V) func(yield func(K) bool) {
 	return func(yield func(K) bool) {
 		for k := range m {
--- a/internal/admin/demo/scenario.go
+++ b/internal/admin/demo/scenario.go
@@ -259,33 +259,34 @@
 	reverted  bool
 }
 
-func (r *rulesWatcher) run(ctx context.Context) error {
-	r.firstSeen = make([]map[ident.Revision]time.Time, len(r.site.vms))
-	r.highest = make([]ident.Revision, len(r.site.vms))
+func (w *rulesWatcher) run(ctx context.Context) error {
+	w.firstSeen = make([]map[ident.Revision]time.Time, len(w.site.vms))
+	w.highest = make([]ident.Revision, len(w.site.vms))
 	for group.Sleep(ctx, 10*time.Millisecond) {
-		for i, d := range r.site.vms {
-			r.observe(i, d.State().Rules.Current().Rev)
+		for i, d := range w.site.vms {
+			w.observe(i, d.State().Rules.Current().Rev)
 		}
 	}
 	return nil
 }
 
-func (r *rulesWatcher) observe(i int, rev ident.Revision) {
-	if rev < r.highest[i] {
-		r.reverted = true
+func (w *rulesWatcher) observe(i int, rev ident.Revision) {
+	if rev < w.highest[i] {
+		w.reverted = true
 	}
-	r.highest[i] = max(r.highest[i], rev)
-	if r.firstSeen[i] == nil {
-		r.firstSeen[i] = map[ident.Revision]time.Time{}
+	w.highest[i] = max(w.highest[i], rev)
+	if w.firstSeen[i] == nil {
+		w.firstSeen[i] = map[ident.Revision]time.Time{}
 	}
-	if _, ok := r.firstSeen[i][rev]; !ok {
-		r.firstSeen[i][rev] = time.Now()
+	if _, ok := w.firstSeen[i][rev]; !ok {
+		w.firstSeen[i][rev] = time.Now()
 	}
 }
 
-func (r *rulesWatcher) fill(e *evidence) {
-	e.ruleEdit.reverted = r.reverted
-	for _, first := range r.firstSeen {
+// fill adds what was observed to the evidence.
+func (w *rulesWatcher) fill(e *evidence) {
+	e.ruleEdit.reverted = w.reverted
+	for _, first := range w.firstSeen {
 		e.ruleEdit.inForceAt = append(e.ruleEdit.inForceAt, first[e.ruleEdit.rev])
 	}
 }
