--- a/internal/admin/bench/load.go
+++ b/internal/admin/bench/load.go
@@ -24,9 +24,9 @@
 	if o.Quick {
 		services = services[:1]
 	}
-	var scenes []loadbench.Scene
+	var scenes []loadbench.Scenario
 	for _, svc := range services {
-		scenes = append(scenes, loadbench.Scenes(svc)...)
+		scenes = append(scenes, loadbench.Scenarios(svc)...)
 	}
 	rows, err := loadbench.RunAll(scenes, loadSeed)
 	if err != nil {
@@ -50,12 +50,12 @@
 		if r.Policy != loadbench.Policy(0).String() || r.Group != loadbench.Other.String() {
 			continue
 		}
-		name := fmt.Sprintf("%s, %s, window %d: ", r.Service, r.Scene, r.Window)
+		name := fmt.Sprintf("%s, %s, window %d: ", r.Service, r.Scenario, r.Window)
 		s.Figures = append(s.Figures,
 			Figure{Name: name + "in time", Value: float64(r.InTime) / float64(max(r.Asked, 1)), Unit: "of all asked", Better: Higher},
 			Figure{Name: name + "p99", Value: millis(r.P99), Unit: "ms", Better: Lower},
 		)
-		if strings.HasPrefix(r.Scene, "overload") && r.Window == 0 {
+		if strings.HasPrefix(r.Scenario, "overload") && r.Window == 0 {
 			s.Figures = append(s.Figures,
 				Figure{Name: name + "goodput", Value: r.Goodput, Unit: "of capacity", Better: Higher, Target: ">= 0.95"},
 				Figure{Name: name + "refused within (p99)", Value: millis(r.RefuseP99), Unit: "ms", Better: Lower, Target: "< 10 ms"},
--- a/internal/admin/demo/ownership_test.go
+++ b/internal/admin/demo/ownership_test.go
@@ -109,7 +109,7 @@
 // key. Two servers then change the key's data, and each caller sees part of the changes.
 func TestAServerThatIgnoresARevocationIsCaught(t *testing.T) {
 	f := newOwnerFixture(t)
-	f.site.origins["a"].Deaf(true)
+	f.site.origins["a"].IgnoreRevocations(true)
 	f.moveSlice()
 	assert.Equal(t, f.request("a"), http.StatusOK)
 	assert.Assert(t, !f.check().passed())
--- a/internal/fake/origin/knobs.go
+++ b/internal/fake/origin/knobs.go
@@ -65,9 +65,9 @@
 	k.snap = n
 }
 
-// Deaf makes the server say that it obeys revocations, and serve on what they take
+// IgnoreRevocations makes the server say that it obeys revocations, and serve on what they take
 // from it. A checker that does not notice such a server proves nothing.
-func (k *knobs) Deaf(on bool) {
+func (k *knobs) IgnoreRevocations(on bool) {
 	k.km.Lock()
 	defer k.km.Unlock()
 	k.deaf = on
--- a/internal/fake/world/record.go
+++ b/internal/fake/world/record.go
@@ -154,8 +154,8 @@
 	return false
 }
 
-// Until returns the moment of the history at which the server's own lease ends.
-func (s *Server) Until() time.Duration { return s.realEnd(s.lane(s.Name).end) }
+// LeaseEnd returns the moment of the history at which the server's own lease ends.
+func (s *Server) LeaseEnd() time.Duration { return s.realEnd(s.lane(s.Name).end) }
 
 // StandbyServed reports whether a server ever served keys of another one's seat.
 func (w *World) StandbyServed() bool {
--- a/internal/load/bench/all.go
+++ b/internal/load/bench/all.go
@@ -12,7 +12,7 @@
 
 // RunAll plays every scene under both policies, several at a time, and returns
 // the rows in the order of the scenes, ours before naive.
-func RunAll(scenes []Scene, seed uint64) ([]Row, error) {
+func RunAll(scenes []Scenario, seed uint64) ([]Row, error) {
 	const atOnce = 4
 	results := make([][]Row, 2*len(scenes))
 	var g group.Group
@@ -49,7 +49,7 @@
 	}
 	for _, r := range rows {
 		_, err := fmt.Fprintf(w, "| %s | %s | %d | %s | %s | %d | %.4f | %.4f | %.4f | %.1f | %.1f | %.1f | %.1f | %.4f | %.3f | %.2f | %.3f |\n",
-			r.Service, r.Scene, r.Window, r.Policy, r.Group, r.Asked,
+			r.Service, r.Scenario, r.Window, r.Policy, r.Group, r.Asked,
 			r.share(r.InTime), r.share(r.Refused), r.share(r.Unknown),
 			millis(r.P50), millis(r.P99), millis(r.P999), millis(r.RefuseP99), r.share(r.Held),
 			r.Goodput, r.Imbalance, r.Extra)
--- a/internal/load/bench/result.go
+++ b/internal/load/bench/result.go
@@ -50,12 +50,12 @@
 )
 
 type results struct {
-	scene   Scene
+	scene   Scenario
 	marks   []time.Duration
 	windows [][groups]tally
 }
 
-func newResults(sc Scene) *results {
+func newResults(sc Scenario) *results {
 	marks := sc.Marks
 	if len(marks) == 0 {
 		marks = []time.Duration{sc.Last}
@@ -114,19 +114,19 @@
 // Row is what one group received in one window of a scene. Latencies are from
 // asking to the answer.
 type Row struct {
-	Service string        `json:"service"`
-	Scene   string        `json:"scene"`
-	Policy  string        `json:"policy"`
-	Window  int           `json:"window"`
-	Group   string        `json:"group"`
-	Asked   int           `json:"asked"`
-	Served  int           `json:"served"`
-	InTime  int           `json:"intime"`
-	Refused int           `json:"refused"`
-	Unknown int           `json:"unknown"`
-	P50     time.Duration `json:"p50"`
-	P99     time.Duration `json:"p99"`
-	P999    time.Duration `json:"p999"`
+	Service  string        `json:"service"`
+	Scenario string        `json:"scene"`
+	Policy   string        `json:"policy"`
+	Window   int           `json:"window"`
+	Group    string        `json:"group"`
+	Asked    int           `json:"asked"`
+	Served   int           `json:"served"`
+	InTime   int           `json:"intime"`
+	Refused  int           `json:"refused"`
+	Unknown  int           `json:"unknown"`
+	P50      time.Duration `json:"p50"`
+	P99      time.Duration `json:"p99"`
+	P999     time.Duration `json:"p999"`
 	// RefuseP99 and RefuseMax are how long callers waited to be refused.
 	RefuseP99 time.Duration `json:"refusep99"`
 	RefuseMax time.Duration `json:"refusemax"`
@@ -154,7 +154,7 @@
 				continue
 			}
 			row := t.row()
-			row.Service, row.Scene, row.Policy = w.scene.Service.Name, w.scene.Name, policy
+			row.Service, row.Scenario, row.Policy = w.scene.Service.Name, w.scene.Name, policy
 			row.Window, row.Group = i, g.String()
 			row.Goodput, row.Imbalance, row.Extra = good, w.imbalance(), w.extra()
 			rows = append(rows, row)
--- a/internal/load/bench/run.go
+++ b/internal/load/bench/run.go
@@ -14,7 +14,7 @@
 
 // Run plays a scene under a policy. The same scene and seed always give the
 // same rows.
-func Run(sc Scene, p Policy, seed uint64) []Row {
+func Run(sc Scenario, p Policy, seed uint64) []Row {
 	w := newWorld(sc, seed)
 	if p == Naive {
 		w.policy = newNaive(w)
--- a/internal/load/bench/scene.go
+++ b/internal/load/bench/scene.go
@@ -41,8 +41,8 @@
 	From, To time.Duration
 }
 
-// Scene is one load pattern on one service.
-type Scene struct {
+// Scenario is one load pattern on one service.
+type Scenario struct {
 	Name      string
 	Service   Service
 	Warm      time.Duration // not measured
@@ -109,44 +109,44 @@
 	burst  = 10 * normal
 )
 
-// Scenes lists the load patterns for a service.
-func Scenes(s Service) []Scene {
+// Scenarios lists the load patterns for a service.
+func Scenarios(s Service) []Scenario {
 	flat := func(load float64) []Phase { return []Phase{{0, load}} }
-	base := Scene{Service: s, Warm: 3 * time.Second, Last: 13 * time.Second, Phases: flat(normal)}
-	scene := func(name string, change func(*Scene)) Scene {
+	base := Scenario{Service: s, Warm: 3 * time.Second, Last: 13 * time.Second, Phases: flat(normal)}
+	scene := func(name string, change func(*Scenario)) Scenario {
 		sc := base
 		sc.Name = name
 		change(&sc)
 		return sc
 	}
-	return []Scene{
-		scene("normal", func(*Scene) {}),
-		scene("burst", func(sc *Scene) {
+	return []Scenario{
+		scene("normal", func(*Scenario) {}),
+		scene("burst", func(sc *Scenario) {
 			sc.Phases = []Phase{{0, normal}, {5 * time.Second, burst}, {7 * time.Second, normal}}
 		}),
-		scene("hot-caller", func(sc *Scene) { sc.HotCaller = 0.5 }),
-		scene("hot-key", func(sc *Scene) { sc.HotKey = 0.3 }),
-		scene("slow-server", func(sc *Scene) {
+		scene("hot-caller", func(sc *Scenario) { sc.HotCaller = 0.5 }),
+		scene("hot-key", func(sc *Scenario) { sc.HotKey = 0.3 }),
+		scene("slow-server", func(sc *Scenario) {
 			sc.Faults = []Fault{{Server: 1, Trouble: Slow, Factor: 10, From: 4 * time.Second, To: sc.Last}}
 		}),
-		scene("frozen-server", func(sc *Scene) {
+		scene("frozen-server", func(sc *Scenario) {
 			sc.Faults = []Fault{{Server: 1, Trouble: Freeze, From: 4 * time.Second, To: 8 * time.Second}}
 		}),
-		scene("failing-server", func(sc *Scene) {
+		scene("failing-server", func(sc *Scenario) {
 			sc.Faults = []Fault{{Server: 1, Trouble: Fail, From: 4 * time.Second, To: sc.Last}}
 		}),
-		scene("long-among-short", func(sc *Scene) { sc.LongShare = 0.4 }),
-		scene("lying-reports", func(sc *Scene) { sc.Lies = true }),
-		scene("half-cold", func(sc *Scene) { sc.Cold, sc.Warm = true, 0 }),
+		scene("long-among-short", func(sc *Scenario) { sc.LongShare = 0.4 }),
+		scene("lying-reports", func(sc *Scenario) { sc.Lies = true }),
+		scene("half-cold", func(sc *Scenario) { sc.Cold, sc.Warm = true, 0 }),
 		Overload(s),
-		scene("overload-again", func(sc *Scene) { sc.Phases, sc.Again = flat(twice), 2 }),
+		scene("overload-again", func(sc *Scenario) { sc.Phases, sc.Again = flat(twice), 2 }),
 	}
 }
 
 // Overload is twice the capacity for a minute, then back to normal. Its windows
 // are the overload, the 5 s after it, and the time from then on.
-func Overload(s Service) Scene {
-	return Scene{
+func Overload(s Service) Scenario {
+	return Scenario{
 		Name: "overload", Service: s, Warm: 3 * time.Second, Last: 75 * time.Second,
 		Phases: []Phase{{0, normal}, {3 * time.Second, twice}, {63 * time.Second, normal}},
 		Marks:  []time.Duration{63 * time.Second, 68 * time.Second, 75 * time.Second},
--- a/internal/load/bench/scene_test.go
+++ b/internal/load/bench/scene_test.go
@@ -20,12 +20,12 @@
 	if os.Getenv("HAWTHORN_TABLE") == "" {
 		t.Skip("set HAWTHORN_TABLE=1 to print the table")
 	}
-	var all []Scene
+	var all []Scenario
 	for _, s := range Services() {
 		if only := os.Getenv("HAWTHORN_TABLE"); only != "1" && only != s.Name {
 			continue
 		}
-		for _, sc := range Scenes(s) {
+		for _, sc := range Scenarios(s) {
 			if only := os.Getenv("HAWTHORN_SCENE"); only == "" || strings.Contains(only, sc.Name) {
 				all = append(all, sc)
 			}
@@ -39,7 +39,7 @@
 // Every request ends exactly once, whatever happens to it: the harness panics
 // at a second ending, and a missing one shows in the sum.
 func TestEveryRequestEndsOnce(t *testing.T) {
-	for _, sc := range Scenes(Kerala()) {
+	for _, sc := range Scenarios(Kerala()) {
 		sc.Last = min(sc.Last, 13e9)
 		for _, p := range []Policy{Ours, Naive} {
 			for _, r := range Run(sc, p, seed) {
@@ -52,7 +52,7 @@
 // The same seed gives the same figures, so that a change of a figure is a
 // change of the code.
 func TestSameSeedSameRows(t *testing.T) {
-	sc := Scenes(Kerala())[2]
+	sc := Scenarios(Kerala())[2]
 	var first, second strings.Builder
 	assert.NilError(t, Table(&first, Run(sc, Ours, seed)))
 	assert.NilError(t, Table(&second, Run(sc, Ours, seed)))
--- a/internal/load/bench/target_test.go
+++ b/internal/load/bench/target_test.go
@@ -34,15 +34,15 @@
 	return Row{}
 }
 
-func scene(t *testing.T, s Service, name string) Scene {
+func scene(t *testing.T, s Service, name string) Scenario {
 	t.Helper()
-	for _, sc := range Scenes(s) {
+	for _, sc := range Scenarios(s) {
 		if sc.Name == name {
 			return sc
 		}
 	}
 	t.Fatalf("no scene %q", name)
-	return Scene{}
+	return Scenario{}
 }
 
 func eachService(t *testing.T, do func(t *testing.T, s Service)) {
--- a/internal/load/bench/world.go
+++ b/internal/load/bench/world.go
@@ -45,7 +45,7 @@
 // world holds the servers, the callers and the clock of one run.
 type world struct {
 	clock
-	scene   Scene
+	scene   Scenario
 	origins []*origin
 	policy  policy
 	results *results
@@ -58,7 +58,7 @@
 	longWork distuv.Gamma
 }
 
-func newWorld(sc Scene, seed uint64) *world {
+func newWorld(sc Scenario, seed uint64) *world {
 	w := &world{
 		scene:    sc,
 		arrivals: rand.New(rand.NewPCG(seed, 1)),
@@ -140,7 +140,7 @@
 }
 
 // capacity is the requests per second that all slots together can do.
-func (sc Scene) capacity() float64 {
+func (sc Scenario) capacity() float64 {
 	s := sc.Service
 	mean := s.Mean.Seconds()
 	if p := sc.longOdds(); p > 0 {
@@ -151,7 +151,7 @@
 
 // longOdds is the share of requests that are long, from their share of slot
 // time.
-func (sc Scene) longOdds() float64 {
+func (sc Scenario) longOdds() float64 {
 	if sc.LongShare == 0 {
 		return 0
 	}
--- a/internal/owner/lessor/mutant_test.go
+++ b/internal/owner/lessor/mutant_test.go
@@ -101,7 +101,7 @@
 // must allow for.
 func partitionAfterOrder(w *world.World) {
 	for s := w.Servers[0]; ; w.Heal() {
-		sent, end := w.Count.Orders, s.Until()
+		sent, end := w.Count.Orders, s.LeaseEnd()
 		for w.Count.Orders == sent {
 			w.Run(w.Now() + 100*time.Microsecond)
 		}
@@ -109,7 +109,7 @@
 			w.Partition(string(v.ID), string(s.Name), time.Minute)
 		}
 		w.Run(w.Now() + 2*time.Millisecond)
-		if s.Until() != end {
+		if s.LeaseEnd() != end {
 			return
 		}
 	}
