--- a/internal/fake/world/commit.go
+++ b/internal/fake/world/commit.go
@@ -10,68 +10,68 @@
 	"hawthornfield.org/hawthornfield/internal/plat/object"
 )
 
-// bootWriter starts the VM's writer of the table, where the world has them.
-func (v *VM) bootWriter() {
+// startWriter starts the VM's table writer if Options.NewWriter is set.
+func (v *VM) startWriter() {
 	if v.w.Opt.NewWriter == nil {
 		return
 	}
 	v.writer = v.w.Opt.NewWriter(commit.Config{Self: v.ID, Service: Service, Store: v.w.times.StoreTimeout})
-	var hubs []ident.VM
+	var coordinators []ident.VM
 	for i := range min(v.w.Opt.VMs, 2) {
-		hubs = append(hubs, vmName(i))
+		coordinators = append(coordinators, vmName(i))
 	}
-	v.updateWriter(commit.CoordinatorsMsg{VMs: hubs})
+	v.updateWriter(commit.CoordinatorsMsg{VMs: coordinators})
 }
 
-// seen tells the writer of a table that came to the VM.
-func (v *VM) seen(t table.Table, ver object.Version) {
+// notifyWriter passes a table that the VM received to its writer.
+func (v *VM) notifyWriter(t table.Table, ver object.Version) {
 	if v.writer != nil {
 		v.updateWriter(commit.TableMsg{Table: t, Version: ver})
 	}
 }
 
-// suspect tells the writer which VMs seem lost.
-func (v *VM) suspect(away []*VM) {
+// reportSuspects tells the writer which VMs are suspected to have failed.
+func (v *VM) reportSuspects(suspects []*VM) {
 	if v.writer == nil {
 		return
 	}
-	for _, o := range away {
-		v.run(v.life, func() { v.updateWriter(commit.SuspectMsg{VM: o.ID}) })
+	for _, o := range suspects {
+		v.run(v.incarnation, func() { v.updateWriter(commit.SuspectMsg{VM: o.ID}) })
 	}
 }
 
-// updateWriter is update for the writer: a pause can fall between its decisions
-// and their effects as well.
+// updateWriter passes a message to the writer and runs its commands. As in update,
+// the VM may pause between a decision and its effect.
 func (v *VM) updateWriter(msg loop.Msg) {
-	m, cmds := v.writer.Update(v.local(), msg)
+	m, cmds := v.writer.Update(v.localTime(), msg)
 	v.writer = m
 	for _, c := range cmds {
 		if _, timer := c.(loop.AfterCmd); !timer && v.w.chance(v.w.Noise.Stall) {
 			v.Pause(v.w.between(0, v.w.Noise.MaxStall))
 		}
-		v.run(v.life, func() { v.execWriter(c) })
+		v.run(v.incarnation, func() { v.execWriter(c) })
 	}
 }
 
 func (v *VM) execWriter(cmd loop.Cmd) {
-	life := v.life
-	send := func(m loop.Msg) { v.run(life, func() { v.updateWriter(m) }) }
+	incarnation := v.incarnation
+	send := func(m loop.Msg) { v.run(incarnation, func() { v.updateWriter(m) }) }
 	switch c := cmd.(type) {
 	case loop.AfterCmd:
-		v.w.after(v.real(c.D), func() { send(c.Msg) })
+		v.w.after(v.toSimTime(c.D), func() { send(c.Msg) })
 	case commit.AnswerCmd:
 		v.update(c.Server, c.Msg)
 	case commit.SendCmd:
-		v.sendWriter(c)
+		v.sendToPeerWriter(c)
 	case commit.ReadCmd:
-		v.readFor(c, send)
+		v.readTableForWriter(c, send)
 	case commit.WriteCmd:
-		v.writeFor(c, send)
+		v.writeTableForWriter(c, send)
 	}
 }
 
-func (v *VM) sendWriter(c commit.SendCmd) {
-	if !c.Valid(v.local()) {
+func (v *VM) sendToPeerWriter(c commit.SendCmd) {
+	if !c.Valid(v.localTime()) {
 		return
 	}
 	msg := c.Msg
@@ -84,12 +84,12 @@
 	}
 	for _, o := range v.w.VMs {
 		if o.ID == c.To {
-			v.w.message(string(v.ID), string(o.ID), func() { o.run(o.life, func() { o.updateWriter(msg) }) })
+			v.w.send(string(v.ID), string(o.ID), func() { o.run(o.incarnation, func() { o.updateWriter(msg) }) })
 		}
 	}
 }
 
-func (v *VM) readFor(c commit.ReadCmd, send func(loop.Msg)) {
+func (v *VM) readTableForWriter(c commit.ReadCmd, send func(loop.Msg)) {
 	st := v.w.Store
 	v.w.Count.Reads++
 	v.w.call(v, "store", v.w.times.StoreTimeout, func(reply func(any)) {
@@ -100,8 +100,8 @@
 	})
 }
 
-func (v *VM) writeFor(c commit.WriteCmd, send func(loop.Msg)) {
-	if !c.Valid(v.local()) {
+func (v *VM) writeTableForWriter(c commit.WriteCmd, send func(loop.Msg)) {
+	if !c.Valid(v.localTime()) {
 		send(commit.WriteResultMsg{Cmd: c, Kind: kinds.Unavailable, Expired: true})
 		return
 	}
@@ -115,13 +115,14 @@
 		k := kindOf(a, ok, kinds.Ambiguous)
 		send(commit.WriteResultMsg{Cmd: c, Version: ver, Kind: k})
 		if k == kinds.None {
-			v.tell(c.Table, ver)
+			v.announceTable(c.Table, ver)
 		}
 	})
 }
 
-// put takes a seat's write of the table.
-func (v *VM) put(srv ident.Server, c lessor.PutTableCmd) bool {
+// submitEdit passes a lessor's write of the table to the VM's writer. It reports
+// false if there is no writer.
+func (v *VM) submitEdit(srv ident.Server, c lessor.PutTableCmd) bool {
 	if v.writer == nil {
 		return false
 	}
--- a/internal/fake/world/record.go
+++ b/internal/fake/world/record.go
@@ -10,75 +10,75 @@
 	"hawthornfield.org/hawthornfield/internal/core/ident"
 )
 
+// span is an interval of simulated time.
 type span struct{ from, to time.Duration }
 
-// segment is a stretch of time in which a server would have served a set: its
-// lease was unexpired on its own clock.
+// segment is an interval in which a server held an unexpired lease, by its own
+// clock, for the same set of slices and hot keys.
 type segment struct {
 	span
 	set uint64
 }
 
-// realEnd is the moment of the history at which the server's clock reaches a
-// reading.
-func (s *Server) realEnd(end time.Duration) time.Duration {
-	return s.bootAt + time.Duration(float64(end)/s.rate)
+// toSimTime returns the simulated time at which the server's clock reads end.
+func (s *Server) toSimTime(end time.Duration) time.Duration {
+	return s.startedAt + time.Duration(float64(end)/s.clockRate)
 }
 
-// serve notes in the record that the server serves set until end.
-func (l *lane) serve(set uint64, end time.Duration) {
+// setServed records that the server serves set until end on its own clock.
+func (l *serverLease) setServed(set uint64, end time.Duration) {
 	now := l.s.w.now
-	if last := l.last(); l.open && last.set == set && last.to >= now {
-		last.to = l.s.realEnd(end)
+	if last := l.lastSegment(); l.segmentOpen && last.set == set && last.to >= now {
+		last.to = l.s.toSimTime(end)
 	} else {
-		l.close(now)
-		l.segments = append(l.segments, segment{span{now, l.s.realEnd(end)}, set})
-		l.open = true
+		l.closeSegment(now)
+		l.segments = append(l.segments, segment{span{now, l.s.toSimTime(end)}, set})
+		l.segmentOpen = true
 	}
 	l.set, l.end = set, end
 }
 
-// close ends the stretch that is open.
-func (l *lane) close(at time.Duration) {
-	if l.open {
-		l.last().to = min(l.last().to, at)
+// closeSegment ends the open segment, if any.
+func (l *serverLease) closeSegment(at time.Duration) {
+	if l.segmentOpen {
+		l.lastSegment().to = min(l.lastSegment().to, at)
 	}
-	l.open = false
+	l.segmentOpen = false
 }
 
-func (l *lane) last() *segment {
+func (l *serverLease) lastSegment() *segment {
 	if len(l.segments) == 0 {
 		return &segment{}
 	}
 	return &l.segments[len(l.segments)-1]
 }
 
-// serves reports whether the server would serve a bit under this lease now.
-func (l *lane) serves(bit uint64) bool {
-	last := l.last()
-	return l.open && last.set&bit != 0 && last.from <= l.s.w.now && l.s.w.now < last.to
+// servesNow reports whether the lease allows serving any of the given bits now.
+func (l *serverLease) servesNow(bit uint64) bool {
+	last := l.lastSegment()
+	return l.segmentOpen && last.set&bit != 0 && last.from <= l.s.w.now && l.s.w.now < last.to
 }
 
-// Check looks through the servers' records for two owners at one moment, and
-// returns all violations of the history.
+// Check searches the servers' records for two owners of the same slice or hot key
+// at the same time, and returns all violations of the simulation so far.
 func (w *World) Check() []string {
 	for i, a := range w.Servers {
 		for _, b := range w.Servers[i+1:] {
-			w.compare(a, b)
+			w.compareServers(a, b)
 		}
 	}
 	return w.Errs
 }
 
-func (w *World) compare(a, b *Server) {
-	for _, x := range a.lanes {
-		for _, y := range b.lanes {
-			w.compareLanes(x, y)
+func (w *World) compareServers(a, b *Server) {
+	for _, x := range a.leases {
+		for _, y := range b.leases {
+			w.compareLeases(x, y)
 		}
 	}
 }
 
-func (w *World) compareLanes(a, b *lane) {
+func (w *World) compareLeases(a, b *serverLease) {
 	j := 0
 	for _, x := range a.segments {
 		for j < len(b.segments) && b.segments[j].to <= x.from {
@@ -89,31 +89,31 @@
 				break
 			}
 			if both := x.set & y.set; both != 0 && max(x.from, y.from) < min(x.to, y.to) {
-				w.Errs = append(w.Errs, fmt.Sprintf("two owners of bit %d: %s (seat %s) %v-%v and %s (seat %s) %v-%v",
-					bits.TrailingZeros64(both), a.s.Name, a.seat, x.from, x.to, b.s.Name, b.seat, y.from, y.to))
+				w.Errs = append(w.Errs, fmt.Sprintf("two owners of bit %d: %s (lessor %s) %v-%v and %s (lessor %s) %v-%v",
+					bits.TrailingZeros64(both), a.s.Name, a.lessor, x.from, x.to, b.s.Name, b.lessor, y.from, y.to))
 				return
 			}
 		}
 	}
 }
 
-// Unavailable returns how long no server served a slice in a stretch of the
-// history. A frozen or dead server serves nobody, whatever its lease says.
+// Unavailable returns for how much of the interval no server served a slice. A
+// frozen or dead server serves no requests, even with an unexpired lease.
 func (w *World) Unavailable(slice int, from, to time.Duration) time.Duration {
 	var sum time.Duration
 	for _, s := range w.Servers {
 		for _, g := range s.served(1<<slice, from, to) {
-			sum += g.to - g.from - s.absent(g.from, g.to)
+			sum += g.to - g.from - s.unavailableWithin(g.from, g.to)
 		}
 	}
 	return to - from - sum
 }
 
-// served lists when the server served a bit, under whichever lease, without
-// overlaps.
+// served returns the intervals in which the server served a bit under any of its
+// leases, merged so that they do not overlap.
 func (s *Server) served(bit uint64, from, to time.Duration) []span {
 	var all, out []span
-	for _, l := range s.lanes {
+	for _, l := range s.leases {
 		for _, g := range l.segments {
 			if a := (span{max(g.from, from), min(g.to, to)}); g.set&bit != 0 && a.from < a.to {
 				all = append(all, a)
@@ -131,9 +131,10 @@
 	return out
 }
 
-func (s *Server) absent(from, to time.Duration) time.Duration {
+// unavailableWithin returns how long the server was frozen or dead in an interval.
+func (s *Server) unavailableWithin(from, to time.Duration) time.Duration {
 	var sum time.Duration
-	for _, a := range s.away {
+	for _, a := range s.outages {
 		if lo, hi := max(a.from, from), min(a.to, to); lo < hi {
 			sum += hi - lo
 		}
@@ -141,12 +142,11 @@
 	return sum
 }
 
-// Served reports whether a slice has an owner at this moment that is neither
-// frozen nor dead.
+// Served reports whether a slice has an owner now that is neither frozen nor dead.
 func (w *World) Served(slice int) bool {
 	for _, s := range w.Servers {
-		for _, l := range s.lanes {
-			if !s.Dead && !s.Frozen() && l.serves(1<<slice) {
+		for _, l := range s.leases {
+			if !s.Dead && !s.Frozen() && l.servesNow(1<<slice) {
 				return true
 			}
 		}
@@ -154,14 +154,16 @@
 	return false
 }
 
-// Until returns the moment of the history at which the server's own lease ends.
-func (s *Server) Until() time.Duration { return s.realEnd(s.lane(s.Name).end) }
+// Until returns the simulated time at which the server's lease for its own keys
+// ends.
+func (s *Server) Until() time.Duration { return s.toSimTime(s.lease(s.Name).end) }
 
-// StandbyServed reports whether a server ever served keys of another one's seat.
+// StandbyServed reports whether any server ever served another server's keys as
+// its standby.
 func (w *World) StandbyServed() bool {
 	for _, s := range w.Servers {
-		for _, l := range s.lanes {
-			if l.seat != s.Name && len(l.segments) > 0 {
+		for _, l := range s.leases {
+			if l.lessor != s.Name && len(l.segments) > 0 {
 				return true
 			}
 		}
@@ -169,10 +171,10 @@
 	return false
 }
 
-// StandBy returns the server that stands by for another one now, or nil.
-func (w *World) StandBy(seat ident.Server) *Server {
+// StandBy returns the server that now serves the lessor's keys as a standby, or nil.
+func (w *World) StandBy(lessor ident.Server) *Server {
 	for _, s := range w.Servers {
-		if s.Name != seat && s.lane(seat).serves(^uint64(0)) {
+		if s.Name != lessor && s.lease(lessor).servesNow(^uint64(0)) {
 			return s
 		}
 	}
--- a/internal/fake/world/server.go
+++ b/internal/fake/world/server.go
@@ -8,51 +8,51 @@
 	"hawthornfield.org/hawthornfield/internal/plat/server"
 )
 
-// Server is a fake backend server. It keeps its lease on its own clock, and a
-// record of what it served and when, in the history's time.
+// Server is a fake backend server. It keeps its leases on its own clock, and a record
+// of what it served and when in simulated time.
 type Server struct {
 	Name     ident.Server
 	Centre   int
 	Dead     bool
 	Draining bool
 
-	w        *World
-	index    int
-	rate     float64
-	bootAt   time.Duration
-	boot     uint64
-	frozenTo time.Duration
-	waiting  []func() // read on thaw
-
-	// lanes are its leases, one for each seat that granted it any: its own, and
-	// those that it stands by for.
-	lanes []*lane
-	away  []span // frozen or dead
+	w           *World
+	index       int
+	clockRate   float64
+	startedAt   time.Duration
+	bootID      uint64
+	frozenUntil time.Duration
+	pending     []func() // calls received while frozen, run on thaw
+
+	// leases holds one lease for each lessor that granted any: the server's own, and
+	// those of servers whose standby it is.
+	leases  []*serverLease
+	outages []span // intervals in which it was frozen or dead
 }
 
-// lane is a server's lease under one seat, and the record of it.
-type lane struct {
-	s    *Server
-	seat ident.Server
+// serverLease is a server's lease from one lessor, and the record of it.
+type serverLease struct {
+	s      *Server
+	lessor ident.Server
 
 	fence ident.Fence
 	rev   ident.Revision
-	end   time.Duration // of the lease, on the server's clock
-	set   uint64        // slices and hot keys served: see World.bits
+	end   time.Duration // end of the lease, on the server's clock
+	set   uint64        // slices and hot keys served: see World.bitsOf
 
-	segments []segment
-	open     bool
+	segments    []segment
+	segmentOpen bool
 }
 
-// lane returns the lease under a seat.
-func (s *Server) lane(seat ident.Server) *lane {
-	for _, l := range s.lanes {
-		if l.seat == seat {
+// lease returns the lease from a lessor, creating an empty one if there is none.
+func (s *Server) lease(lessor ident.Server) *serverLease {
+	for _, l := range s.leases {
+		if l.lessor == lessor {
 			return l
 		}
 	}
-	l := &lane{s: s, seat: seat}
-	s.lanes = append(s.lanes, l)
+	l := &serverLease{s: s, lessor: lessor}
+	s.leases = append(s.leases, l)
 	return l
 }
 
@@ -62,84 +62,89 @@
 	return s
 }
 
+// start begins a new server process, without any lease.
 func (s *Server) start() {
 	s.Dead = false
-	s.rate = s.w.rate()
-	s.bootAt = s.w.now
-	s.boot = s.w.rng.Uint64() | 1
-	for _, l := range s.lanes {
+	s.clockRate = s.w.randomClockRate()
+	s.startedAt = s.w.now
+	s.bootID = s.w.rng.Uint64() | 1
+	for _, l := range s.leases {
 		l.fence, l.rev, l.end, l.set = ident.Fence{}, 0, 0, 0
 	}
 }
 
-func (s *Server) local() time.Duration {
-	return time.Duration(float64(s.w.now-s.bootAt) * s.rate)
+// localTime reads the server's own clock, which starts with the process.
+func (s *Server) localTime() time.Duration {
+	return time.Duration(float64(s.w.now-s.startedAt) * s.clockRate)
 }
 
-// Frozen reports whether the process stands still. Its clock goes on.
-func (s *Server) Frozen() bool { return s.w.now < s.frozenTo }
+// Frozen reports whether the process is suspended. Its clock keeps running.
+func (s *Server) Frozen() bool { return s.w.now < s.frozenUntil }
 
-// Freeze stops the process for a while; on waking it reads what came meanwhile.
+// Freeze suspends the process for d of simulated time; on thaw it handles the calls
+// received meanwhile.
 func (s *Server) Freeze(d time.Duration) {
 	if s.Dead || s.Frozen() {
 		return
 	}
-	s.frozenTo = s.w.now + d
-	s.away = append(s.away, span{s.w.now, s.frozenTo})
-	s.w.At(s.frozenTo, func() {
-		todo := s.waiting
-		s.waiting = nil
+	s.frozenUntil = s.w.now + d
+	s.outages = append(s.outages, span{s.w.now, s.frozenUntil})
+	s.w.At(s.frozenUntil, func() {
+		todo := s.pending
+		s.pending = nil
 		for _, do := range todo {
 			s.run(do)
 		}
 	})
 }
 
-// Kill ends the process with its memory, and starts it anew after a while; a
-// negative time means never.
-func (s *Server) Kill(back time.Duration) {
+// Kill ends the process, losing its state, and restarts it after restartAfter; a
+// negative value means never.
+func (s *Server) Kill(restartAfter time.Duration) {
 	if s.Dead {
 		return
 	}
-	for _, l := range s.lanes {
-		l.close(s.w.now)
+	for _, l := range s.leases {
+		l.closeSegment(s.w.now)
 	}
-	s.Dead, s.waiting, s.frozenTo = true, nil, 0
-	if back < 0 {
-		s.away = append(s.away, span{s.w.now, 1 << 62})
+	s.Dead, s.pending, s.frozenUntil = true, nil, 0
+	if restartAfter < 0 {
+		s.outages = append(s.outages, span{s.w.now, 1 << 62})
 		return
 	}
-	s.away = append(s.away, span{s.w.now, s.w.now + back})
-	s.w.after(back, s.start)
+	s.outages = append(s.outages, span{s.w.now, s.w.now + restartAfter})
+	s.w.after(restartAfter, s.start)
 }
 
+// run handles a call: at once, on thaw if the server is frozen (at most 1000 calls
+// are kept), or never if it is dead.
 func (s *Server) run(do func()) {
 	switch {
 	case s.Dead:
 	case s.Frozen():
-		if len(s.waiting) < 1000 {
-			s.waiting = append(s.waiting, do)
+		if len(s.pending) < 1000 {
+			s.pending = append(s.pending, do)
 		}
 	default:
 		do()
 	}
 }
 
-func (l *lane) read() server.Reply { return l.reply(true, "") }
+func (l *serverLease) read() server.Reply { return l.reply(true, "") }
 
-func (l *lane) reply(done bool, why string) server.Reply {
-	now := l.s.local()
+func (l *serverLease) reply(done bool, why string) server.Reply {
+	now := l.s.localTime()
 	return server.Reply{
 		Done: done, Reason: why, Fence: l.fence, Rev: l.rev, Left: max(l.end-now, 0),
-		Mark: server.Mark{Boot: l.s.boot, At: now},
+		Mark: server.Mark{Boot: l.s.bootID, At: now},
 	}
 }
 
-// obey takes an order, as package server describes it.
-func (l *lane) obey(o server.Order, revoke bool) server.Reply {
-	end, now, w := o.Mark.At+o.TTL, l.s.local(), l.s.w
+// apply carries out an order by the rules that package server describes.
+func (l *serverLease) apply(o server.Order, revoke bool) server.Reply {
+	end, now, w := o.Mark.At+o.TTL, l.s.localTime(), l.s.w
 	switch {
-	case o.Mark.Boot != l.s.boot || now >= end:
+	case o.Mark.Boot != l.s.bootID || now >= end:
 		return l.reply(false, server.ReasonLate)
 	case w.Opt.FenceChecks && o.Fence.Less(l.fence):
 		return l.reply(false, server.ReasonFence)
@@ -151,20 +156,20 @@
 	}
 	switch {
 	case revoke:
-		l.serve(l.set&w.bits(o), l.end)
+		l.setServed(l.set&w.bitsOf(o), l.end)
 		l.rev = o.Rev
 	case o.Full:
-		l.serve(w.bits(o), end)
+		l.setServed(w.bitsOf(o), end)
 		l.rev = o.Rev
 	default:
-		l.serve(l.set, max(l.end, end))
+		l.setServed(l.set, max(l.end, end))
 	}
 	return l.reply(true, "")
 }
 
-// bits gives each slice one bit, for its keys that are not hot, and each hot
-// key its own.
-func (w *World) bits(o server.Order) uint64 {
+// bitsOf returns the set of an order as a bit mask: one bit for each slice, standing
+// for its keys that are not hot, then one bit for each hot key.
+func (w *World) bitsOf(o server.Order) uint64 {
 	var set uint64
 	for _, x := range o.Slices {
 		set |= 1 << x
@@ -178,4 +183,4 @@
 	return set
 }
 
-func (w *World) server(name ident.Server) *Server { return w.names[name] }
+func (w *World) server(name ident.Server) *Server { return w.serversByName[name] }
--- a/internal/fake/world/store.go
+++ b/internal/fake/world/store.go
@@ -10,67 +10,68 @@
 	"hawthornfield.org/hawthornfield/internal/plat/object"
 )
 
-// Store is the fake object API: seat records and one table, with versions. It
-// keeps every table that was ever in force.
+// Store is the fake object API: it holds the lessors' records and one table, with
+// versions. It keeps every table that was ever in force.
 type Store struct {
-	w       *World
-	downTo  time.Duration
-	records map[ident.Server]versioned
-	table   table.Table
-	version object.Version
-	past    map[ident.Revision]table.Table
+	w         *World
+	downUntil time.Duration
+	records   map[ident.Server]versionedRecord
+	table     table.Table
+	version   object.Version
+	revisions map[ident.Revision]table.Table
 }
 
-type versioned struct {
+// versionedRecord is a lessor's record with its version in the store.
+type versionedRecord struct {
 	rec lessor.Record
 	ver object.Version
 }
 
 func newStore(w *World, t table.Table) *Store {
 	return &Store{
-		w: w, records: map[ident.Server]versioned{}, table: t, version: 1,
-		past: map[ident.Revision]table.Table{t.Rev: t},
+		w: w, records: map[ident.Server]versionedRecord{}, table: t, version: 1,
+		revisions: map[ident.Revision]table.Table{t.Rev: t},
 	}
 }
 
-// Down takes the store away for a while.
-func (s *Store) Down(d time.Duration) { s.downTo = max(s.downTo, s.w.now+d) }
+// Down makes the store unavailable for d.
+func (s *Store) Down(d time.Duration) { s.downUntil = max(s.downUntil, s.w.now+d) }
 
 // Table returns the table in force.
 func (s *Store) Table() table.Table { return s.table }
 
-// Record returns the record of a seat.
+// Record returns the lessor's record for a server.
 func (s *Store) Record(srv ident.Server) lessor.Record { return s.records[srv].rec }
 
-func (s *Store) down() bool { return s.w.now < s.downTo }
+func (s *Store) isDown() bool { return s.w.now < s.downUntil }
 
-// refused is the answer of a store that is down and says so.
+// refused is the answer of a store that refuses a call because it is down.
 type refused struct{}
 
-// serve answers a call unless the store is down; then half the calls are
-// refused and half are lost.
+// serve answers a call after 1 to 4 ms. While the store is down, half the calls are
+// refused and half get no answer.
 func (s *Store) serve(reply func(any), do func() any) {
-	if s.down() {
+	if s.isDown() {
 		if s.w.chance(500) {
 			reply(refused{})
 		}
 		return
 	}
 	s.w.after(s.w.between(time.Millisecond, 4*time.Millisecond), func() {
-		if !s.down() {
+		if !s.isDown() {
 			reply(do())
 		}
 	})
 }
 
-// request is all copies of one call. A refusal is the store's word that the call
-// did nothing and will not do anything: a copy that comes after it is dropped,
-// and none is refused when an earlier copy may have taken effect.
-type request struct{ came, refused bool }
+// request tracks all copies of one call. A refusal guarantees that the call has had no
+// effect and never will: copies that arrive after it are dropped, and no copy is
+// refused if an earlier one may have taken effect.
+type request struct{ arrived, refused bool }
 
 func (r *request) serve(serve func(reply func(any)), reply func(any)) {
-	first := !r.came
-	if r.came = true; r.refused {
+	first := !r.arrived
+	if r.arrived = true; r.refused {
 		return
 	}
 	serve(func(a any) {
@@ -84,10 +85,11 @@
 	})
 }
 
-// kindOf turns the outcome of a call into its kind.
-func kindOf(a any, ok bool, lost kinds.Kind) kinds.Kind {
+// kindOf returns the error kind of a call's outcome; onTimeout is the kind of a call
+// that got no answer.
+func kindOf(a any, ok bool, onTimeout kinds.Kind) kinds.Kind {
 	if !ok {
-		return lost
+		return onTimeout
 	}
 	switch a := a.(type) {
 	case refused:
@@ -106,7 +108,7 @@
 	if c.Record.Epoch < old.rec.Epoch {
 		s.w.errorf("epoch of %s falls from %d to %d", srv, old.rec.Epoch, c.Record.Epoch)
 	}
-	s.records[srv] = versioned{c.Record, old.ver + 1}
+	s.records[srv] = versionedRecord{c.Record, old.ver + 1}
 	return old.ver + 1
 }
 
@@ -117,26 +119,26 @@
 	if c.Table.Rev <= s.table.Rev {
 		s.w.errorf("table revision falls from %d to %d", s.table.Rev, c.Table.Rev)
 	}
-	s.released(c.Table)
+	s.checkReleased(c.Table)
 	s.version++
 	s.table = c.Table
-	s.past[c.Table.Rev] = c.Table
-	s.push()
+	s.revisions[c.Table.Rev] = c.Table
+	s.notifyWatchers()
 	return s.version
 }
 
-// push tells the watchers.
-func (s *Store) push() {
+// notifyWatchers sends the table in force to all VMs.
+func (s *Store) notifyWatchers() {
 	t, ver := s.table, s.version
 	for _, v := range s.w.VMs {
-		s.w.message("store", string(v.ID), func() { v.learn(t, ver) })
+		s.w.send("store", string(v.ID), func() { v.receiveTable(t, ver) })
 	}
 }
 
-// acknowledged checks that a reported move stands in the table that is said to
-// give it: the old owner has lost the key there, and nobody but the new one has it.
-func (s *Store) acknowledged(srv ident.Server, c lessor.MovedCmd) {
-	t, ok := s.past[c.Rev]
+// checkMoved checks that a reported move is part of the table revision it is reported
+// under: there the old owner no longer has the key, and only the new owner does.
+func (s *Store) checkMoved(srv ident.Server, c lessor.MovedCmd) {
+	t, ok := s.revisions[c.Rev]
 	if !ok {
 		s.w.errorf("move acknowledged under revision %d, which never was", c.Rev)
 		return
@@ -152,27 +154,29 @@
 	s.w.Count.Moves += len(c.Moves)
 }
 
-// released checks the moment of an update: a key that gets another owner must
-// not be served by its old one any more (rule 5). This is stricter than asking
-// for two owners, for the next owner starts a little later.
-func (s *Store) released(next table.Table) {
+// checkReleased checks a table update: when a key gets another owner, the old owner
+// must no longer serve it (rule 5). This is stricter than a search for two owners,
+// because the next owner starts a little later.
+func (s *Store) checkReleased(next table.Table) {
 	for x := range ident.Slice(next.Slices()) {
-		s.free(next, table.Move{Slice: x}, uint64(1)<<x)
+		s.checkNotServed(next, table.Move{Slice: x}, uint64(1)<<x)
 	}
 	for i, k := range s.w.Hot {
-		s.free(next, table.Move{Key: k}, uint64(1)<<(s.w.Opt.Slices+i))
+		s.checkNotServed(next, table.Move{Key: k}, uint64(1)<<(s.w.Opt.Slices+i))
 	}
 }
 
-func (s *Store) free(next table.Table, m table.Move, bit uint64) {
+// checkNotServed reports a violation if a slice or key leaves its owner in the next
+// table while a server still serves it under a lease from that owner's lessor.
+func (s *Store) checkNotServed(next table.Table, m table.Move, bit uint64) {
 	from := s.table.From(m)
 	if from == "" || from == next.From(m) {
 		return
 	}
 	for _, srv := range s.w.Servers {
-		if l := srv.lane(from); l.open && l.last().set&bit != 0 && s.w.now < l.last().to {
-			s.w.errorf("slice %d %q given away while %s serves it until %v for the seat of %s",
-				m.Slice, m.Key, srv.Name, l.last().to, from)
+		if l := srv.lease(from); l.segmentOpen && l.lastSegment().set&bit != 0 && s.w.now < l.lastSegment().to {
+			s.w.errorf("slice %d %q given away while %s serves it until %v under the lessor of %s",
+				m.Slice, m.Key, srv.Name, l.lastSegment().to, from)
 		}
 	}
 }
--- a/internal/fake/world/vm.go
+++ b/internal/fake/world/vm.go
@@ -15,33 +15,34 @@
 	"hawthornfield.org/hawthornfield/internal/plat/server"
 )
 
-// VM is one entry VM: a seat model for each backend server and a runner.
+// VM is one entry VM: a lessor model for each backend server, and what runs their
+// commands.
 type VM struct {
 	ID     ident.VM
 	Centre int
 	Dead   bool
-	Gone   bool // listed as gone
+	Gone   bool // listed as gone by the platform
 	Left   bool // asked to leave
 
-	w        *World
-	rate     float64
-	off      time.Duration
-	pausedTo time.Duration
-	pausedAt time.Duration
-	waiting  []waiter
-	life     int // process number; effects of an earlier one are gone
-	seats    map[ident.Server]loop.Model
-	promised map[ident.Server]ident.Epoch
-	plans    map[ident.Server]lessor.RoleMsg // last sent
-	table    table.Table
-	writer   loop.Model // nil where each seat writes for itself
-	involved []bool     // by server, in a lean world: see noteInvolved
+	w              *World
+	clockRate      float64
+	clockOffset    time.Duration
+	pausedUntil    time.Duration
+	pausedSince    time.Duration
+	pending        []pendingCall
+	incarnation    int // number of the process; effects of earlier ones are dropped
+	lessors        map[ident.Server]loop.Model
+	promisedEpochs map[ident.Server]ident.Epoch
+	lastRoles      map[ident.Server]lessor.RoleMsg // last role sent, by server
+	table          table.Table
+	writer         loop.Model // nil if each lessor writes the table itself
+	involved       []bool     // by server, if Options.SkipIdleTables is set: see noteInvolved
 }
 
 func newVM(w *World, i int) *VM {
 	v := &VM{
 		ID: vmName(i), Centre: i % w.Opt.Centres,
-		w: w, rate: w.rate(), off: w.between(0, time.Hour),
+		w: w, clockRate: w.randomClockRate(), clockOffset: w.between(0, time.Hour),
 	}
 	v.boot()
 	return v
@@ -49,62 +50,64 @@
 
 func vmName(i int) ident.VM { return ident.VM(fmt.Sprintf("vm%d", i)) }
 
+// boot starts a new process on the VM, without any state.
 func (v *VM) boot() {
-	v.life++
-	v.promised = map[ident.Server]ident.Epoch{}
-	v.plans = map[ident.Server]lessor.RoleMsg{}
+	v.incarnation++
+	v.promisedEpochs = map[ident.Server]ident.Epoch{}
+	v.lastRoles = map[ident.Server]lessor.RoleMsg{}
 	v.table = table.Table{}
-	v.bootWriter()
-	v.seats = map[ident.Server]loop.Model{}
+	v.startWriter()
+	v.lessors = map[ident.Server]loop.Model{}
 	v.involved = make([]bool, len(v.w.Servers))
 	for _, s := range v.w.Servers {
-		v.seats[s.Name] = v.w.Opt.NewLessor(lessor.Config{
+		v.lessors[s.Name] = v.w.Opt.NewLessor(lessor.Config{
 			Self: v.ID, Service: Service, Server: s.Name, FenceChecks: v.w.Opt.FenceChecks,
 			Times: v.w.times, Patience: v.w.Opt.Patience, Standby: v.w.Opt.Standby,
 		})
 	}
 }
 
-// local is the VM's own clock.
-func (v *VM) local() time.Time {
-	return start.Add(v.off + time.Duration(float64(v.w.now)*v.rate))
+// localTime reads the VM's own clock.
+func (v *VM) localTime() time.Time {
+	return startTime.Add(v.clockOffset + time.Duration(float64(v.w.now)*v.clockRate))
 }
 
-// real turns a time on the VM's clock into the history's, rounded up: a timer
-// that fires early by a rounding would be set for the same moment for ever.
-func (v *VM) real(d time.Duration) time.Duration {
-	return time.Duration(float64(d)/v.rate) + time.Nanosecond
+// toSimTime converts a duration on the VM's clock to simulated time. It rounds up: a
+// timer that fires too early because of rounding would be set for the same moment
+// again and again, without end.
+func (v *VM) toSimTime(d time.Duration) time.Duration {
+	return time.Duration(float64(d)/v.clockRate) + time.Nanosecond
 }
 
-// Paused reports whether the VM stands still.
-func (v *VM) Paused() bool { return v.w.now < v.pausedTo }
+// Paused reports whether the VM is paused.
+func (v *VM) Paused() bool { return v.w.now < v.pausedUntil }
 
-// Pause stops the VM for a while.
+// Pause suspends the VM for d; a longer pause in force stays.
 func (v *VM) Pause(d time.Duration) {
 	if !v.Paused() {
-		v.pausedAt = v.w.now
+		v.pausedSince = v.w.now
 	}
-	v.pausedTo = max(v.pausedTo, v.w.now+d)
+	v.pausedUntil = max(v.pausedUntil, v.w.now+d)
 }
 
-// Kill ends the VM for good. The platform lists it as gone after a lag.
+// Kill ends the VM for good. The platform lists it as gone after lag.
 func (v *VM) Kill(lag time.Duration) {
 	v.Dead = true
-	v.w.after(lag, func() { v.Gone = true; v.w.planAll() })
+	v.w.after(lag, func() { v.Gone = true; v.w.updateVMs() })
 }
 
-// Restart starts the process anew on the same VM, without its memory.
+// Restart starts a new process on the same VM, without the state of the old one.
 func (v *VM) Restart() {
 	if !v.Dead {
 		v.boot()
-		v.w.plan(v)
-		if !v.w.Store.down() {
-			v.w.Store.push()
+		v.w.resendRoles(v)
+		if !v.w.Store.isDown() {
+			v.w.Store.notifyWatchers()
 		}
 	}
 }
 
-// Leave asks every seat to hand over.
+// Leave asks every lessor of the VM to hand over.
 func (v *VM) Leave() {
 	v.Left = true
 	for _, s := range v.w.Servers {
@@ -112,87 +115,93 @@
 	}
 }
 
-// Send delivers a message to one seat, once the VM runs.
-func (v *VM) Send(srv ident.Server, msg loop.Msg) { v.run(v.life, func() { v.update(srv, msg) }) }
+// Send delivers a message to the VM's lessor for a server, after any pause.
+func (v *VM) Send(srv ident.Server, msg loop.Msg) {
+	v.run(v.incarnation, func() { v.update(srv, msg) })
+}
 
-// run does something on the VM, after its pause, unless its process has ended.
-// What comes during a pause waits in line.
-func (v *VM) run(life int, do func()) {
+// run calls do on the VM unless the given process has ended. During a pause calls are
+// queued, and run in order after it.
+func (v *VM) run(incarnation int, do func()) {
 	switch {
-	case v.Dead || life != v.life:
-	case v.Paused() || len(v.waiting) > 0:
-		v.waiting = append(v.waiting, waiter{life, do})
-		if len(v.waiting) == 1 {
-			v.w.At(v.pausedTo, v.wake)
+	case v.Dead || incarnation != v.incarnation:
+	case v.Paused() || len(v.pending) > 0:
+		v.pending = append(v.pending, pendingCall{incarnation, do})
+		if len(v.pending) == 1 {
+			v.w.At(v.pausedUntil, v.runPending)
 		}
 	default:
 		do()
 	}
 }
 
-type waiter struct {
-	life int
-	do   func()
+// pendingCall is a call queued during a pause, with the process it is meant for.
+type pendingCall struct {
+	incarnation int
+	do          func()
 }
 
-// wake goes through the line until it is empty or the VM pauses again.
-func (v *VM) wake() {
-	for len(v.waiting) > 0 && !v.Paused() {
-		next := v.waiting[0]
-		v.waiting = v.waiting[1:]
-		if !v.Dead && next.life == v.life {
+// runPending runs the queued calls until none is left or the VM pauses again.
+func (v *VM) runPending() {
+	for len(v.pending) > 0 && !v.Paused() {
+		next := v.pending[0]
+		v.pending = v.pending[1:]
+		if !v.Dead && next.incarnation == v.incarnation {
 			next.do()
 		}
 	}
-	if len(v.waiting) > 0 {
-		v.w.At(v.pausedTo, v.wake)
+	if len(v.pending) > 0 {
+		v.w.At(v.pausedUntil, v.runPending)
 	}
 }
 
+// update passes a message to the lessor of a server and runs its commands.
 func (v *VM) update(srv ident.Server, msg loop.Msg) {
-	m, cmds := v.seats[srv].Update(v.local(), msg)
-	v.seats[srv] = m
+	m, cmds := v.lessors[srv].Update(v.localTime(), msg)
+	v.lessors[srv] = m
 	v.noteInvolved(srv, m)
 	for _, c := range cmds {
-		v.watch(srv, c)
+		v.checkCmd(srv, c)
 		if _, timer := c.(loop.AfterCmd); !timer && v.w.chance(v.w.Noise.Stall) {
 			// The pause falls between the decision and its effect.
 			v.Pause(v.w.between(0, v.w.Noise.MaxStall))
 		}
-		v.run(v.life, func() { v.exec(srv, c) })
+		v.run(v.incarnation, func() { v.exec(srv, c) })
 	}
 }
 
-// watch checks a decision as it is made: no order after the term, none under an
-// epoch that the VM promised not to use any more.
-func (v *VM) watch(srv ident.Server, cmd loop.Cmd) {
+// checkCmd checks a command at the time of the decision: no order after the holder's
+// term, no grant by a deputy, and no order under an epoch that the VM has promised not
+// to use any more.
+func (v *VM) checkCmd(srv ident.Server, cmd loop.Cmd) {
 	switch c := cmd.(type) {
 	case lessor.OrderCmd:
-		if !c.Valid(v.local()) {
+		if !c.Valid(v.localTime()) {
 			v.w.errorf("%s orders %s after its term", v.ID, srv)
 		}
 		if c.Order.Full && c.Order.Fence.Seq >= 1<<63 {
 			v.w.errorf("%s grants %s as a deputy", v.ID, srv)
 		}
-		if c.Order.Fence.Epoch < v.promised[srv] && !c.Revoke {
+		if c.Order.Fence.Epoch < v.promisedEpochs[srv] && !c.Revoke {
 			v.w.errorf("%s orders %s after its promise", v.ID, srv)
 		}
 	case lessor.SendCmd:
 		if m, ok := c.Msg.(lessor.PromiseMsg); ok {
-			v.promised[srv] = max(v.promised[srv], m.Below)
+			v.promisedEpochs[srv] = max(v.promisedEpochs[srv], m.Below)
 		}
 	}
 }
 
-// Lessor returns the state of one seat on this VM.
-func (v *VM) Lessor(srv ident.Server) loop.Model { return v.seats[srv] }
+// Lessor returns the state of the VM's lessor for a server.
+func (v *VM) Lessor(srv ident.Server) loop.Model { return v.lessors[srv] }
 
-func (v *VM) learn(t table.Table, ver object.Version) {
-	v.run(v.life, func() {
+// receiveTable passes a table to the writer and the lessors of the VM.
+func (v *VM) receiveTable(t table.Table, ver object.Version) {
+	v.run(v.incarnation, func() {
 		if t.Rev > v.table.Rev {
 			v.table = t
 		}
-		v.seen(t, ver)
+		v.notifyWriter(t, ver)
 		for i, s := range v.w.Servers {
 			if !v.w.Opt.SkipIdleTables || v.involved[i] {
 				v.update(s.Name, lessor.TableMsg{Table: t, Version: ver})
@@ -201,7 +210,8 @@
 	})
 }
 
-// noteInvolved keeps whether the VM is a member of a seat, or about to be.
+// noteInvolved records whether the VM's lessor for a server holds authority or acts as
+// standby, or is about to; with Options.SkipIdleTables only such lessors are sent tables.
 func (v *VM) noteInvolved(srv ident.Server, m loop.Model) {
 	if !v.w.Opt.SkipIdleTables {
 		return
@@ -217,15 +227,15 @@
 func (v *VM) exec(srv ident.Server, cmd loop.Cmd) {
 	switch c := cmd.(type) {
 	case loop.AfterCmd:
-		life := v.life
-		v.w.after(v.real(c.D), func() { v.run(life, func() { v.update(srv, c.Msg) }) })
+		incarnation := v.incarnation
+		v.w.after(v.toSimTime(c.D), func() { v.run(incarnation, func() { v.update(srv, c.Msg) }) })
 	case lessor.ReadRecordCmd, lessor.PutRecordCmd, lessor.ReadTableCmd, lessor.PutTableCmd:
 		v.execStore(srv, cmd)
 	case lessor.OrderCmd:
 		v.execOrder(srv, c)
 	case lessor.ReadServerCmd:
 		v.w.Count.Asks++
-		v.ask(cmp.Or(c.To, srv), func(s *Server) any { return s.lane(srv).read() }, func(r server.Reply, k kinds.Kind) {
+		v.callServer(cmp.Or(c.To, srv), func(s *Server) any { return s.lease(srv).read() }, func(r server.Reply, k kinds.Kind) {
 			v.Send(srv, lessor.ReplyMsg{Read: c, Reply: r, Kind: k})
 		})
 	case lessor.SendCmd:
@@ -233,24 +243,24 @@
 	case lessor.PlanCmd:
 		v.w.planMoves(v, c)
 	case lessor.MovedCmd:
-		v.w.Store.acknowledged(srv, c)
+		v.w.Store.checkMoved(srv, c)
 	case lessor.AcquiredCmd:
-		v.w.heldOnce(srv, c.Epoch, v.ID)
+		v.w.checkSingleHolder(srv, c.Epoch, v.ID)
 	case lessor.FaultCmd:
 		v.w.errorf("%s: %v", v.ID, c.Err)
 	}
 }
 
 func (v *VM) execStore(srv ident.Server, cmd loop.Cmd) {
-	st, wait, life := v.w.Store, v.w.times.StoreTimeout, v.life
-	send := func(m loop.Msg) { v.run(life, func() { v.update(srv, m) }) }
+	st, wait, incarnation := v.w.Store, v.w.times.StoreTimeout, v.incarnation
+	send := func(m loop.Msg) { v.run(incarnation, func() { v.update(srv, m) }) }
 	switch c := cmd.(type) {
 	case lessor.ReadRecordCmd:
 		v.w.Count.Reads++
 		v.w.call(v, "store", wait, func(reply func(any)) {
 			st.serve(reply, func() any { return st.records[srv] })
 		}, func(a any, ok bool) {
-			got, _ := a.(versioned)
+			got, _ := a.(versionedRecord)
 			send(lessor.RecordMsg{Cmd: c, Record: got.rec, Version: got.ver, Kind: kindOf(a, ok, kinds.Unavailable)})
 		})
 	case lessor.PutRecordCmd:
@@ -269,19 +279,19 @@
 			m, _ := a.(lessor.TableMsg)
 			m.Kind = kindOf(a, ok, kinds.Unavailable)
 			if m.Kind == kinds.None {
-				v.run(life, func() { v.seen(m.Table, m.Version) })
+				v.run(incarnation, func() { v.notifyWriter(m.Table, m.Version) })
 			}
 			send(m)
 		})
 	case lessor.PutTableCmd:
-		if !v.put(srv, c) {
+		if !v.submitEdit(srv, c) {
 			v.execPutTable(c, send)
 		}
 	}
 }
 
 func (v *VM) execPutTable(c lessor.PutTableCmd, send func(loop.Msg)) {
-	if !c.Valid(v.local()) {
+	if !c.Valid(v.localTime()) {
 		send(lessor.TablePutMsg{Cmd: c, Kind: kinds.Unavailable})
 		return
 	}
@@ -294,16 +304,16 @@
 		k := kindOf(a, ok, kinds.Ambiguous)
 		send(lessor.TablePutMsg{Cmd: c, Version: ver, Kind: k})
 		if k == kinds.None {
-			v.tell(c.Table, ver)
+			v.announceTable(c.Table, ver)
 		}
 	})
 }
 
-// tell passes a confirmed table on to the other VMs.
-func (v *VM) tell(t table.Table, ver object.Version) {
+// announceTable sends a confirmed table to the other VMs.
+func (v *VM) announceTable(t table.Table, ver object.Version) {
 	for _, o := range v.w.VMs {
 		if o != v {
-			v.w.message(string(v.ID), string(o.ID), func() { o.learn(t, ver) })
+			v.w.send(string(v.ID), string(o.ID), func() { o.receiveTable(t, ver) })
 		}
 	}
 }
@@ -313,22 +323,23 @@
 	if b, err := wire.Encode(c.Order); err == nil && v.w.Opt.SkipIdleTables {
 		v.w.Count.OrderBytes += len(b)
 	}
-	if !c.Valid(v.local()) {
+	if !c.Valid(v.localTime()) {
 		v.Send(srv, lessor.ReplyMsg{Order: c, Kind: kinds.Unavailable})
 		return
 	}
-	v.ask(c.Order.Server, func(s *Server) any { return s.lane(srv).obey(c.Order, c.Revoke) }, func(r server.Reply, k kinds.Kind) {
+	v.callServer(c.Order.Server, func(s *Server) any { return s.lease(srv).apply(c.Order, c.Revoke) }, func(r server.Reply, k kinds.Kind) {
 		v.Send(srv, lessor.ReplyMsg{Order: c, Reply: r, Kind: k})
 	})
 }
 
-func (v *VM) ask(srv ident.Server, serve func(*Server) any, done func(server.Reply, kinds.Kind)) {
-	s, life := v.w.server(srv), v.life
+// callServer calls a server's control side and passes the reply to done.
+func (v *VM) callServer(srv ident.Server, serve func(*Server) any, done func(server.Reply, kinds.Kind)) {
+	s, incarnation := v.w.server(srv), v.incarnation
 	v.w.call(v, string(srv), v.w.times.CallTimeout, func(reply func(any)) {
 		s.run(func() { reply(serve(s)) })
 	}, func(a any, ok bool) {
 		r, _ := a.(server.Reply)
-		v.run(life, func() { done(r, kindOf(a, ok, kinds.Ambiguous)) })
+		v.run(incarnation, func() { done(r, kindOf(a, ok, kinds.Ambiguous)) })
 	})
 }
 
@@ -339,13 +350,13 @@
 	}
 	for _, o := range v.w.VMs {
 		if o.ID == c.To {
-			v.w.message(string(v.ID), string(o.ID), func() { o.Send(srv, c.Msg) })
+			v.w.send(string(v.ID), string(o.ID), func() { o.Send(srv, c.Msg) })
 		}
 	}
 }
 
 // Resume ends a pause now.
 func (v *VM) Resume() {
-	v.pausedTo = v.w.now
-	v.wake()
+	v.pausedUntil = v.w.now
+	v.runPending()
 }
--- a/internal/fake/world/world.go
+++ b/internal/fake/world/world.go
@@ -1,14 +1,14 @@
-// Package world is a small discrete-event stand-in for everything around the
-// seats of one service: entry VMs with their own clocks, the links between
-// them, the store, and backend servers that keep their own record of what they
-// served and when.
+// Package world is a discrete-event simulation of everything around the lessors of one
+// service: entry VMs with their own clocks, the links between them, the store, and
+// backend servers that keep their own record of what they served and when.
 //
-// It runs in one goroutine and one seed gives one history, so thousands of
-// histories take seconds and each failing one can be kept. It holds typed fakes
-// for the commands of package seat and nothing else: no cluster, no processes.
+// It runs in one goroutine and a seed determines the whole run (a history), so
+// thousands of histories take seconds and each failing one can be reproduced. It only
+// has typed fakes for the commands of packages lessor and commit: there is no cluster
+// and there are no processes.
 //
-// The judge reads the backend servers' own records (record.go), never what a
-// VM believes.
+// The checks read the backend servers' own records (record.go), never what a VM
+// believes.
 package world
 
 import (
@@ -37,21 +37,21 @@
 	Centres     int // default 3
 	FenceChecks bool
 	Patience    time.Duration
-	Standby     bool // stand-bys serve for lost servers while the store is down
-	// NewLessor makes a seat; tests put a flawed one here.
+	Standby     bool // standby servers serve the keys of lost servers while the store is down
+	// NewLessor creates a lessor; tests set a deliberately flawed one here.
 	NewLessor func(lessor.Config) loop.Model
-	// NewWriter makes the writer that joins the table's edits of one VM's seats; nil
-	// lets each seat write for itself.
+	// NewWriter creates the writer that combines the table edits of one VM's lessors; with
+	// nil each lessor writes the table itself.
 	NewWriter func(commit.Config) loop.Model
-	// SkipIdleTables spares seats that neither hold nor stand by the news of each table, as
-	// a runner of many seats would; they read it when they take over.
+	// SkipIdleTables sends new tables only to lessors that hold authority or act as standby,
+	// as a VM with many lessors does; the others read the table when they take over.
 	SkipIdleTables bool
-	// Term shortens the authority's term, so that a history outlasts it.
+	// Term replaces the default term of authority; a short one ends within a history.
 	Term time.Duration
-	// ReassignEvery is how often the seats are dealt out anew, each to another VM, which
-	// takes them over from holders that are well; zero for never.
+	// ReassignEvery is the interval at which the lessors are reassigned, each to another VM,
+	// which takes over from a healthy holder; zero for never.
 	ReassignEvery time.Duration
-	// Skew is how far a clock's rate may be off, in parts of a thousand.
+	// Skew is the largest error of a clock's rate, in parts per thousand.
 	Skew int
 }
 
@@ -71,61 +71,61 @@
 	return o
 }
 
-// Noise says how badly links behave. Probabilities are in parts of a thousand.
+// Noise sets the faults of links and VMs. Probabilities are in parts per thousand.
 type Noise struct {
 	Drop, Duplicate, Delay int           // of a message
 	Stall                  int           // of a VM between a decision and its effect
-	MaxDelay, MaxStall     time.Duration // how long at most
+	MaxDelay, MaxStall     time.Duration // upper bounds
 }
 
-// World is one history. Make it with New.
+// World is one simulated history. Create it with New.
 type World struct {
 	Opt     Options
 	Noise   Noise
 	Store   *Store
 	VMs     []*VM
 	Servers []*Server
-	// Hot are the keys that moves may override.
+	// Hot lists the keys that may be moved apart from their slice.
 	Hot []ident.Key
-	// Errs are the violations noticed on the way; Judge adds to them.
+	// Errs are the violations noticed during the run; Check adds to them.
 	Errs []string
-	// Count counts calls by kind, for the cost table.
+	// Count counts calls by kind, for the table of costs.
 	Count Count
 
-	now     time.Duration
-	rng     *rand.Rand
-	queue   events
-	order   uint64
-	cuts    map[[2]string]time.Duration // until when a link is cut
-	held    map[string]ident.VM         // server and epoch to holder
-	times   lease.Times
-	names   map[ident.Server]*Server
-	lives   []bool // whom the roster believed live when it last looked
-	shifted int    // the roster's shift at the last look
+	now           time.Duration
+	rng           *rand.Rand
+	queue         events
+	lastSeq       uint64
+	cutUntil      map[[2]string]time.Duration // until when a link is cut
+	epochHolders  map[string]ident.VM         // server and epoch to holder
+	times         lease.Times
+	serversByName map[ident.Server]*Server
+	lastLive      []bool // liveness of each VM at the last updateVMs
+	lastShift     int    // roleShift at the last updateVMs
 }
 
-// Count is what the seats did.
+// Count holds the numbers of calls and messages of all lessors and writers.
 type Count struct {
 	Reads, Writes int // of the store
 	Orders        int // to backend servers
-	Asks          int // questions to backend servers
+	Asks          int // reads of backend servers' leases
 	OrderBytes    int
 	Peer          int // messages between VMs
 	PeerBytes     int
 	Moves         int // keys moved
-	Joined        int // edits that needed no write of their own
-	Forwarded     int // edits sent to the hub
+	Joined        int // edits written together with another one
+	Forwarded     int // edits sent to a coordinator
 }
 
-var start = time.Date(2026, 9, 21, 6, 0, 0, 0, time.UTC)
+var startTime = time.Date(2026, 9, 21, 6, 0, 0, 0, time.UTC)
 
-// New makes a world and starts its VMs.
+// New creates a world and starts its VMs.
 func New(o Options) *World {
 	o = o.withDefaults()
 	w := &World{
 		Opt: o, rng: rand.New(rand.NewPCG(o.Seed, 0x68617774)),
-		cuts: map[[2]string]time.Duration{}, held: map[string]ident.VM{}, times: lease.Default(),
-		names: map[ident.Server]*Server{},
+		cutUntil: map[[2]string]time.Duration{}, epochHolders: map[string]ident.VM{}, times: lease.Default(),
+		serversByName: map[ident.Server]*Server{},
 	}
 	if o.Term > 0 {
 		w.times.Term = o.Term
@@ -134,7 +134,7 @@
 	for i := range names {
 		names[i] = ident.Server(fmt.Sprintf("s%d", i))
 		w.Servers = append(w.Servers, newServer(w, i, names[i]))
-		w.names[names[i]] = w.Servers[i]
+		w.serversByName[names[i]] = w.Servers[i]
 	}
 	t, _ := table.New(Service, uint32(o.Slices), names...)
 	for x := range o.Slices {
@@ -145,18 +145,18 @@
 	for i := range o.VMs {
 		w.VMs = append(w.VMs, newVM(w, i))
 	}
-	w.roster()
+	w.refreshRoles()
 	if o.ReassignEvery > 0 {
-		w.after(o.ReassignEvery/2, w.level)
+		w.after(o.ReassignEvery/2, w.takeOverLessors)
 	}
 	w.resync()
 	return w
 }
 
-// Now returns the time since the history began.
+// Now returns the simulated time since the history began.
 func (w *World) Now() time.Duration { return w.now }
 
-// Run goes on until a moment of the history.
+// Run processes all events up to a simulated time.
 func (w *World) Run(until time.Duration) {
 	for len(w.queue) > 0 && w.queue[0].at <= until {
 		e := heap.Pop(&w.queue).(event)
@@ -166,10 +166,10 @@
 	w.now = until
 }
 
-// At plans something for a moment of the history.
+// At schedules a call for a simulated time, or for now if that has passed.
 func (w *World) At(at time.Duration, do func()) {
-	w.order++
-	heap.Push(&w.queue, event{at: max(at, w.now), order: w.order, do: do})
+	w.lastSeq++
+	heap.Push(&w.queue, event{at: max(at, w.now), seq: w.lastSeq, do: do})
 }
 
 func (w *World) after(d time.Duration, do func()) { w.At(w.now+d, do) }
@@ -189,20 +189,20 @@
 	return lo + time.Duration(w.rng.Int64N(int64(hi-lo)))
 }
 
-// rate draws how fast a clock runs.
-func (w *World) rate() float64 {
+// randomClockRate draws the rate of a clock: 1 plus or minus up to Options.Skew.
+func (w *World) randomClockRate() float64 {
 	if w.Opt.Skew == 0 {
 		return 1
 	}
 	return 1 + float64(w.rng.IntN(2*w.Opt.Skew+1)-w.Opt.Skew)/1000
 }
 
-// Partition breaks the link between two names ("store" is one) for a while.
+// Partition cuts the link between two VMs or servers, or a VM and "store", for d.
 func (w *World) Partition(a, b string, d time.Duration) {
-	w.cuts[link(a, b)] = w.now + d
+	w.cutUntil[link(a, b)] = w.now + d
 }
 
-func (w *World) isCut(a, b string) bool { return w.now < w.cuts[link(a, b)] }
+func (w *World) isCut(a, b string) bool { return w.now < w.cutUntil[link(a, b)] }
 
 func link(a, b string) [2]string {
 	if a > b {
@@ -211,8 +211,8 @@
 	return [2]string{a, b}
 }
 
-// message delivers once, never, late or twice, as the noise has it.
-func (w *World) message(from, to string, do func()) {
+// send delivers a message; depending on Noise it is dropped, delayed or duplicated.
+func (w *World) send(from, to string, do func()) {
 	if w.isCut(from, to) || w.chance(w.Noise.Drop) {
 		return
 	}
@@ -229,8 +229,8 @@
 	}
 }
 
-// call is a request and its answer. done runs once: with the answer, or with ok
-// false when the VM's patience ends first.
+// call sends a request and returns its answer. done runs once: with the answer, or with
+// ok false if wait on the VM's clock ends first.
 func (w *World) call(v *VM, to string, wait time.Duration, serve func(reply func(any)), done func(answer any, ok bool)) {
 	over := false
 	finish := func(a any, ok bool) {
@@ -239,24 +239,24 @@
 			done(a, ok)
 		}
 	}
-	w.after(v.real(wait), func() { finish(nil, false) })
+	w.after(v.toSimTime(wait), func() { finish(nil, false) })
 	name, copies := string(v.ID), request{}
-	w.message(name, to, func() {
-		copies.serve(serve, func(a any) { w.message(to, name, func() { finish(a, true) }) })
+	w.send(name, to, func() {
+		copies.serve(serve, func(a any) { w.send(to, name, func() { finish(a, true) }) })
 	})
 }
 
 type event struct {
-	at    time.Duration
-	order uint64
-	do    func()
+	at  time.Duration
+	seq uint64
+	do  func()
 }
 
 type events []event
 
 func (e events) Len() int { return len(e) }
 func (e events) Less(i, j int) bool {
-	return e[i].at < e[j].at || e[i].at == e[j].at && e[i].order < e[j].order
+	return e[i].at < e[j].at || e[i].at == e[j].at && e[i].seq < e[j].seq
 }
 func (e events) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
 func (e *events) Push(x any)   { *e = append(*e, x.(event)) }
@@ -268,8 +268,8 @@
 	return x
 }
 
-// Heal ends every cut, outage and freeze.
+// Heal ends every partition and store outage.
 func (w *World) Heal() {
-	clear(w.cuts)
-	w.Store.downTo = 0
+	clear(w.cutUntil)
+	w.Store.downUntil = 0
 }
--- a/internal/fake/world/world_test.go
+++ b/internal/fake/world/world_test.go
@@ -13,24 +13,23 @@
 	"hawthornfield.org/hawthornfield/internal/owner/lessor"
 )
 
-// diary is a model that only notes the plans that it was sent.
-type diary struct{ plans []lessor.RoleMsg }
+// roleRecorder is a model that only records the roles it was sent.
+type roleRecorder struct{ roles []lessor.RoleMsg }
 
-func (d diary) Update(_ time.Time, msg loop.Msg) (loop.Model, []loop.Cmd) {
+func (d roleRecorder) Update(_ time.Time, msg loop.Msg) (loop.Model, []loop.Cmd) {
 	if m, ok := msg.(lessor.RoleMsg); ok {
-		d.plans = append(d.plans[:len(d.plans):len(d.plans)], m)
+		d.roles = append(d.roles[:len(d.roles):len(d.roles)], m)
 	}
 	return d, nil
 }
 
-func diaries() *World {
-	return New(Options{Seed: 1, VMs: 1, Servers: 1, NewLessor: func(lessor.Config) loop.Model { return diary{} }})
+func newRecordingWorld() *World {
+	return New(Options{Seed: 1, VMs: 1, Servers: 1, NewLessor: func(lessor.Config) loop.Model { return roleRecorder{} }})
 }
 
-// A VM stands still, and what comes waits in line: that is one connection, so it
-// keeps its order. Were an older plan delivered after a newer one, the VM would
-// believe that it leads no seat, nobody would take it, and the keys of a history
-// without any fault left would stay unserved.
+// A paused VM must handle the messages queued meanwhile in order, as on one connection.
+// Were an older role delivered after a newer one, the VM would believe that it does not
+// lead, no VM would take over, and keys would stay unserved after all faults have ended.
 func TestAPausedVMReadsItsMessagesInTheirOrder(t *testing.T) {
 	ms := time.Millisecond
 	for name, during := range map[string]func(*World, *VM){
@@ -41,10 +40,10 @@
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			w := diaries()
+			w := newRecordingWorld()
 			w.Run(10 * ms)
 			v, s := w.VMs[0], w.Servers[0].Name
-			sent := len(v.Lessor(s).(diary).plans)
+			sent := len(v.Lessor(s).(roleRecorder).roles)
 			v.Pause(50 * ms)
 			during(w, v)
 			for i := range 200 {
@@ -53,39 +52,38 @@
 				})
 			}
 			w.Run(time.Second)
-			got := v.Lessor(s).(diary).plans[sent:]
+			got := v.Lessor(s).(roleRecorder).roles[sent:]
 			assert.Equal(t, len(got), 200)
 			for i, m := range got {
-				assert.Equal(t, m.Deputy, ident.VM(fmt.Sprint(i)), "plan %d came out of order", i)
+				assert.Equal(t, m.Deputy, ident.VM(fmt.Sprint(i)), "role %d arrived out of order", i)
 			}
 		})
 	}
 }
 
-// The network brings a request to the store twice, and the store is down for one
-// of the copies. A seat that is told "refused" gives its server the keys again;
-// if the other copy were carried out, the keys would have two owners, and the
-// histories would blame a seat that believed what it was told.
+// The network duplicates a request to the store, which is down for one of the copies.
+// After a refusal a lessor gives its server the keys again; if the other copy still took
+// effect, the keys would have two owners and the lessor would be blamed for it.
 func TestARefusedCallNeverTakesEffect(t *testing.T) {
-	down, up := 0, 0
+	refusedCalls, doneCalls := 0, 0
 	for seed := range uint64(400) {
-		w := New(Options{Seed: seed, VMs: 1, Servers: 1, NewLessor: func(lessor.Config) loop.Model { return diary{} }})
+		w := New(Options{Seed: seed, VMs: 1, Servers: 1, NewLessor: func(lessor.Config) loop.Model { return roleRecorder{} }})
 		w.Run(10 * time.Millisecond)
 		w.Noise = Noise{Duplicate: 1000, Drop: 200, MaxDelay: 60 * time.Millisecond}
 		w.At(w.Now()+time.Duration(seed%8)*time.Millisecond, func() { w.Store.Down(20 * time.Millisecond) })
-		told := kinds.None
+		result := kinds.None
 		v, c := w.VMs[0], lessor.PutRecordCmd{Record: lessor.Record{Epoch: 1}}
 		w.call(v, "store", 100*time.Millisecond, func(reply func(any)) {
 			w.Store.serve(reply, func() any { return w.Store.putRecord("s0", c) })
-		}, func(a any, ok bool) { told = kindOf(a, ok, kinds.Ambiguous) })
+		}, func(a any, ok bool) { result = kindOf(a, ok, kinds.Ambiguous) })
 		w.Run(time.Second)
-		if told == kinds.Unavailable {
-			down++
-			assert.Equal(t, w.Store.Record("s0").Epoch, ident.Epoch(0), "seed %d: refused, and done", seed)
+		if result == kinds.Unavailable {
+			refusedCalls++
+			assert.Equal(t, w.Store.Record("s0").Epoch, ident.Epoch(0), "seed %d: refused call took effect", seed)
 		}
 		if w.Store.Record("s0").Epoch == 1 {
-			up++
+			doneCalls++
 		}
 	}
-	assert.Assert(t, down > 20 && up > 100, "%d refused, %d done", down, up)
+	assert.Assert(t, refusedCalls > 20 && doneCalls > 100, "%d refused, %d done", refusedCalls, doneCalls)
 }
