--- a/internal/fake/world/record.go
+++ b/internal/fake/world/record.go
@@ -154,9 +154,9 @@
 	return false
 }
 
-// Until returns the simulated time at which the server's lease for its own keys
+// LeaseEnd returns the simulated time at which the server's lease for its own keys
 // ends.
-func (s *Server) Until() time.Duration { return s.toSimTime(s.lease(s.Name).end) }
+func (s *Server) LeaseEnd() time.Duration { return s.toSimTime(s.lease(s.Name).end) }
 
 // StandbyServed reports whether any server ever served another server's keys as
 // its standby.
--- a/internal/owner/lessor/mutant_test.go
+++ b/internal/owner/lessor/mutant_test.go
@@ -100,7 +100,7 @@
 // reckon with.
 func cutAfterOrder(w *world.World) {
 	for s := w.Servers[0]; ; w.Heal() {
-		sent, end := w.Count.Orders, s.Until()
+		sent, end := w.Count.Orders, s.LeaseEnd()
 		for w.Count.Orders == sent {
 			w.Run(w.Now() + 100*time.Microsecond)
 		}
@@ -108,7 +108,7 @@
 			w.Partition(string(v.ID), string(s.Name), time.Minute)
 		}
 		w.Run(w.Now() + 2*time.Millisecond)
-		if s.Until() != end {
+		if s.LeaseEnd() != end {
 			return
 		}
 	}
