--- a/internal/fake/origin/control.go
+++ b/internal/fake/origin/control.go
@@ -10,76 +10,80 @@
 	"hawthornfield.org/hawthornfield/internal/plat/srvcli"
 )
 
-// Handler serves both sides: the control side under /control/, data elsewhere.
+// Handler serves control calls under /control/ and data requests elsewhere.
 func (o *Origin) Handler() http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("POST "+srvcli.PathGrant, o.order(o.Grant))
-	mux.HandleFunc("POST "+srvcli.PathRevoke, o.order(o.Revoke))
+	mux.HandleFunc("POST "+srvcli.PathGrant, o.handleOrder(o.Grant))
+	mux.HandleFunc("POST "+srvcli.PathRevoke, o.handleOrder(o.Revoke))
 	mux.HandleFunc("GET "+srvcli.PathRead, func(w http.ResponseWriter, r *http.Request) {
-		o.answer(w, r, o.ReadSeat(cmp.Or(ident.Server(r.FormValue("seat")), o.Server)))
+		o.writeReply(w, r, o.ReadLease(cmp.Or(ident.Server(r.FormValue("seat")), o.Server)))
 	})
 	mux.HandleFunc("GET "+srvcli.PathStatus, func(w http.ResponseWriter, r *http.Request) {
-		o.answer(w, r, o.Status())
+		o.writeReply(w, r, o.Status())
 	})
 	mux.HandleFunc("POST "+srvcli.PathDrain, func(w http.ResponseWriter, r *http.Request) {
 		o.Drain()
-		o.answer(w, r, struct{}{})
+		o.writeReply(w, r, struct{}{})
 	})
 	mux.HandleFunc("POST "+srvcli.PathCancel, o.cancelCall)
-	mux.HandleFunc("/", o.data)
+	mux.HandleFunc("/", o.serveData)
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		o.pass(r.Context())
+		o.waitThawed(r.Context())
 		mux.ServeHTTP(w, r)
 	})
 }
 
-func (o *Origin) order(obey func(server.Order) server.Reply) http.HandlerFunc {
+// handleOrder returns a handler that reads an order, applies it and replies.
+func (o *Origin) handleOrder(apply func(server.Order) server.Reply) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		var order server.Order
-		if o.read(w, r, &order) {
-			o.answer(w, r, obey(order))
+		if o.readBody(w, r, &order) {
+			o.writeReply(w, r, apply(order))
 		}
 	}
 }
 
-// Grant obeys a grant or a renewal, or says why not.
+// Grant applies a grant or a renewal, or replies with the reason why not.
 func (o *Origin) Grant(order server.Order) server.Reply {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	why := o.admit(order)
-	if why == "" {
-		why = o.seat(order.Lessor).grant(order, o.mark().At)
+	reason := o.checkOrder(order)
+	if reason == "" {
+		reason = o.leaseOf(order.Lessor).grant(order, o.mark().At)
 	}
-	return o.conclude(order, why)
+	return o.finishOrder(order, reason)
 }
 
-// Revoke ends the lease of what is not in the order's set, or says why not.
+// Revoke ends the lease of everything that is not in the order's set, or replies with
+// the reason why not.
 func (o *Origin) Revoke(order server.Order) server.Reply {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	why := o.admit(order)
-	if why == "" && !o.ignores() {
-		o.seat(order.Lessor).revoke(order, o.Slices)
+	reason := o.checkOrder(order)
+	if reason == "" && !o.ignoresRevocations() {
+		o.leaseOf(order.Lessor).revoke(order, o.Slices)
 	}
-	return o.conclude(order, why)
+	return o.finishOrder(order, reason)
 }
 
-// Read says what the server holds under its own seat.
-func (o *Origin) Read() server.Reply { return o.ReadSeat(o.Server) }
+// Read returns the server's lease for its own keys.
+func (o *Origin) Read() server.Reply { return o.ReadLease(o.Server) }
 
-// ReadSeat says what the server holds under a seat, as a stand-by too.
-func (o *Origin) ReadSeat(seat ident.Server) server.Reply {
+// ReadLease returns the lease that the server holds from a lessor: its own, or that of
+// a server whose standby it is.
+func (o *Origin) ReadLease(lessor ident.Server) server.Reply {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	reply := o.reply(seat)
+	reply := o.reply(lessor)
 	reply.Done = true
 	return reply
 }
 
-// admit checks the sender's fence, if this server checks, and the deadline.
-func (o *Origin) admit(order server.Order) string {
+// checkOrder checks the order's fence, if FenceChecks is set, and its deadline. It
+// returns the reason to refuse the order, or "".
+func (o *Origin) checkOrder(order server.Order) string {
 	now := o.mark()
-	if o.FenceChecks && order.Fence.Less(o.top[order.Lessor]) {
+	if o.FenceChecks && order.Fence.Less(o.highestFences[order.Lessor]) {
 		return server.ReasonFence
 	}
 	if order.Mark.Boot != now.Boot || order.Mark.At+order.TTL <= now.At {
@@ -88,27 +92,30 @@
 	return ""
 }
 
-func (o *Origin) conclude(order server.Order, why string) server.Reply {
-	if why == "" {
-		if o.top[order.Lessor].Less(order.Fence) {
-			o.top[order.Lessor] = order.Fence
+// finishOrder records the fence of an order that was applied, and builds the reply.
+func (o *Origin) finishOrder(order server.Order, reason string) server.Reply {
+	if reason == "" {
+		if o.highestFences[order.Lessor].Less(order.Fence) {
+			o.highestFences[order.Lessor] = order.Fence
 		}
-		o.seat(order.Lessor).fence = order.Fence
+		o.leaseOf(order.Lessor).fence = order.Fence
 	}
 	reply := o.reply(order.Lessor)
-	reply.Done, reply.Reason = why == "", why
-	word := o.word()
-	reply.Status = &word
+	reply.Done, reply.Reason = reason == "", reason
+	status := o.status()
+	reply.Status = &status
 	return reply
 }
 
-func (o *Origin) reply(seat ident.Server) server.Reply {
+func (o *Origin) reply(lessor ident.Server) server.Reply {
 	now := o.mark()
-	l := o.seat(seat)
-	return server.Reply{Fence: o.top[seat], Rev: l.rev, Left: max(l.end-now.At, 0), Mark: now}
+	l := o.leaseOf(lessor)
+	return server.Reply{Fence: o.highestFences[lessor], Rev: l.rev, Left: max(l.end-now.At, 0), Mark: now}
 }
 
-func (o *Origin) seat(name ident.Server) *lease {
+// leaseOf returns the lease from a lessor, creating an empty one if there is none. The
+// caller holds mu.
+func (o *Origin) leaseOf(name ident.Server) *lease {
 	l, ok := o.leases[name]
 	if !ok {
 		l = &lease{}
@@ -117,31 +124,32 @@
 	return l
 }
 
-// Status is what the server says of itself.
+// Status returns the health and load that the server reports.
 func (o *Origin) Status() server.Status {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return o.word()
+	return o.status()
 }
 
-// word is Word for who holds mu.
-func (o *Origin) word() server.Status {
+// status is Status for callers that hold mu.
+func (o *Origin) status() server.Status {
 	return server.Status{
-		Health: server.Health{Ready: !o.drain, Drain: o.drain},
+		Health: server.Health{Ready: !o.draining, Drain: o.draining},
 		Load:   server.Load{Slots: o.Slots, Busy: len(o.slots), Queue: o.waiting},
 	}
 }
 
-// Drain makes the server say that it is leaving. It still serves what it owns.
+// Drain makes the server report that it is draining. It still serves what it owns.
 func (o *Origin) Drain() {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.drain = true
+	o.draining = true
 }
 
+// cancelCall cancels a running data request by its id.
 func (o *Origin) cancelCall(w http.ResponseWriter, r *http.Request) {
 	var body srvcli.CancelBody
-	if !o.read(w, r, &body) {
+	if !o.readBody(w, r, &body) {
 		return
 	}
 	o.mu.Lock()
@@ -150,15 +158,16 @@
 	if cancel != nil {
 		cancel()
 	}
-	o.answer(w, r, struct{}{})
+	o.writeReply(w, r, struct{}{})
 }
 
-// maxOrder bounds an order's bytes.
-const maxOrder = 8 << 20
+// maxBodyBytes bounds the body of a control call.
+const maxBodyBytes = 8 << 20
 
-// read takes a body in the form that its type names, or answers 400.
-func (o *Origin) read(w http.ResponseWriter, r *http.Request, v any) bool {
-	b, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxOrder))
+// readBody decodes a body by its Content-Type, or by JSON if LegacyControl is set. It
+// answers 400 and returns false if that fails.
+func (o *Origin) readBody(w http.ResponseWriter, r *http.Request, v any) bool {
+	b, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBodyBytes))
 	kind := r.Header.Get("Content-Type")
 	if o.LegacyControl {
 		kind = srvcli.TypeJSON
@@ -172,8 +181,9 @@
 	return err == nil
 }
 
-// answer answers in CBOR whoever takes it, without a date that nobody reads.
-func (o *Origin) answer(w http.ResponseWriter, r *http.Request, v any) {
+// writeReply answers in CBOR if the request accepts it, else in JSON. It omits the Date
+// header, which no client reads, and announces h2c on HTTP/1 connections.
+func (o *Origin) writeReply(w http.ResponseWriter, r *http.Request, v any) {
 	kind := srvcli.TypeJSON
 	if !o.LegacyControl && r.Header.Get("Accept") == srvcli.TypeCBOR {
 		kind = srvcli.TypeCBOR
@@ -181,7 +191,7 @@
 	h := w.Header()
 	h["Date"] = nil
 	h.Set("Content-Type", kind)
-	if r.ProtoMajor == 1 && speaksTwo(r) {
+	if r.ProtoMajor == 1 && servesHTTP2(r) {
 		h.Set("Upgrade", "h2c")
 	}
 	b, err := srvcli.Encode(kind, v)
@@ -193,9 +203,9 @@
 	}
 }
 
-// speaksTwo reports whether the server that took a request speaks HTTP/2 without
-// encryption.
-func speaksTwo(r *http.Request) bool {
+// servesHTTP2 reports whether the HTTP server that received a request supports
+// unencrypted HTTP/2.
+func servesHTTP2(r *http.Request) bool {
 	web, ok := r.Context().Value(http.ServerContextKey).(*http.Server)
 	return ok && web.Protocols != nil && web.Protocols.UnencryptedHTTP2()
 }
--- a/internal/fake/origin/data.go
+++ b/internal/fake/origin/data.go
@@ -13,58 +13,61 @@
 	"hawthornfield.org/hawthornfield/internal/core/kinds"
 )
 
-// Headers that a request to a backend server carries.
+// Headers of requests to a backend server.
 const (
 	HeaderID  = "Hawthorn-Id"
 	HeaderKey = "Hawthorn-Key"
 )
 
-// Headers and the trailer of an answer.
+// Headers and trailer of an answer.
 const (
 	HeaderServer = "Origin-Server"
-	HeaderBytes  = "Origin-Bytes"
-	TrailerSum   = "Origin-Sum" // FNV-1a of the answer's body
+	HeaderBytes  = "Origin-Bytes" // length of the request's body
+	TrailerSum   = "Origin-Sum"   // FNV-1a of the answer's body, hexadecimal
 )
 
-// Query parameters by which a caller shapes a request.
+// Query parameters by which a caller determines the work and the answer.
 const (
-	ParamWork   = "work"   // extra time in the slot, as a Go duration
+	ParamWork   = "work"   // time in the slot in addition to Config.Work, as a Go duration
 	ParamSize   = "size"   // bytes of the answer
 	ParamStatus = "status" // HTTP status of the answer
 )
 
-// data serves one request: own it, or answer 421; have a slot, or shed.
-func (o *Origin) data(w http.ResponseWriter, r *http.Request) {
+// serveData serves one data request. It answers 421 if the server does not own the key,
+// and 503 if all slots and queue places are taken.
+func (o *Origin) serveData(w http.ResponseWriter, r *http.Request) {
 	id, key := ident.Request(r.Header.Get(HeaderID)), ident.Key(r.Header.Get(HeaderKey))
-	if o.Keyed && !o.ownsNow(key) {
-		o.bump(func(s *Stats) *int { return &s.Misses })
-		refuse(w, http.StatusMisdirectedRequest)
+	if o.Keyed && !o.owns(key) {
+		o.count(func(s *Stats) *int { return &s.Misses })
+		refuseUnrun(w, http.StatusMisdirectedRequest)
 		return
 	}
 	ctx, cancel := context.WithCancel(r.Context())
 	defer cancel()
-	if !o.enter(ctx) {
-		o.bump(func(s *Stats) *int { return &s.Shed })
-		refuse(w, http.StatusServiceUnavailable)
+	if !o.acquireSlot(ctx) {
+		o.count(func(s *Stats) *int { return &s.Shed })
+		refuseUnrun(w, http.StatusServiceUnavailable)
 		return
 	}
-	defer o.leave()
-	served, ok := o.run(id, key, cancel)
+	defer o.releaseSlot()
+	served, ok := o.startRequest(id, key, cancel)
 	if !ok {
-		refuse(w, http.StatusMisdirectedRequest)
+		refuseUnrun(w, http.StatusMisdirectedRequest)
 		return
 	}
-	defer o.ended(id)
-	o.work(ctx, w, r, served)
+	defer o.endRequest(id)
+	o.handleRequest(ctx, w, r, served)
 }
 
-func refuse(w http.ResponseWriter, status int) {
+// refuseUnrun answers with an error status and states that the request did not run.
+func refuseUnrun(w http.ResponseWriter, status int) {
 	w.Header().Set(kinds.HeaderRan, string(kinds.RanNo))
 	w.WriteHeader(status)
 }
 
-// enter takes a slot, waiting in the short queue.
-func (o *Origin) enter(ctx context.Context) bool {
+// acquireSlot takes a slot, waiting in the queue if all are busy. It reports false if
+// the queue is full or ctx ends.
+func (o *Origin) acquireSlot(ctx context.Context) bool {
 	select {
 	case o.slots <- struct{}{}:
 		return true
@@ -92,16 +95,17 @@
 	}
 }
 
-func (o *Origin) leave() { <-o.slots }
+func (o *Origin) releaseSlot() { <-o.slots }
 
-func (o *Origin) ownsNow(k ident.Key) bool {
+func (o *Origin) owns(k ident.Key) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return o.covering(k) != nil
+	return o.leaseCovering(k) != nil
 }
 
-// covering finds the lease that covers a key now. The caller holds mu.
-func (o *Origin) covering(k ident.Key) *lease {
+// leaseCovering returns an unexpired lease that covers the key, or nil. The caller
+// holds mu.
+func (o *Origin) leaseCovering(k ident.Key) *lease {
 	now, slice := o.mark().At, ident.SliceOf(k, o.Slices)
 	for _, l := range o.leases {
 		if l.owns(k, slice, now) {
@@ -111,14 +115,14 @@
 	return nil
 }
 
-// run records that the request runs, at one moment with the check of ownership:
-// a lease that lapsed while the request waited for a slot must not count.
-func (o *Origin) run(id ident.Request, key ident.Key, cancel context.CancelFunc) (*Served, bool) {
+// startRequest checks ownership and records the request as running, under one lock: a
+// lease that expired while the request waited for a slot must not count.
+func (o *Origin) startRequest(id ident.Request, key ident.Key, cancel context.CancelFunc) (*Served, bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	s := Served{Server: o.Server, ID: id, Key: key, At: time.Now()}
 	if o.Keyed {
-		l := o.covering(key)
+		l := o.leaseCovering(key)
 		if l == nil {
 			return nil, false
 		}
@@ -128,20 +132,21 @@
 	return o.Record.add(s), true
 }
 
-func (o *Origin) ended(id ident.Request) {
+func (o *Origin) endRequest(id ident.Request) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	delete(o.running, id)
 }
 
-func (o *Origin) work(ctx context.Context, w http.ResponseWriter, r *http.Request, s *Served) {
+// handleRequest reads the request's body, occupies the slot and answers.
+func (o *Origin) handleRequest(ctx context.Context, w http.ResponseWriter, r *http.Request, s *Served) {
 	n, err := io.Copy(io.Discard, r.Body)
 	if err != nil {
 		return
 	}
 	o.Record.finish(s, n)
-	o.hold(ctx, r)
-	if o.take(&o.snap) {
+	o.simulateWork(ctx, r)
+	if o.consume(&o.breakNext) {
 		panic(http.ErrAbortHandler)
 	}
 	w.Header().Set(HeaderServer, string(o.Server))
@@ -151,12 +156,12 @@
 	if status, err := strconv.Atoi(r.URL.Query().Get(ParamStatus)); err == nil {
 		w.WriteHeader(status)
 	}
-	o.body(w, r, s)
+	o.writeBody(w, r, s)
 }
 
-// hold keeps the slot for as long as the work takes.
-func (o *Origin) hold(ctx context.Context, r *http.Request) {
-	d := o.Work + o.extra()
+// simulateWork waits for as long as the request occupies its slot, or until ctx ends.
+func (o *Origin) simulateWork(ctx context.Context, r *http.Request) {
+	d := o.Work + o.extraWork()
 	if more, err := time.ParseDuration(r.URL.Query().Get(ParamWork)); err == nil {
 		d += more
 	}
@@ -171,30 +176,30 @@
 	}
 }
 
-// body answers with the wanted number of bytes, or with one line that names the
-// request, and the sum as a trailer.
-func (o *Origin) body(w http.ResponseWriter, r *http.Request, s *Served) {
+// writeBody writes the requested number of bytes, or one line that names the request,
+// and then the checksum as a trailer. With a pending Truncate it breaks off halfway.
+func (o *Origin) writeBody(w http.ResponseWriter, r *http.Request, s *Served) {
 	line := fmt.Sprintf("%s served %s key=%s\n", o.Server, s.ID, s.Key)
 	size, err := strconv.Atoi(r.URL.Query().Get(ParamSize))
 	if err != nil {
 		size = len(line)
 	}
-	cut := -1
-	if o.take(&o.cut) {
-		cut = size / 2
+	cutAt := -1
+	if o.consume(&o.truncateNext) {
+		cutAt = size / 2
 	}
 	sum := fnv.New64a()
 	for sent := 0; sent < size; {
 		piece := line[:min(len(line), size-sent)]
-		if cut >= 0 && sent+len(piece) > cut {
-			piece = piece[:max(cut-sent, 0)]
+		if cutAt >= 0 && sent+len(piece) > cutAt {
+			piece = piece[:max(cutAt-sent, 0)]
 		}
 		sum.Write([]byte(piece))
 		if _, err := io.WriteString(w, piece); err != nil {
 			return
 		}
 		sent += len(piece)
-		if cut >= 0 && sent >= cut {
+		if cutAt >= 0 && sent >= cutAt {
 			_ = http.NewResponseController(w).Flush()
 			panic(http.ErrAbortHandler)
 		}
--- a/internal/fake/origin/lease.go
+++ b/internal/fake/origin/lease.go
@@ -8,14 +8,15 @@
 	"hawthornfield.org/hawthornfield/internal/plat/server"
 )
 
-// lease is what the server holds under one seat.
+// lease is the set of keys that the server may serve until end, as granted by one
+// lessor.
 type lease struct {
 	fence  ident.Fence
 	rev    ident.Revision
 	end    time.Duration // on the server's own clock
 	slices map[ident.Slice]struct{}
-	keys   map[ident.Key]struct{}
-	except map[ident.Key]struct{}
+	keys   map[ident.Key]struct{} // single keys held apart from their slice
+	except map[ident.Key]struct{} // keys of the slices that another server owns
 }
 
 func setOf[T comparable](items []T) map[T]struct{} {
@@ -26,12 +27,12 @@
 	return set
 }
 
-// owns reports whether the lease covers the key at a time.
+// owns reports whether the lease is unexpired at now and covers the key.
 func (l *lease) owns(k ident.Key, slice ident.Slice, now time.Duration) bool {
 	return now < l.end && l.covers(k, slice)
 }
 
-// covers reports whether the lease's set has the key.
+// covers reports whether the lease's set contains the key.
 func (l *lease) covers(k ident.Key, slice ident.Slice) bool {
 	if _, single := l.keys[k]; single {
 		return true
@@ -43,8 +44,8 @@
 	return ok
 }
 
-// grant obeys a grant or a renewal and returns the reason when it does not. A
-// renewal never adds: it needs an unexpired lease of the same revision.
+// grant applies a grant or a renewal, or returns the reason why not. A renewal never
+// adds keys: it needs an unexpired lease of the same revision.
 func (l *lease) grant(o server.Order, now time.Duration) string {
 	end := o.Mark.At + o.TTL
 	if !o.Full {
@@ -59,8 +60,8 @@
 	return ""
 }
 
-// revoke keeps only what is both held and in the order's set. A key that was
-// held with its slice may be in the set by itself.
+// revoke retains only what is both held and in the order's set. The set may list a
+// single key that was held as part of its slice.
 func (l *lease) revoke(o server.Order, slices uint32) {
 	l.rev = o.Rev
 	keys := map[ident.Key]struct{}{}
@@ -70,7 +71,7 @@
 		}
 	}
 	l.keys = keys
-	keepOnly(l.slices, o.Slices)
+	retainOnly(l.slices, o.Slices)
 	for _, k := range o.Except {
 		if l.except == nil {
 			l.except = map[ident.Key]struct{}{}
@@ -82,7 +83,7 @@
 	}
 }
 
-func keepOnly[T comparable](held map[T]struct{}, keep []T) {
+func retainOnly[T comparable](held map[T]struct{}, keep []T) {
 	for item := range held {
 		if !slices.Contains(keep, item) {
 			delete(held, item)
--- a/internal/fake/origin/origin.go
+++ b/internal/fake/origin/origin.go
@@ -1,10 +1,10 @@
-// Package origin is a small stand-in for a backend server: its data side with
-// few slots, a short queue and a connection limit, and its control side with
-// fenced leases on its own clock, drain, health, load and cancellation.
+// Package origin is a fake backend server over HTTP. Its data side has a limited number
+// of slots, a short queue and a connection limit; its control side has fenced leases on
+// the server's own clock, drain, health, load and cancellation.
 //
-// It decides by its own record whether it owns a key, and keeps its own record
-// of what it ran. It is made to freeze, to be slow, to cut answers short, to
-// break connections and to restart.
+// It decides by its own leases whether it owns a key, and records which requests it
+// ran. Tests can make it freeze, slow down, truncate answers, break connections and
+// restart.
 package origin
 
 import (
@@ -21,58 +21,58 @@
 	"hawthornfield.org/hawthornfield/internal/plat/server"
 )
 
-// Config describes one backend server. The zero value is a server that is not
-// divided by key, with one slot.
+// Config describes one backend server. The zero value is a server with one slot that
+// serves any key.
 type Config struct {
 	Service       ident.Service
 	Server        ident.Server
 	Centre        ident.Centre
-	Keyed         bool          // divided by key: serves only what its lease covers
+	Keyed         bool          // serves only keys that its leases cover
 	Slices        uint32        // slices of the service's key space
-	FenceChecks   bool          // refuses orders below the highest fence obeyed
+	FenceChecks   bool          // refuses orders with a fence below the highest one applied
 	Slots         int           // requests worked on at once
 	Queue         int           // requests waiting for a slot
 	Conns         int           // open connections; zero means no limit
-	ConnectDelay  time.Duration // cost of a new connection
+	ConnectDelay  time.Duration // delay of a new connection's first read
 	Work          time.Duration // how long a request holds its slot
-	LegacyControl bool          // speaks HTTP/1.1 and JSON alone on its control side
-	Record        *Record       // shared record; nil makes an own one
+	LegacyControl bool          // control side speaks only HTTP/1.1 and JSON
+	Record        *Record       // may be shared between servers; nil creates one
 }
 
 // Origin is one backend server. Serve its Handler, or let Start listen.
 type Origin struct {
-	knobs
+	faults
 	Config
 
-	start time.Time
-	slots chan struct{}
+	startTime time.Time
+	slots     chan struct{}
 
-	mu      sync.Mutex
-	boot    uint64
-	top     map[ident.Server]ident.Fence // highest fence obeyed, by seat
-	leases  map[ident.Server]*lease      // by seat
-	waiting int
-	drain   bool
-	running map[ident.Request]context.CancelFunc
-	open    map[net.Conn]struct{}
+	mu            sync.Mutex
+	bootID        uint64
+	highestFences map[ident.Server]ident.Fence // highest fence applied, by lessor
+	leases        map[ident.Server]*lease      // by lessor
+	waiting       int
+	draining      bool
+	running       map[ident.Request]context.CancelFunc
+	openConns     map[net.Conn]struct{}
 
-	group group.Group
-	web   *http.Server
+	group      group.Group
+	httpServer *http.Server
 }
 
-// New makes a backend server.
+// New creates a backend server.
 func New(cfg Config) *Origin {
 	cfg.Slots = max(cfg.Slots, 1)
 	if cfg.Record == nil {
 		cfg.Record = &Record{}
 	}
 	o := &Origin{
-		Config:  cfg,
-		slots:   make(chan struct{}, cfg.Slots),
-		open:    map[net.Conn]struct{}{},
-		running: map[ident.Request]context.CancelFunc{},
+		Config:    cfg,
+		slots:     make(chan struct{}, cfg.Slots),
+		openConns: map[net.Conn]struct{}{},
+		running:   map[ident.Request]context.CancelFunc{},
 	}
-	o.thaw = closedChan()
+	o.thawed = closedChan()
 	o.reset()
 	return o
 }
@@ -83,15 +83,15 @@
 	return c
 }
 
-// reset begins a new start of the server: nothing held, a new boot number.
+// reset simulates the start of a new server process: no leases, a new boot id.
 func (o *Origin) reset() {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.start = time.Now()
-	o.boot = rand.Uint64() | 1
-	o.top = map[ident.Server]ident.Fence{}
+	o.startTime = time.Now()
+	o.bootID = rand.Uint64() | 1
+	o.highestFences = map[ident.Server]ident.Fence{}
 	o.leases = map[ident.Server]*lease{}
-	o.drain = false
+	o.draining = false
 }
 
 // Start listens on loopback and returns the address.
@@ -104,29 +104,29 @@
 	return l.Addr().(*net.TCPAddr).AddrPort(), nil
 }
 
-// Serve takes connections from l until Close.
+// Serve accepts connections from l until Close.
 func (o *Origin) Serve(l net.Listener) {
 	p := &http.Protocols{}
 	p.SetHTTP1(true)
 	p.SetUnencryptedHTTP2(!o.LegacyControl)
-	o.web = &http.Server{Handler: o.Handler(), Protocols: p, ReadHeaderTimeout: time.Minute, ConnState: o.track}
+	o.httpServer = &http.Server{Handler: o.Handler(), Protocols: p, ReadHeaderTimeout: time.Minute, ConnState: o.trackConn}
 	o.group.Go(func(context.Context) error {
-		_ = o.web.Serve(&listener{Listener: l, o: o})
+		_ = o.httpServer.Serve(&listener{Listener: l, o: o})
 		return nil
 	})
 }
 
-// Close stops the server at once, breaks its connections and waits.
+// Close stops the server at once, closes its connections and waits for its goroutines.
 func (o *Origin) Close() error {
 	o.Freeze(false)
-	if o.web != nil {
-		o.web.Close()
+	if o.httpServer != nil {
+		o.httpServer.Close()
 	}
 	return o.group.Close()
 }
 
-// Restart breaks all connections and forgets all leases, as a crash and a
-// quick start under the same address do.
+// Restart closes all connections and drops all leases, like a crash followed by a
+// quick start under the same address.
 func (o *Origin) Restart() {
 	o.reset()
 	o.BreakAll()
@@ -136,36 +136,36 @@
 func (o *Origin) BreakAll() {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	for c := range o.open {
+	for c := range o.openConns {
 		c.Close()
 	}
 }
 
-// OpenConns counts the connections that are open now.
+// OpenConns returns the number of open connections.
 func (o *Origin) OpenConns() int {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return len(o.open)
+	return len(o.openConns)
 }
 
-func (o *Origin) track(c net.Conn, s http.ConnState) {
+func (o *Origin) trackConn(c net.Conn, s http.ConnState) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	switch s {
 	case http.StateNew:
-		o.open[c] = struct{}{}
-		o.noteOpen(len(o.open))
+		o.openConns[c] = struct{}{}
+		o.recordOpenConns(len(o.openConns))
 	case http.StateClosed, http.StateHijacked:
-		delete(o.open, c)
+		delete(o.openConns, c)
 	}
 }
 
 // mark reads the server's own clock. The caller holds mu.
 func (o *Origin) mark() server.Mark {
-	return server.Mark{Boot: o.boot, At: time.Since(o.start)}
+	return server.Mark{Boot: o.bootID, At: time.Since(o.startTime)}
 }
 
-// listener refuses connections over the limit and makes new ones cost time.
+// listener closes connections over the limit and delays the others.
 type listener struct {
 	net.Listener
 	o *Origin
@@ -179,23 +179,23 @@
 			return nil, err
 		}
 		if l.o.Conns > 0 && l.o.OpenConns() >= l.o.Conns {
-			l.o.refusedConn()
+			l.o.countRefusedConn()
 			c.Close()
 			continue
 		}
-		return &conn{Conn: c, cost: l.o.Config.ConnectDelay}, nil
+		return &conn{Conn: c, delay: l.o.Config.ConnectDelay}, nil
 	}
 }
 
-// conn delays its first read by what opening a connection costs the server.
+// conn delays its first read by the cost of opening a connection.
 type conn struct {
 	net.Conn
-	once sync.Once
-	cost time.Duration
+	delayOnce sync.Once
+	delay     time.Duration
 }
 
 // Read reads from the connection.
 func (c *conn) Read(b []byte) (int, error) {
-	c.once.Do(func() { time.Sleep(c.cost) })
+	c.delayOnce.Do(func() { time.Sleep(c.delay) })
 	return c.Conn.Read(b)
 }
--- a/internal/fake/origin/origin_test.go
+++ b/internal/fake/origin/origin_test.go
@@ -16,7 +16,7 @@
 	"hawthornfield.org/hawthornfield/internal/plat/srvcli"
 )
 
-func launch(t *testing.T, cfg Config) (*Origin, netip.AddrPort) {
+func startOrigin(t *testing.T, cfg Config) (*Origin, netip.AddrPort) {
 	o := New(cfg)
 	at, err := o.Start()
 	assert.NilError(t, err)
@@ -24,7 +24,7 @@
 	return o, at
 }
 
-func ask(t *testing.T, at netip.AddrPort, key string) *http.Response {
+func request(t *testing.T, at netip.AddrPort, key string) *http.Response {
 	r, err := http.NewRequestWithContext(t.Context(), "POST", "http://"+at.String()+"/x", strings.NewReader("body"))
 	assert.NilError(t, err)
 	r.Header.Set(HeaderKey, key)
@@ -37,20 +37,22 @@
 	return resp
 }
 
+// A server that serves a key after the revocation of its lease would hide a second
+// owner from every test that uses it.
 func TestServesOnlyWhatItsLeaseCovers(t *testing.T) {
-	o, at := launch(t, Config{Server: "s1", Keyed: true, Slices: 8, FenceChecks: true})
+	o, at := startOrigin(t, Config{Server: "s1", Keyed: true, Slices: 8, FenceChecks: true})
 	var c srvcli.Client
-	held, err := c.Read(t.Context(), at, "look", "")
+	read, err := c.Read(t.Context(), at, "look", "")
 	assert.NilError(t, err)
 	mine := ident.SliceOf("scale-1", 8)
 	order := server.Order{
-		Lessor: "s1", Server: "s1", Fence: ident.Fence{Epoch: 2}, Mark: held.Mark, TTL: time.Hour,
+		Lessor: "s1", Server: "s1", Fence: ident.Fence{Epoch: 2}, Mark: read.Mark, TTL: time.Hour,
 		Rev: 5, Full: true, Slices: []ident.Slice{mine},
 	}
 	reply, err := c.Grant(t.Context(), at, order)
 	assert.NilError(t, err)
 	assert.Assert(t, reply.Done)
-	resp := ask(t, at, "scale-1")
+	resp := request(t, at, "scale-1")
 	assert.Equal(t, resp.StatusCode, http.StatusOK)
 	assert.Assert(t, resp.Trailer.Get(TrailerSum) != "")
 	assert.Equal(t, o.Record.Count("id-scale-1"), 1)
@@ -59,13 +61,15 @@
 	reply, err = c.Revoke(t.Context(), at, order)
 	assert.NilError(t, err)
 	assert.Assert(t, reply.Done)
-	resp = ask(t, at, "scale-1")
+	resp = request(t, at, "scale-1")
 	assert.Equal(t, resp.StatusCode, http.StatusMisdirectedRequest)
 	assert.Equal(t, resp.Header.Get(kinds.HeaderRan), string(kinds.RanNo))
 	assert.Equal(t, o.Record.Count("id-scale-1"), 1)
 }
 
-func TestRefusesOldFencesLateOrdersAndRenewalsOfWhatItLacks(t *testing.T) {
+// Orders from an earlier epoch, with an expired deadline, for a set that the server
+// does not hold, or for an earlier start of the server must be refused.
+func TestRefusesOldFencesLateOrdersAndRenewalsOfUnheldSets(t *testing.T) {
 	o := New(Config{Server: "s1", Keyed: true, Slices: 8, FenceChecks: true})
 	mark := o.Read().Mark
 	full := server.Order{Lessor: "s1", Fence: ident.Fence{Epoch: 2}, Mark: mark, TTL: time.Hour, Rev: 5, Full: true}
--- a/internal/fake/origin/record.go
+++ b/internal/fake/origin/record.go
@@ -7,25 +7,25 @@
 	"hawthornfield.org/hawthornfield/internal/core/ident"
 )
 
-// Served is one request that the server ran, by its own record. Checkers of
-// "one owner" and "at most once" read these, not the router's view.
+// Served is one request that a server ran, as recorded by the server. Checks of "one
+// owner" and "at most once" read these records, not the router's view.
 type Served struct {
 	Server ident.Server
 	ID     ident.Request
 	Key    ident.Key
 	At     time.Time
 	Fence  ident.Fence // of the lease that covered the key
-	Bytes  int64       // of the body, once it was read
+	Bytes  int64       // length of the request's body, set after it was read
 }
 
-// Record collects what servers ran. Several servers may share one. The zero
-// value works.
+// Record collects the requests that servers ran. Several servers may share one. The
+// zero value is ready to use.
 type Record struct {
 	mu  sync.Mutex
 	all []*Served
 }
 
-// All returns a copy of the entries so far, in the order they ran.
+// All returns a copy of the entries so far, in the order in which they started.
 func (r *Record) All() []Served {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -36,7 +36,7 @@
 	return all
 }
 
-// Count says how often a request id ran.
+// Count returns how many times a request id ran.
 func (r *Record) Count(id ident.Request) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
