--- a/internal/admin/demo/owners_test.go
+++ b/internal/admin/demo/owners_test.go
@@ -109,7 +109,7 @@
 // then change what belongs to the key, and each caller sees half of it.
 func TestAServerThatIgnoresARevocationIsCaught(t *testing.T) {
 	y := newYard(t)
-	y.site.origins["a"].Deaf(true)
+	y.site.origins["a"].IgnoreRevocations(true)
 	y.move()
 	assert.Equal(t, y.ask("a"), http.StatusOK)
 	assert.Assert(t, !y.verdict().held())
