--- a/internal/fake/origin/faults.go
+++ b/internal/fake/origin/faults.go
@@ -65,9 +65,9 @@
 	f.breakNext = n
 }
 
-// IgnoreRevocations makes the server confirm revocations without carrying them out, so that it
-// continues to serve the revoked keys. Tests use it to prove that their checks notice
-// such a server.
+// IgnoreRevocations makes the server confirm revocations without carrying them out, so
+// that it continues to serve the revoked keys. Tests use it to prove that their checks
+// notice such a server.
 func (f *faults) IgnoreRevocations(on bool) {
 	f.faultMu.Lock()
 	defer f.faultMu.Unlock()
