--- a/internal/fake/objapi/faults.go
+++ b/internal/fake/objapi/faults.go
@@ -5,92 +5,93 @@
 	"time"
 )
 
-// Calls counts what callers asked of the platform since the start. A watch
-// counts once for each wait.
+// Calls counts the calls of the platform since the start. Each call of a watch counts,
+// also one that ends without a change.
 type Calls struct {
 	Gets, Puts, Deletes, Lists, Watches, VMs uint64
 }
 
-// Total adds all calls up.
+// Total returns the sum of all calls.
 func (c Calls) Total() uint64 { return c.Gets + c.Puts + c.Deletes + c.Lists + c.Watches + c.VMs }
 
-// knobs are the faults that a test switches on. They may be turned at any time.
-type knobs struct {
-	mu     sync.Mutex
-	down   bool
-	noList bool
-	delay  time.Duration
-	lose   int
-	calls  Calls
-	change chan struct{} // closed when the outage begins, so that waits end
+// faults holds the faults that a test switches on, at any time, and the counts.
+type faults struct {
+	mu          sync.Mutex
+	down        bool
+	vmListDown  bool
+	delay       time.Duration
+	loseAnswers int
+	calls       Calls
+	outageBegan chan struct{} // closed and replaced when an outage begins, which ends waiting watches
 }
 
-// Outage begins or ends an outage of the object API. While it lasts every call
-// but that of the VM list is cut off without an answer and without effect, and
-// waiting watches break.
-func (k *knobs) Outage(down bool) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if down && !k.down {
-		close(k.change)
-		k.change = make(chan struct{})
+// Outage begins or ends an outage of the object API. During it the connection of every
+// call, except for the VM list, is closed without an answer and without effect, also
+// that of watches that wait already.
+func (f *faults) Outage(down bool) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	if down && !f.down {
+		close(f.outageBegan)
+		f.outageBegan = make(chan struct{})
 	}
-	k.down = down
+	f.down = down
 }
 
 // ListOutage begins or ends an outage of the VM list.
-func (k *knobs) ListOutage(down bool) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.noList = down
+func (f *faults) ListOutage(down bool) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.vmListDown = down
 }
 
-func (k *knobs) listDown() bool {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return k.noList
+func (f *faults) isVMListDown() bool {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	return f.vmListDown
 }
 
 // Delay makes every call take at least d.
-func (k *knobs) Delay(d time.Duration) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.delay = d
+func (f *faults) Delay(d time.Duration) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.delay = d
 }
 
-// LoseAnswers lets the next n writes take effect and then breaks the
-// connection instead of answering.
-func (k *knobs) LoseAnswers(n int) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.lose = n
+// LoseAnswers makes the next n writes take effect and then closes the connection
+// instead of answering.
+func (f *faults) LoseAnswers(n int) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.loseAnswers = n
 }
 
-// Calls returns the counts so far. Calls during an outage are counted too.
-func (k *knobs) Calls() Calls {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return k.calls
+// Calls returns the counts so far, calls during an outage included.
+func (f *faults) Calls() Calls {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	return f.calls
 }
 
-func (k *knobs) count(pick func(*Calls) *uint64) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	*pick(&k.calls)++
+func (f *faults) count(pick func(*Calls) *uint64) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	*pick(&f.calls)++
 }
 
-func (k *knobs) state() (down bool, delay time.Duration, change <-chan struct{}) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return k.down, k.delay, k.change
+func (f *faults) state() (down bool, delay time.Duration, outageBegan <-chan struct{}) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	return f.down, f.delay, f.outageBegan
 }
 
-func (k *knobs) losing() bool {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if k.lose == 0 {
+// loseAnswer reports whether to lose the answer of this write, and counts it.
+func (f *faults) loseAnswer() bool {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	if f.loseAnswers == 0 {
 		return false
 	}
-	k.lose--
+	f.loseAnswers--
 	return true
 }
--- a/internal/fake/objapi/objapi.go
+++ b/internal/fake/objapi/objapi.go
@@ -23,19 +23,19 @@
 	PathVMs    = "/vms"
 )
 
-// watchWait is how long the platform lets a watch wait before it answers with
-// no change.
-const watchWait = 10 * time.Second
+// maxWatchWait is how long a watch waits for a change before it is answered without
+// one.
+const maxWatchWait = 10 * time.Second
 
-// API is the stand-in. Serve its Handler anywhere.
+// API is the fake platform. Its Handler can be served by any HTTP server.
 //
 //	api := objapi.New()
 //	srv := httptest.NewServer(api.Handler())
 //	api.Outage(true)
 type API struct {
-	knobs
-	mem *memory
-	mux *http.ServeMux
+	faults
+	store *memory
+	mux   *http.ServeMux
 }
 
 // ListReply answers a List or a Watch.
@@ -50,10 +50,10 @@
 	Version object.Version `json:"version"`
 }
 
-// New makes an empty platform.
+// New creates a platform without objects and VMs.
 func New() *API {
-	a := &API{mem: newMemory(), mux: http.NewServeMux()}
-	a.change = make(chan struct{})
+	a := &API{store: newMemory(), mux: http.NewServeMux()}
+	a.outageBegan = make(chan struct{})
 	a.mux.HandleFunc("GET "+PathObject+"{name...}", a.get)
 	a.mux.HandleFunc("PUT "+PathObject+"{name...}", a.put)
 	a.mux.HandleFunc("DELETE "+PathObject+"{name...}", a.del)
@@ -67,20 +67,20 @@
 func (a *API) Handler() http.Handler { return http.HandlerFunc(a.serve) }
 
 // SetVM adds or changes a row of the VM list.
-func (a *API) SetVM(vm vmlist.VM) { a.mem.setVM(vm) }
+func (a *API) SetVM(vm vmlist.VM) { a.store.setVM(vm) }
 
-// RecordHistory remembers every value that an object is given from now on, with the moment
-// of each write. A checker reads there in which order the store decided, which
-// the writers themselves learn late, or never when an answer is lost.
-func (a *API) RecordHistory(name string) { a.mem.keep(name) }
+// RecordHistory records every value written to an object from now on, with the time of
+// the write. Tests read from it the order of the writes in the store, which the writers
+// themselves learn late, or never if an answer is lost.
+func (a *API) RecordHistory(name string) { a.store.recordHistory(name) }
 
-// History returns the values that were written since Keep, in their order.
-func (a *API) History(name string) []Written { return a.mem.written(name) }
+// History returns the values written since RecordHistory, in order.
+func (a *API) History(name string) []Written { return a.store.historyOf(name) }
 
 func (a *API) serve(w http.ResponseWriter, r *http.Request) {
 	down, delay, _ := a.state()
 	if r.URL.Path == PathVMs {
-		down = a.listDown()
+		down = a.isVMListDown()
 	}
 	if delay > 0 {
 		t := time.NewTimer(delay)
@@ -97,6 +97,7 @@
 	a.mux.ServeHTTP(w, r)
 }
 
+// countRefused counts a call that an outage cuts off; all reads count as Gets.
 func (a *API) countRefused(r *http.Request) {
 	switch r.Method {
 	case http.MethodPut:
@@ -110,18 +111,18 @@
 
 func (a *API) get(w http.ResponseWriter, r *http.Request) {
 	a.count(func(c *Calls) *uint64 { return &c.Gets })
-	o, err := a.mem.get(r.PathValue("name"))
-	if err == nil && unchanged(w, r, strconv.FormatUint(uint64(o.Version), 36)+"-"+hashOf(o.Value)) {
+	o, err := a.store.get(r.PathValue("name"))
+	if err == nil && notModified(w, r, strconv.FormatUint(uint64(o.Version), 36)+"-"+hashOf(o.Value)) {
 		return
 	}
-	a.answer(w, o, err)
+	a.writeReply(w, o, err)
 }
 
 func hashOf(b []byte) string { return strconv.FormatUint(xxhash.Sum64(b), 36) }
 
-// unchanged gives an answer its tag, and answers in a line whoever named that tag
-// as what is known (RFC 9110, 13.1.2).
-func unchanged(w http.ResponseWriter, r *http.Request, tag string) bool {
+// notModified sets the answer's ETag. If the request's If-None-Match names that tag, it
+// answers 304 and reports true (RFC 9110, 13.1.2).
+func notModified(w http.ResponseWriter, r *http.Request, tag string) bool {
 	tag = strconv.Quote(tag)
 	w.Header().Set(call.HeaderETag, tag)
 	if r.Header.Get(call.HeaderIfNone) != tag {
@@ -135,64 +136,64 @@
 	a.count(func(c *Calls) *uint64 { return &c.Puts })
 	value, err := io.ReadAll(http.MaxBytesReader(w, r.Body, object.MaxValue+1))
 	if err != nil {
-		a.answer(w, nil, kinds.Wrap(kinds.TooLarge, err, "read value"))
+		a.writeReply(w, nil, kinds.Wrap(kinds.TooLarge, err, "read value"))
 		return
 	}
-	v, err := a.mem.put(r.PathValue("name"), value, old(r))
-	if err == nil && a.losing() {
+	v, err := a.store.put(r.PathValue("name"), value, oldVersion(r))
+	if err == nil && a.loseAnswer() {
 		panic(http.ErrAbortHandler)
 	}
-	a.answer(w, PutReply{Version: v}, err)
+	a.writeReply(w, PutReply{Version: v}, err)
 }
 
 func (a *API) del(w http.ResponseWriter, r *http.Request) {
 	a.count(func(c *Calls) *uint64 { return &c.Deletes })
-	err := a.mem.del(r.PathValue("name"), old(r))
-	if err == nil && a.losing() {
+	err := a.store.del(r.PathValue("name"), oldVersion(r))
+	if err == nil && a.loseAnswer() {
 		panic(http.ErrAbortHandler)
 	}
-	a.answer(w, PutReply{}, err)
+	a.writeReply(w, PutReply{}, err)
 }
 
 func (a *API) list(w http.ResponseWriter, r *http.Request) {
 	a.count(func(c *Calls) *uint64 { return &c.Lists })
-	all, at := a.mem.list(r.FormValue("prefix"))
-	a.answer(w, ListReply{Objects: all, At: at}, nil)
+	all, at := a.store.list(r.FormValue("prefix"))
+	a.writeReply(w, ListReply{Objects: all, At: at}, nil)
 }
 
-// vms answers with the list, or in a line to who names it by its tag.
+// vms answers with the VM list, or with 304 if the caller has it already.
 func (a *API) vms(w http.ResponseWriter, r *http.Request) {
 	a.count(func(c *Calls) *uint64 { return &c.VMs })
-	all := a.mem.listVMs()
+	all := a.store.listVMs()
 	raw, err := json.Marshal(all)
 	if err != nil {
-		a.answer(w, all, err)
+		a.writeReply(w, all, err)
 		return
 	}
-	if unchanged(w, r, hashOf(raw)) {
+	if notModified(w, r, hashOf(raw)) {
 		return
 	}
-	a.answer(w, all, nil)
+	a.writeReply(w, all, nil)
 }
 
 func (a *API) watch(w http.ResponseWriter, r *http.Request) {
 	a.count(func(c *Calls) *uint64 { return &c.Watches })
-	_, _, change := a.state()
-	after := object.Cursor(number(r, "after"))
-	end := time.NewTimer(watchWait)
+	_, _, outageBegan := a.state()
+	after := object.Cursor(uintParam(r, "after"))
+	end := time.NewTimer(maxWatchWait)
 	defer end.Stop()
 	for {
-		found, at, wake, err := a.mem.since(r.FormValue("prefix"), after)
+		found, at, changed, err := a.store.since(r.FormValue("prefix"), after)
 		if err != nil || len(found) > 0 {
-			a.answer(w, ListReply{Changes: found, At: at}, err)
+			a.writeReply(w, ListReply{Changes: found, At: at}, err)
 			return
 		}
 		select {
-		case <-wake:
+		case <-changed:
 		case <-end.C:
-			a.answer(w, ListReply{At: at}, nil)
+			a.writeReply(w, ListReply{At: at}, nil)
 			return
-		case <-change:
+		case <-outageBegan:
 			panic(http.ErrAbortHandler)
 		case <-r.Context().Done():
 			return
@@ -200,7 +201,7 @@
 	}
 }
 
-func (a *API) answer(w http.ResponseWriter, v any, err error) {
+func (a *API) writeReply(w http.ResponseWriter, v any, err error) {
 	w.Header().Set("Content-Type", "application/json")
 	if err != nil {
 		w.WriteHeader(kinds.Of(err).Answer().Status)
@@ -211,9 +212,11 @@
 	}
 }
 
-func old(r *http.Request) object.Version { return object.Version(number(r, "old")) }
+// oldVersion returns the version that a write expects to replace.
+func oldVersion(r *http.Request) object.Version { return object.Version(uintParam(r, "old")) }
 
-func number(r *http.Request, name string) uint64 {
+// uintParam returns a numeric query parameter, or 0 if it is missing or malformed.
+func uintParam(r *http.Request, name string) uint64 {
 	n, err := strconv.ParseUint(r.URL.Query().Get(name), 10, 64)
 	if err != nil {
 		return 0
--- a/internal/fake/objapi/store.go
+++ b/internal/fake/objapi/store.go
@@ -1,10 +1,10 @@
-// Package objapi is a small stand-in for the platform: the object API over HTTP
-// and JSON, with versions, conditional updates and watches, and the list of
-// VMs. It lives in memory and is made to misbehave on demand: outages, delay,
-// and answers that are lost after the write took effect.
+// Package objapi is a fake platform over HTTP and JSON: the object API, with versions,
+// conditional updates and watches, and the list of VMs. It keeps everything in memory.
+// Tests can make it fail: outages, delay, and answers that are lost after the write
+// took effect.
 //
-// The protocol is the stand-in's own. Another platform needs another adapter in
-// place of plat/objcli and plat/vmcli, nothing more.
+// The protocol is specific to this fake. Another platform only needs other adapters in
+// place of plat/objcli and plat/vmcli.
 package objapi
 
 import (
@@ -19,23 +19,23 @@
 	"hawthornfield.org/hawthornfield/internal/plat/vmlist"
 )
 
-// keptChanges bounds the history that a watch can resume from. A watcher that
-// fell further behind must list again, as on the real platform.
-const keptChanges = 4096
+// maxChanges bounds the changes that a watch can resume from. A watcher that is further
+// behind must list again, as on the real platform.
+const maxChanges = 4096
 
-// memory is the state of the store, apart from how it is served.
+// memory is the state of the platform, without the HTTP side.
 type memory struct {
-	mu      sync.Mutex
-	objects map[string]object.Object
-	last    object.Version // versions rise over all objects, also after a delete
-	log     []object.Change
-	dropped object.Cursor // changes up to here are forgotten
-	wake    chan struct{} // closed and replaced at each change
-	vms     map[ident.VM]vmlist.VM
-	kept    map[string][]Written
+	mu           sync.Mutex
+	objects      map[string]object.Object
+	lastVersion  object.Version // shared by all objects; rises with every write and delete
+	changes      []object.Change
+	droppedUntil object.Cursor // changes up to this cursor are discarded
+	changed      chan struct{} // closed and replaced at each change
+	vms          map[ident.VM]vmlist.VM
+	history      map[string][]Written
 }
 
-// Written is one value that an object had, and since when.
+// Written is one value of an object and the time at which it was written.
 type Written struct {
 	object.Object
 	At time.Time
@@ -44,24 +44,24 @@
 func newMemory() *memory {
 	return &memory{
 		objects: map[string]object.Object{},
-		wake:    make(chan struct{}),
+		changed: make(chan struct{}),
 		vms:     map[ident.VM]vmlist.VM{},
-		kept:    map[string][]Written{},
+		history: map[string][]Written{},
 	}
 }
 
-func (m *memory) keep(name string) {
+func (m *memory) recordHistory(name string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.kept[name] == nil {
-		m.kept[name] = []Written{}
+	if m.history[name] == nil {
+		m.history[name] = []Written{}
 	}
 }
 
-func (m *memory) written(name string) []Written {
+func (m *memory) historyOf(name string) []Written {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return slices.Clone(m.kept[name])
+	return slices.Clone(m.history[name])
 }
 
 func (m *memory) get(name string) (object.Object, error) {
@@ -83,14 +83,15 @@
 	if old != object.AnyVersion && m.objects[name].Version != old {
 		return 0, kinds.New(kinds.Conflict, name)
 	}
-	m.last++
-	o := object.Object{Name: name, Version: m.last, Value: slices.Clone(value)}
+	m.lastVersion++
+	o := object.Object{Name: name, Version: m.lastVersion, Value: slices.Clone(value)}
 	m.objects[name] = o
-	if past, ok := m.kept[name]; ok {
-		// Before any reader can see the value: whoever acts on it does so later.
-		m.kept[name] = append(past, Written{o, time.Now()})
+	if past, ok := m.history[name]; ok {
+		// The time is taken before any reader can see the value, so that it is not later
+		// than any action based on the value.
+		m.history[name] = append(past, Written{o, time.Now()})
 	}
-	m.note(o)
+	m.appendChange(o)
 	return o.Version, nil
 }
 
@@ -104,22 +105,22 @@
 	if old != object.AnyVersion && o.Version != old {
 		return kinds.New(kinds.Conflict, name)
 	}
-	m.last++
+	m.lastVersion++
 	delete(m.objects, name)
-	m.note(object.Object{Name: name})
+	m.appendChange(object.Object{Name: name})
 	return nil
 }
 
-// note appends to the history and wakes the watches. The caller holds mu. The
-// cursor of a change is the store-wide version that it made.
-func (m *memory) note(o object.Object) {
-	m.log = append(m.log, object.Change{Object: o, At: object.Cursor(m.last)})
-	if over := len(m.log) - keptChanges; over > 0 {
-		m.dropped = m.log[over-1].At
-		m.log = slices.Clone(m.log[over:])
+// appendChange appends to the changes and wakes the watches. The cursor of a change is
+// the store-wide version that it created. The caller holds mu.
+func (m *memory) appendChange(o object.Object) {
+	m.changes = append(m.changes, object.Change{Object: o, At: object.Cursor(m.lastVersion)})
+	if over := len(m.changes) - maxChanges; over > 0 {
+		m.droppedUntil = m.changes[over-1].At
+		m.changes = slices.Clone(m.changes[over:])
 	}
-	close(m.wake)
-	m.wake = make(chan struct{})
+	close(m.changed)
+	m.changed = make(chan struct{})
 }
 
 func (m *memory) list(prefix string) ([]object.Object, object.Cursor) {
@@ -132,24 +133,24 @@
 		}
 	}
 	slices.SortFunc(all, func(a, b object.Object) int { return strings.Compare(a.Name, b.Name) })
-	return all, object.Cursor(m.last)
+	return all, object.Cursor(m.lastVersion)
 }
 
-// since returns the changes after a cursor and a channel that closes at the
-// next change.
+// since returns the changes under a prefix after a cursor, the cursor to continue from,
+// and a channel that is closed at the next change.
 func (m *memory) since(prefix string, after object.Cursor) ([]object.Change, object.Cursor, <-chan struct{}, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if after < m.dropped {
+	if after < m.droppedUntil {
 		return nil, 0, nil, kinds.New(kinds.NotFound, "cursor too old")
 	}
 	var found []object.Change
-	for _, c := range m.log {
+	for _, c := range m.changes {
 		if c.At > after && strings.HasPrefix(c.Name, prefix) {
 			found = append(found, c)
 		}
 	}
-	return found, max(after, object.Cursor(m.last)), m.wake, nil
+	return found, max(after, object.Cursor(m.lastVersion)), m.changed, nil
 }
 
 func (m *memory) setVM(vm vmlist.VM) {
