--- a/internal/fake/objmem/objmem.go
+++ b/internal/fake/objmem/objmem.go
@@ -1,7 +1,7 @@
-// Package objmem is an object API in memory, for tests that run on the fake
-// clock: a test decides for every single call whether it is slow, refused, or
-// loses its answer after the write took effect. It knows no network, so a test
-// bubble with it can become idle; fake/objapi is the stand-in over HTTP.
+// Package objmem is an object store in memory, for tests that run under
+// testing/synctest: a test decides for every single call whether it is slow, refused,
+// or loses its answer after the write took effect. It uses no network, so the
+// goroutines of a synctest bubble can become idle; fake/objapi is the fake over HTTP.
 package objmem
 
 import (
@@ -15,10 +15,10 @@
 	"hawthornfield.org/hawthornfield/internal/plat/object"
 )
 
-// Op names a call.
+// Op is the kind of a call.
 type Op string
 
-// The calls.
+// The kinds of calls.
 const (
 	Get    Op = "get"
 	Put    Op = "put"
@@ -27,7 +27,7 @@
 	Watch  Op = "watch"
 )
 
-// Fault is what happens to one call. The zero value is a call that works.
+// Fault describes how one call fails. The zero value is a call that succeeds.
 type Fault struct {
 	Delay      time.Duration // before the call takes effect
 	Down       bool          // refused, without effect
@@ -35,34 +35,35 @@
 	LoseWrite  bool          // a write has no effect and is answered with Ambiguous
 }
 
-// Usage counts what callers asked for.
+// Usage counts calls and bytes.
 type Usage struct {
-	Reads, Writes uint64 // calls, refused ones included
+	Reads, Writes uint64 // calls, including refused ones
 	In, Out       uint64 // bytes of values written and read
 }
 
-// Store implements [object.Store]. Make one with New.
+// Store implements [object.Store]. Create one with New.
 type Store struct {
-	mu      sync.Mutex
-	objects map[string]object.Object
-	log     []object.Change
-	wake    chan struct{}
-	fault   func(op Op, name string) Fault
-	usage   Usage
+	mu       sync.Mutex
+	objects  map[string]object.Object
+	changes  []object.Change
+	changed  chan struct{}
+	faultFor func(op Op, name string) Fault
+	usage    Usage
 }
 
 var _ object.Store = (*Store)(nil)
 
-// New makes an empty store.
+// New creates an empty store.
 func New() *Store {
-	return &Store{objects: map[string]object.Object{}, wake: make(chan struct{})}
+	return &Store{objects: map[string]object.Object{}, changed: make(chan struct{})}
 }
 
-// SetFault decides the fault of every later call; nil means that all work.
+// SetFault sets the function that chooses the fault of every later call; with nil all
+// calls succeed.
 func (s *Store) SetFault(f func(op Op, name string) Fault) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.fault = f
+	s.faultFor = f
 }
 
 // SetDown begins or ends an outage.
@@ -81,8 +82,8 @@
 	return s.usage
 }
 
-// enter counts the call and applies what comes before its effect.
-func (s *Store) enter(ctx context.Context, op Op, name string) (Fault, error) {
+// begin counts a call, chooses its fault, and applies the delay and the refusal.
+func (s *Store) begin(ctx context.Context, op Op, name string) (Fault, error) {
 	s.mu.Lock()
 	if op == Put || op == Delete {
 		s.usage.Writes++
@@ -90,8 +91,8 @@
 		s.usage.Reads++
 	}
 	var f Fault
-	if s.fault != nil {
-		f = s.fault(op, name)
+	if s.faultFor != nil {
+		f = s.faultFor(op, name)
 	}
 	s.mu.Unlock()
 	if f.Delay > 0 {
@@ -111,7 +112,7 @@
 
 // Get reads an object.
 func (s *Store) Get(ctx context.Context, name string) (object.Object, error) {
-	if _, err := s.enter(ctx, Get, name); err != nil {
+	if _, err := s.begin(ctx, Get, name); err != nil {
 		return object.Object{}, err
 	}
 	s.mu.Lock()
@@ -124,9 +125,9 @@
 	return o, nil
 }
 
-// Put writes an object under the fault chosen for the call.
+// Put writes an object, subject to the fault chosen for the call.
 func (s *Store) Put(ctx context.Context, name string, value []byte, old object.Version) (object.Version, error) {
-	f, err := s.enter(ctx, Put, name)
+	f, err := s.begin(ctx, Put, name)
 	if err != nil {
 		return 0, err
 	}
@@ -153,14 +154,14 @@
 	}
 	o := object.Object{Name: name, Version: now.Version + 1, Value: slices.Clone(value)}
 	s.objects[name] = o
-	s.note(o)
+	s.appendChange(o)
 	return o.Version, nil
 }
 
-// Delete removes an object. Its versions start again at one afterwards, which
-// the platform does not exclude.
+// Delete removes an object. If it is written again, its versions start at 1, which the
+// platform allows.
 func (s *Store) Delete(ctx context.Context, name string, old object.Version) error {
-	f, err := s.enter(ctx, Delete, name)
+	f, err := s.begin(ctx, Delete, name)
 	if err != nil {
 		return err
 	}
@@ -176,22 +177,23 @@
 		return kinds.New(kinds.Conflict, name)
 	}
 	delete(s.objects, name)
-	s.note(object.Object{Name: name})
+	s.appendChange(object.Object{Name: name})
 	if f.LoseAnswer {
 		return kinds.New(kinds.Ambiguous, "delete "+name)
 	}
 	return nil
 }
 
-func (s *Store) note(o object.Object) {
-	s.log = append(s.log, object.Change{Object: o, At: object.Cursor(len(s.log) + 1)})
-	close(s.wake)
-	s.wake = make(chan struct{})
+// appendChange appends to the changes and wakes the watches. The caller holds mu.
+func (s *Store) appendChange(o object.Object) {
+	s.changes = append(s.changes, object.Change{Object: o, At: object.Cursor(len(s.changes) + 1)})
+	close(s.changed)
+	s.changed = make(chan struct{})
 }
 
 // List returns the objects under a prefix, in name order.
 func (s *Store) List(ctx context.Context, prefix string) ([]object.Object, object.Cursor, error) {
-	if _, err := s.enter(ctx, List, prefix); err != nil {
+	if _, err := s.begin(ctx, List, prefix); err != nil {
 		return nil, 0, err
 	}
 	s.mu.Lock()
@@ -204,21 +206,21 @@
 		}
 	}
 	slices.SortFunc(all, func(a, b object.Object) int { return strings.Compare(a.Name, b.Name) })
-	return all, object.Cursor(len(s.log)), nil
+	return all, object.Cursor(len(s.changes)), nil
 }
 
-// Watch waits for a change under a prefix, or for the end of ctx.
+// Watch waits for changes under a prefix after a cursor, or for the end of ctx.
 func (s *Store) Watch(ctx context.Context, prefix string, after object.Cursor) ([]object.Change, object.Cursor, error) {
-	if _, err := s.enter(ctx, Watch, prefix); err != nil {
+	if _, err := s.begin(ctx, Watch, prefix); err != nil {
 		return nil, after, err
 	}
 	for {
-		found, at, wake := s.since(prefix, after)
+		found, at, changed := s.since(prefix, after)
 		if len(found) > 0 {
 			return found, at, nil
 		}
 		select {
-		case <-wake:
+		case <-changed:
 		case <-ctx.Done():
 			return nil, after, kinds.Wrap(kinds.Unavailable, ctx.Err(), "watch "+prefix)
 		}
@@ -229,10 +231,10 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var found []object.Change
-	for _, c := range s.log[min(int(after), len(s.log)):] {
+	for _, c := range s.changes[min(int(after), len(s.changes)):] {
 		if strings.HasPrefix(c.Name, prefix) {
 			found = append(found, c)
 		}
 	}
-	return found, object.Cursor(len(s.log)), s.wake
+	return found, object.Cursor(len(s.changes)), s.changed
 }
