--- a/internal/fake/pipes/pipes.go
+++ b/internal/fake/pipes/pipes.go
@@ -1,7 +1,6 @@
-// Package pipes is a network in memory: listeners and dialled connections that
-// are net.Pipe pairs. A test that runs real HTTP servers and clients over it
-// can stand inside testing/synctest, where time is the test's own and every
-// goroutine must have ended before the test does.
+// Package pipes is a network in memory whose connections are net.Pipe pairs. It allows
+// tests to run real HTTP servers and clients inside a testing/synctest bubble, where
+// time is simulated and every goroutine must end before the test does.
 package pipes
 
 import (
@@ -11,13 +10,13 @@
 	"sync"
 )
 
-// Net is one such network. The zero value is empty and ready.
+// Net is a network. The zero value is ready to use and has no listeners.
 type Net struct {
 	mu        sync.Mutex
 	listeners map[netip.AddrPort]*Listener
 }
 
-// Listen opens an address. It replaces a listener that was closed.
+// Listen opens an address. It replaces any earlier listener there.
 func (n *Net) Listen(at netip.AddrPort) *Listener {
 	l := &Listener{at: at, conns: make(chan net.Conn), done: make(chan struct{})}
 	n.mu.Lock()
@@ -29,7 +28,7 @@
 	return l
 }
 
-// Dial connects to an address that is listened on.
+// Dial connects to an address that has a listener.
 func (n *Net) Dial(ctx context.Context, to netip.AddrPort) (net.Conn, error) {
 	n.mu.Lock()
 	l := n.listeners[to]
@@ -48,7 +47,7 @@
 	}
 }
 
-// DialText is Dial in the form that net/http's Transport takes.
+// DialText is Dial with the signature of the DialContext field of http.Transport.
 func (n *Net) DialText(ctx context.Context, _, to string) (net.Conn, error) {
 	at, err := netip.ParseAddrPort(to)
 	if err != nil {
@@ -57,7 +56,8 @@
 	return n.Dial(ctx, at)
 }
 
-// conn names an address for its far end; a pipe has none that parses.
+// conn is the accepted end of a connection. It returns a parseable address, which the
+// pipe itself lacks.
 type conn struct {
 	net.Conn
 	at netip.AddrPort
@@ -84,7 +84,7 @@
 	}
 }
 
-// Close closes the address. Connections that were accepted stay.
+// Close closes the address. Accepted connections stay open.
 func (l *Listener) Close() error {
 	l.once.Do(func() { close(l.done) })
 	return nil
