--- a/internal/fake/seeds/seeds.go
+++ b/internal/fake/seeds/seeds.go
@@ -1,6 +1,5 @@
-// Package seeds runs property tests under a seed that never changes by itself,
-// so that CI gives the same verdict on every run. Fresh seeds are tried by a
-// command of their own:
+// Package seeds runs property tests with a fixed seed, so that CI gives the same result
+// on every run. Other seeds can be tried with a separate command:
 //
 //	HAWTHORN_SEED=random HAWTHORN_CHECKS=20000 go test ./internal/owner/...
 package seeds
@@ -16,13 +15,13 @@
 	"pgregory.net/rapid"
 )
 
-// The environment variables that a run with other seeds sets.
+// Environment variables that override the defaults.
 const (
 	EnvSeed   = "HAWTHORN_SEED"   // a number, or "random"
-	EnvChecks = "HAWTHORN_CHECKS" // histories per property
+	EnvChecks = "HAWTHORN_CHECKS" // generated cases per property
 )
 
-// Defaults that CI uses.
+// Defaults, used by CI.
 const (
 	DefaultSeed   = "20261202"
 	DefaultChecks = "200"
@@ -30,6 +29,7 @@
 
 var once sync.Once
 
+// setup sets the flags of rapid from the environment or the defaults.
 func setup(t testing.TB) {
 	seed := envOr(EnvSeed, DefaultSeed)
 	if seed == "random" {
@@ -53,8 +53,8 @@
 	return fallback
 }
 
-// Check runs prop as rapid.Check does, under the fixed seed, and logs the seed
-// and the number of histories.
+// Check runs prop with rapid.Check under the configured seed, and logs the seed and the
+// number of cases.
 func Check(t *testing.T, prop func(*rapid.T)) {
 	t.Helper()
 	once.Do(func() { setup(t) })
