--- a/internal/load/bench/naive.go
+++ b/internal/load/bench/naive.go
@@ -2,140 +2,144 @@
 
 import "time"
 
-// naive is what one gets without thinking about load: servers in turn (or the
-// key's owner), a connection pool with an unbounded queue in order of arrival,
-// three tries with a third of the deadline each, at once after one another. It
-// sends no cancellation: the server works on for nobody.
-type naive struct {
-	w     *world
-	turn  []int
-	pools [][]*pool
-	first int
-	more  int
-	links links
+// naivePolicy is the baseline without any load management: round robin over the servers
+// (or the key's owner), a connection pool with an unbounded FIFO queue, and up to three
+// attempts with a third of the deadline each and no delay between them. It sends no
+// cancellation, so a server completes requests whose caller has given up.
+type naivePolicy struct {
+	w             *world
+	lastServer    []int
+	pools         [][]*pool
+	firstAttempts int
+	extraAttempts int
+	conns         connections
 }
 
+// pool holds the connections of one VM to one server, and the attempts waiting for one.
 type pool struct {
-	using int
-	most  int
-	queue []*try
+	inUse int
+	limit int
+	queue []*naiveAttempt
 }
 
-type try struct {
+// naiveAttempt is one attempt of a request, queued or sent.
+type naiveAttempt struct {
 	req     *request
-	n       int
+	number  int
 	server  int
 	sent    bool
-	over    bool
+	done    bool
 	attempt *attempt
 }
 
 const (
-	naiveTries = 3
-	naiveIdle  = 2 // idle connections kept for a server, as HTTP clients do unasked
+	naiveMaxAttempts = 3
+	naiveMaxIdle     = 2 // idle connections kept for a server, the default of common HTTP clients
 )
 
-func newNaive(w *world) *naive {
-	s := w.scene.Service
-	n := &naive{w: w, turn: make([]int, s.VMs), links: newLinks(s)}
+func newNaivePolicy(w *world) *naivePolicy {
+	s := w.scenario.Service
+	n := &naivePolicy{w: w, lastServer: make([]int, s.VMs), conns: newConnections(s)}
 	for range s.VMs {
 		var row []*pool
 		for range s.Servers {
-			row = append(row, &pool{most: max(s.Conns/s.VMs, 1)})
+			row = append(row, &pool{limit: max(s.Conns/s.VMs, 1)})
 		}
 		n.pools = append(n.pools, row)
 	}
 	return n
 }
 
-func (n *naive) report(int, int, time.Duration) {}
+func (n *naivePolicy) report(int, int, time.Duration) {}
 
-func (n *naive) extra() (first, more int) { return n.first, n.more }
+func (n *naivePolicy) attemptCounts() (first, extra int) { return n.firstAttempts, n.extraAttempts }
 
-func (n *naive) arrive(r *request) {
+func (n *naivePolicy) arrive(r *request) {
 	n.attempt(r, 0)
-	n.w.at(r.by, func() {
+	n.w.at(r.deadline, func() {
 		if !r.ended {
 			n.w.end(r, Unknown, 0)
 		}
 	})
 }
 
-func (n *naive) attempt(r *request, count int) {
-	t := &try{req: r, n: count, server: r.owner}
+func (n *naivePolicy) attempt(r *request, number int) {
+	a := &naiveAttempt{req: r, number: number, server: r.owner}
 	if r.owner < 0 {
-		n.turn[r.vm]++
-		t.server = n.turn[r.vm] % len(n.w.origins)
+		n.lastServer[r.vm]++
+		a.server = n.lastServer[r.vm] % len(n.w.origins)
 	}
-	p := n.pools[r.vm][t.server]
-	p.queue = append(p.queue, t)
-	n.next(r.vm, t.server)
-	n.w.after((r.by-r.asked)/naiveTries, func() { n.timeout(t) })
+	p := n.pools[r.vm][a.server]
+	p.queue = append(p.queue, a)
+	n.startQueued(r.vm, a.server)
+	n.w.after((r.deadline-r.askedAt)/naiveMaxAttempts, func() { n.handleTimeout(a) })
 }
 
-func (n *naive) next(vm, server int) {
+// startQueued sends queued attempts while the pool has free connections.
+func (n *naivePolicy) startQueued(vm, server int) {
 	p := n.pools[vm][server]
-	for p.using < p.most && len(p.queue) > 0 {
-		t := p.queue[0]
+	for p.inUse < p.limit && len(p.queue) > 0 {
+		a := p.queue[0]
 		p.queue = p.queue[1:]
-		if t.over {
+		if a.done {
 			continue
 		}
-		p.using++
-		n.send(t)
+		p.inUse++
+		n.send(a)
 	}
 }
 
-func (n *naive) send(t *try) {
-	t.sent = true
-	if t.n == 0 {
-		n.first++
+func (n *naivePolicy) send(a *naiveAttempt) {
+	a.sent = true
+	if a.number == 0 {
+		n.firstAttempts++
 	} else {
-		n.more++
+		n.extraAttempts++
 	}
-	t.attempt = &attempt{req: t.req}
-	t.attempt.left = func(refused bool) { n.answered(t, refused) }
-	wait := hop + n.links.open(t.req.vm, t.server, n.w.now)
-	n.w.after(wait, func() { n.w.origins[t.server].arrive(t.attempt) })
+	a.attempt = &attempt{req: a.req}
+	a.attempt.onAnswer = func(refused bool) { n.handleAnswer(a, refused) }
+	wait := hopDelay + n.conns.open(a.req.vm, a.server, n.w.now)
+	n.w.after(wait, func() { n.w.origins[a.server].arrive(a.attempt) })
 }
 
-func (n *naive) answered(t *try, refused bool) {
-	if t.over {
+func (n *naivePolicy) handleAnswer(a *naiveAttempt, refused bool) {
+	if a.done {
 		return
 	}
-	t.over = true
-	n.release(t, true)
+	a.done = true
+	n.release(a, true)
 	switch {
-	case t.req.ended:
+	case a.req.ended:
 	case !refused:
-		n.w.end(t.req, Served, 0)
-	case t.n+1 < naiveTries:
-		n.attempt(t.req, t.n+1)
+		n.w.end(a.req, Served, 0)
+	case a.number+1 < naiveMaxAttempts:
+		n.attempt(a.req, a.number+1)
 	default:
-		n.w.end(t.req, Refused, 0)
+		n.w.end(a.req, Refused, 0)
 	}
 }
 
-func (n *naive) release(t *try, whole bool) {
-	n.links.free(t.req.vm, t.server, naiveIdle, whole)
-	n.pools[t.req.vm][t.server].using--
-	n.next(t.req.vm, t.server)
+func (n *naivePolicy) release(a *naiveAttempt, reusable bool) {
+	n.conns.release(a.req.vm, a.server, naiveMaxIdle, reusable)
+	n.pools[a.req.vm][a.server].inUse--
+	n.startQueued(a.req.vm, a.server)
 }
 
-// timeout gives an attempt up and tries at once again, if that is safe.
-func (n *naive) timeout(t *try) {
-	if t.over || t.req.ended && !t.sent {
-		t.over = true
+// handleTimeout gives up an attempt and retries at once, if that is safe: an attempt
+// that was sent is only retried if the service is idempotent.
+func (n *naivePolicy) handleTimeout(a *naiveAttempt) {
+	if a.done || a.req.ended && !a.sent {
+		a.done = true
 		return
 	}
-	if t.sent && !n.w.scene.Service.Idempotent {
+	if a.sent && !n.w.scenario.Service.Idempotent {
 		return // waits for its answer until the caller's deadline
 	}
-	t.over = true
-	if t.sent {
-		n.release(t, false)
+	a.done = true
+	if a.sent {
+		n.release(a, false)
 	}
-	if !t.req.ended && t.n+1 < naiveTries {
-		n.attempt(t.req, t.n+1)
+	if !a.req.ended && a.number+1 < naiveMaxAttempts {
+		n.attempt(a.req, a.number+1)
 	}
 }
--- a/internal/load/bench/origin.go
+++ b/internal/load/bench/origin.go
@@ -6,85 +6,86 @@
 	"time"
 )
 
-// Figures of the fake servers and the network between.
+// Parameters of the fake servers and the network.
 const (
-	hop       = 750 * time.Microsecond // one way between data centres
-	openTime  = time.Millisecond       // for a new connection
-	coldTimes = 4.0                    // a cold server's first answers take this much longer
-	coldCount = 100.0                  // answers over which that fades
-	resume    = time.Millisecond       // after a freeze, until work goes on
-	shedAt    = 8                      // a queue this many times the slots is shed
+	hopDelay        = 750 * time.Microsecond // one way between data centres
+	connectDelay    = time.Millisecond       // to open a connection
+	coldFactor      = 4.0                    // extra work of a cold server's first answer, in multiples of the normal work
+	coldAnswers     = 100.0                  // answers after which the extra work has decayed to 1/e
+	resumeDelay     = time.Millisecond       // from the end of a freeze until work continues
+	shedQueueFactor = 8                      // a server refuses requests when its queue is this many times its slots
 )
 
 // attempt is one request on one server.
 type attempt struct {
-	req     *request
-	running bool
-	over    bool               // answered, or cancelled
-	left    func(refused bool) // called once, unless cancelled
+	req      *request
+	running  bool
+	done     bool               // answered or cancelled
+	onAnswer func(refused bool) // called once, unless cancelled
 }
 
-// origin is a fake backend server: slots, and a queue in order of arrival.
+// origin is a fake backend server with slots and a FIFO queue.
 type origin struct {
-	clock  *clock
-	slots  int
-	busy   int
-	queue  []*attempt
-	slow   float64
-	frozen bool
-	fails  bool
-	stuck  []*attempt
-	cold   bool
-	served int
-	work   time.Duration // slot time given
-	told   int           // load at the last report
+	clock          *clock
+	slots          int
+	busy           int
+	queue          []*attempt
+	slowFactor     float64
+	frozen         bool
+	failing        bool
+	finishedFrozen []*attempt
+	cold           bool
+	served         int
+	busyTime       time.Duration // total time for which slots were occupied
+	lastReport     int           // load at the previous report
 }
 
 func (o *origin) load() int { return o.busy + len(o.queue) }
 
 func (o *origin) arrive(a *attempt) {
-	if a.over {
+	if a.done {
 		return
 	}
-	if o.fails || len(o.queue) >= shedAt*o.slots {
+	if o.failing || len(o.queue) >= shedQueueFactor*o.slots {
 		o.answer(a, true)
 		return
 	}
 	o.queue = append(o.queue, a)
-	o.next()
+	o.startQueued()
 }
 
 func (o *origin) answer(a *attempt, refused bool) {
-	o.clock.after(hop, func() {
-		if !a.over {
-			a.over = true
-			a.left(refused)
+	o.clock.after(hopDelay, func() {
+		if !a.done {
+			a.done = true
+			a.onAnswer(refused)
 		}
 	})
 }
 
-func (o *origin) next() {
+func (o *origin) startQueued() {
 	for o.busy < o.slots && len(o.queue) > 0 && !o.frozen {
 		a := o.queue[0]
 		o.queue = o.queue[1:]
-		if a.over {
+		if a.done {
 			continue
 		}
 		o.busy++
 		a.running = true
-		took := seconds(a.req.demand.Seconds() * o.factor())
-		o.work += took
+		took := seconds(a.req.work.Seconds() * o.workFactor())
+		o.busyTime += took
 		o.clock.after(took, func() { o.finish(a) })
 	}
 }
 
-func (o *origin) factor() float64 {
+// workFactor returns by how much a slow or cold server stretches the work of a request.
+func (o *origin) workFactor() float64 {
 	f := 1.0
-	if o.slow > 0 {
-		f = o.slow
+	if o.slowFactor > 0 {
+		f = o.slowFactor
 	}
 	if o.cold {
-		f *= 1 + coldTimes*math.Exp(-float64(o.served)/coldCount)
+		f *= 1 + coldFactor*math.Exp(-float64(o.served)/coldAnswers)
 	}
 	return f
 }
@@ -94,26 +95,27 @@
 		return // cancelled: the slot was freed then
 	}
 	if o.frozen {
-		o.stuck = append(o.stuck, a)
+		o.finishedFrozen = append(o.finishedFrozen, a)
 		return
 	}
 	a.running = false
 	o.busy--
 	o.served++
-	o.next()
+	o.startQueued()
 	o.answer(a, false)
 }
 
-// cancel stops work on an attempt whose answer is not wanted any more.
+// cancel stops an attempt whose answer is no longer needed, freeing its slot or queue
+// place.
 func (o *origin) cancel(a *attempt) {
-	if a.over {
+	if a.done {
 		return
 	}
-	a.over = true
+	a.done = true
 	if a.running && !o.frozen {
 		a.running = false
 		o.busy--
-		o.next()
+		o.startQueued()
 		return
 	}
 	if i := slices.Index(o.queue, a); i >= 0 {
@@ -123,12 +125,13 @@
 
 func (o *origin) freeze() { o.frozen = true }
 
-// thaw goes on as if nothing had happened.
+// thaw ends a freeze: requests that would have finished during it finish after
+// resumeDelay, and queued ones start.
 func (o *origin) thaw() {
 	o.frozen = false
-	for _, a := range o.stuck {
-		o.clock.after(resume, func() { o.finish(a) })
+	for _, a := range o.finishedFrozen {
+		o.clock.after(resumeDelay, func() { o.finish(a) })
 	}
-	o.stuck = nil
-	o.next()
+	o.finishedFrozen = nil
+	o.startQueued()
 }
--- a/internal/load/bench/result.go
+++ b/internal/load/bench/result.go
@@ -6,113 +6,115 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Group tells apart whose requests are counted.
+// Group classifies requests for the statistics.
 type Group uint8
 
-// The groups. Other is everybody who is not in another one.
+// The groups. Other contains all requests of no other group.
 const (
 	Other     Group = iota
-	Hot             // of the hot caller, or for the hot key
+	Hot             // from the hot caller or for the hot key
 	Long            // uploads
 	Neighbour       // for other keys of the hot key's owner
-	groups
+	groupCount
 )
 
 // String names the group.
-func (g Group) String() string { return [groups]string{"others", "hot", "long", "neighbours"}[g] }
+func (g Group) String() string { return [groupCount]string{"others", "hot", "long", "neighbours"}[g] }
 
-// Ending is what became of a request.
-type Ending uint8
+// Outcome is how a request ended.
+type Outcome uint8
 
-// The endings.
+// The outcomes.
 const (
-	Served  Ending = iota
-	Refused        // not run
-	Unknown        // sent, and no answer by the deadline
-	endings
+	Served  Outcome = iota
+	Refused         // not run
+	Unknown         // sent, but not answered by the deadline
+	outcomeCount
 )
 
-// tally is what one group received in one window.
-type tally struct {
-	asked   int
-	ends    [endings]int
-	inTime  int
-	held    int                     // refused later than prompt
-	latency *hdrhistogram.Histogram // of answers, microseconds
-	refusal *hdrhistogram.Histogram // from asking to the refusal
+// groupStats counts the requests of one group in one window.
+type groupStats struct {
+	asked         int
+	outcomes      [outcomeCount]int
+	inTime        int
+	refusedLate   int                     // refused later than refusalTarget
+	latencies     *hdrhistogram.Histogram // until the answer, in microseconds
+	refusalDelays *hdrhistogram.Histogram // until the refusal, in microseconds
 }
 
 const (
-	longest = int64(10 * time.Minute / time.Microsecond)
-	digits  = 3
-	// prompt is the target for the time until a refusal.
-	prompt = 10 * time.Millisecond
+	maxLatencyMicros  = int64(10 * time.Minute / time.Microsecond)
+	significantDigits = 3
+	// refusalTarget is the target for the time from a request to its refusal.
+	refusalTarget = 10 * time.Millisecond
 )
 
+// results collects the statistics of one run.
 type results struct {
-	scene   Scene
-	marks   []time.Duration
-	windows [][groups]tally
+	scenario   Scene
+	windowEnds []time.Duration
+	windows    [][groupCount]groupStats
 }
 
 func newResults(sc Scene) *results {
-	marks := sc.Marks
+	marks := sc.WindowEnds
 	if len(marks) == 0 {
-		marks = []time.Duration{sc.Last}
+		marks = []time.Duration{sc.End}
 	}
-	res := &results{scene: sc, marks: marks, windows: make([][groups]tally, len(marks))}
+	res := &results{scenario: sc, windowEnds: marks, windows: make([][groupCount]groupStats, len(marks))}
 	for i := range res.windows {
 		for g := range res.windows[i] {
-			res.windows[i][g].latency = hdrhistogram.New(1, longest, digits)
-			res.windows[i][g].refusal = hdrhistogram.New(1, longest, digits)
+			res.windows[i][g].latencies = hdrhistogram.New(1, maxLatencyMicros, significantDigits)
+			res.windows[i][g].refusalDelays = hdrhistogram.New(1, maxLatencyMicros, significantDigits)
 		}
 	}
 	return res
 }
 
-// of returns the tally that a request counts in, nil before measuring began.
-func (res *results) of(r *request) *tally {
-	if r.asked < res.scene.Warm {
+// statsOf returns the statistics that a request counts in, or nil if it was made during
+// the warm-up or after the last window.
+func (res *results) statsOf(r *request) *groupStats {
+	if r.askedAt < res.scenario.WarmUp {
 		return nil
 	}
-	for i, m := range res.marks {
-		if r.asked < m {
+	for i, m := range res.windowEnds {
+		if r.askedAt < m {
 			return &res.windows[i][r.group]
 		}
 	}
 	return nil
 }
 
-func (res *results) asked(r *request) {
-	if t := res.of(r); t != nil {
+func (res *results) recordAsked(r *request) {
+	if t := res.statsOf(r); t != nil {
 		t.asked++
 	}
 }
 
-func (res *results) end(r *request, how Ending, now time.Duration) {
-	t := res.of(r)
+func (res *results) recordEnd(r *request, outcome Outcome, now time.Duration) {
+	t := res.statsOf(r)
 	if t == nil {
 		return
 	}
-	t.ends[how]++
-	micros := max(int64((now-r.asked)/time.Microsecond), 1)
-	switch how {
+	t.outcomes[outcome]++
+	micros := max(int64((now-r.askedAt)/time.Microsecond), 1)
+	switch outcome {
 	case Served:
-		_ = t.latency.RecordValue(micros)
-		if now <= r.by {
+		_ = t.latencies.RecordValue(micros)
+		if now <= r.deadline {
 			t.inTime++
 		}
 	case Refused:
-		_ = t.refusal.RecordValue(micros)
-		if now-r.asked > prompt {
-			t.held++
+		_ = t.refusalDelays.RecordValue(micros)
+		if now-r.askedAt > refusalTarget {
+			t.refusedLate++
 		}
 	default:
 	}
 }
 
-// Row is what one group received in one window of a scene. Latencies are from
-// asking to the answer.
+// Row holds the results of one group in one window of a scene. Latencies are from the
+// request to the answer.
 type Row struct {
 	Service string        `json:"service"`
 	Scene   string        `json:"scene"`
@@ -127,73 +129,74 @@
 	P50     time.Duration `json:"p50"`
 	P99     time.Duration `json:"p99"`
 	P999    time.Duration `json:"p999"`
-	// RefuseP99 and RefuseMax are how long callers waited to be refused.
+	// RefuseP99 and RefuseMax are the times from requests to their refusal.
 	RefuseP99 time.Duration `json:"refusep99"`
 	RefuseMax time.Duration `json:"refusemax"`
-	// Held is how many were refused later than the target of 10 ms.
-	Held int `json:"held"`
-	// Goodput is the work of answers in time over the capacity of all slots,
-	// over all groups of the window.
+	// RefusedLate counts the requests refused later than the target of 10 ms.
+	RefusedLate int `json:"held"`
+	// Goodput is the work of the requests of all groups answered in time, as a share of the
+	// slots' capacity in the window.
 	Goodput float64 `json:"goodput"`
-	// Imbalance is the busiest server's slot time over the mean, in the run.
+	// Imbalance is the slot time of the busiest server divided by the mean over all servers,
+	// for the whole run.
 	Imbalance float64 `json:"imbalance"`
-	// Extra is the attempts beyond the first ones, as a share of those, in the
-	// run.
+	// Extra is the number of attempts beyond the first ones divided by that of the first
+	// ones, for the whole run.
 	Extra float64 `json:"extra"`
 }
 
 func (w *world) rows(policy string) []Row {
 	var rows []Row
-	from := w.scene.Warm
+	from := w.scenario.WarmUp
 	for i := range w.results.windows {
-		good := w.goodput(i, w.results.marks[i]-from)
-		from = w.results.marks[i]
-		for g := range groups {
+		good := w.goodput(i, w.results.windowEnds[i]-from)
+		from = w.results.windowEnds[i]
+		for g := range groupCount {
 			t := &w.results.windows[i][g]
 			if t.asked == 0 {
 				continue
 			}
 			row := t.row()
-			row.Service, row.Scene, row.Policy = w.scene.Service.Name, w.scene.Name, policy
+			row.Service, row.Scene, row.Policy = w.scenario.Service.Name, w.scenario.Name, policy
 			row.Window, row.Group = i, g.String()
-			row.Goodput, row.Imbalance, row.Extra = good, w.imbalance(), w.extra()
+			row.Goodput, row.Imbalance, row.Extra = good, w.imbalance(), w.extraShare()
 			rows = append(rows, row)
 		}
 	}
 	return rows
 }
 
-func (t *tally) row() Row {
+func (t *groupStats) row() Row {
 	at := func(h *hdrhistogram.Histogram, q float64) time.Duration {
 		return time.Duration(h.ValueAtQuantile(q)) * time.Microsecond
 	}
 	return Row{
-		Asked: t.asked, Served: t.ends[Served], InTime: t.inTime,
-		Refused: t.ends[Refused], Unknown: t.ends[Unknown],
-		P50: at(t.latency, 50), P99: at(t.latency, 99), P999: at(t.latency, 99.9),
-		RefuseP99: at(t.refusal, 99), RefuseMax: time.Duration(t.refusal.Max()) * time.Microsecond,
-		Held: t.held,
+		Asked: t.asked, Served: t.outcomes[Served], InTime: t.inTime,
+		Refused: t.outcomes[Refused], Unknown: t.outcomes[Unknown],
+		P50: at(t.latencies, 50), P99: at(t.latencies, 99), P999: at(t.latencies, 99.9),
+		RefuseP99: at(t.refusalDelays, 99), RefuseMax: time.Duration(t.refusalDelays.Max()) * time.Microsecond,
+		RefusedLate: t.refusedLate,
 	}
 }
 
-func (w *world) goodput(window int, last time.Duration) float64 {
-	s := w.scene.Service
+func (w *world) goodput(window int, length time.Duration) float64 {
+	s := w.scenario.Service
 	work := 0.0
-	for g := range groups {
-		mean := s.Mean
+	for g := range groupCount {
+		mean := s.MeanWork
 		if g == Long {
-			mean = s.Long
+			mean = s.LongMeanWork
 		}
 		work += float64(w.results.windows[window][g].inTime) * mean.Seconds()
 	}
-	return work / (float64(s.Servers*s.Slots) * last.Seconds())
+	return work / (float64(s.Servers*s.Slots) * length.Seconds())
 }
 
 func (w *world) imbalance() float64 {
 	var most, sum time.Duration
 	for _, o := range w.origins {
-		most = max(most, o.work)
-		sum += o.work
+		most = max(most, o.busyTime)
+		sum += o.busyTime
 	}
 	if sum == 0 {
 		return 0
@@ -201,10 +204,10 @@
 	return float64(most) * float64(len(w.origins)) / float64(sum)
 }
 
-func (w *world) extra() float64 {
-	first, more := w.policy.extra()
+func (w *world) extraShare() float64 {
+	first, extra := w.policy.attemptCounts()
 	if first == 0 {
 		return 0
 	}
-	return float64(more) / float64(first)
+	return float64(extra) / float64(first)
 }
--- a/internal/load/bench/run.go
+++ b/internal/load/bench/run.go
@@ -1,28 +1,28 @@
 package bench
 
-// Policy names what is measured.
+// Policy selects the policy to measure.
 type Policy uint8
 
 // The policies.
 const (
-	Ours Policy = iota
-	Naive
+	Ours  Policy = iota // the daemon's gates
+	Naive               // round robin with queues and immediate retries
 )
 
 // String names the policy.
 func (p Policy) String() string { return [...]string{"ours", "naive"}[p] }
 
-// Run plays a scene under a policy. The same scene and seed always give the
-// same rows.
+// Run simulates a scene under a policy. The same scene and seed always give the same
+// rows.
 func Run(sc Scene, p Policy, seed uint64) []Row {
 	w := newWorld(sc, seed)
 	if p == Naive {
-		w.policy = newNaive(w)
+		w.policy = newNaivePolicy(w)
 	} else {
-		w.policy = newOurs(w, seed)
+		w.policy = newGatePolicy(w, seed)
 	}
 	w.start()
-	w.run(sc.Last)
+	w.run(sc.End)
 	w.drain()
 	return w.rows(p.String())
 }
--- a/internal/load/bench/scene_test.go
+++ b/internal/load/bench/run_test.go
@@ -8,14 +8,13 @@
 	"gotest.tools/v3/assert"
 )
 
-const seed = 20261202
+const testSeed = 20261202
 
-// TestTable prints what callers receive in every scene, as in
-// docs/design/load.md:
+// TestTable prints the table of results that docs/design/load.md shows:
 //
 //	HAWTHORN_TABLE=1 go test -v -run TestTable ./internal/load/bench
 //
-// HAWTHORN_TABLE can name one service, and HAWTHORN_SCENE one scene.
+// HAWTHORN_TABLE can name a service to restrict the table to, and HAWTHORN_SCENE a scene.
 func TestTable(t *testing.T) {
 	if os.Getenv("HAWTHORN_TABLE") == "" {
 		t.Skip("set HAWTHORN_TABLE=1 to print the table")
@@ -31,33 +30,33 @@
 			}
 		}
 	}
-	rows, err := RunAll(all, seed)
+	rows, err := RunAll(all, testSeed)
 	assert.NilError(t, err)
 	assert.NilError(t, Table(os.Stdout, rows))
 }
 
-// Every request ends exactly once, whatever happens to it: the harness panics
-// at a second ending, and a missing one shows in the sum.
+// A policy could lose a request or end it twice. The simulation panics at a second end,
+// and a missing one shows in the sum of the outcomes.
 func TestEveryRequestEndsOnce(t *testing.T) {
 	for _, sc := range Scenes(Kerala()) {
-		sc.Last = min(sc.Last, 13e9)
+		sc.End = min(sc.End, 13e9)
 		for _, p := range []Policy{Ours, Naive} {
-			for _, r := range Run(sc, p, seed) {
+			for _, r := range Run(sc, p, testSeed) {
 				assert.Equal(t, r.Asked, r.Served+r.Refused+r.Unknown, "%s %s", sc.Name, r.Policy)
 			}
 		}
 	}
 }
 
-// The same seed gives the same figures, so that a change of a figure is a
-// change of the code.
+// The same seed must give the same figures, so that a changed figure always comes from
+// a change of the code.
 func TestSameSeedSameRows(t *testing.T) {
 	sc := Scenes(Kerala())[2]
 	var first, second strings.Builder
-	assert.NilError(t, Table(&first, Run(sc, Ours, seed)))
-	assert.NilError(t, Table(&second, Run(sc, Ours, seed)))
+	assert.NilError(t, Table(&first, Run(sc, Ours, testSeed)))
+	assert.NilError(t, Table(&second, Run(sc, Ours, testSeed)))
 	assert.Equal(t, first.String(), second.String())
 	var other strings.Builder
-	assert.NilError(t, Table(&other, Run(sc, Ours, seed+1)))
+	assert.NilError(t, Table(&other, Run(sc, Ours, testSeed+1)))
 	assert.Assert(t, first.String() != other.String())
 }
--- a/internal/load/bench/all.go
+++ b/internal/load/bench/runall.go
@@ -10,15 +10,15 @@
 	"hawthornfield.org/hawthornfield/internal/core/group"
 )
 
-// RunAll plays every scene under both policies, several at a time, and returns
-// the rows in the order of the scenes, ours before naive.
+// RunAll simulates every scene under both policies, four runs at a time, and returns
+// the rows in the order of the scenes, Ours before Naive.
 func RunAll(scenes []Scene, seed uint64) ([]Row, error) {
-	const atOnce = 4
+	const workers = 4
 	results := make([][]Row, 2*len(scenes))
 	var g group.Group
 	var mu sync.Mutex
 	next := 0
-	for range atOnce {
+	for range workers {
 		g.Go(func(context.Context) error {
 			for {
 				mu.Lock()
@@ -50,8 +50,8 @@
 	for _, r := range rows {
 		_, err := fmt.Fprintf(w, "| %s | %s | %d | %s | %s | %d | %.4f | %.4f | %.4f | %.1f | %.1f | %.1f | %.1f | %.4f | %.3f | %.2f | %.3f |\n",
 			r.Service, r.Scene, r.Window, r.Policy, r.Group, r.Asked,
-			r.share(r.InTime), r.share(r.Refused), r.share(r.Unknown),
-			millis(r.P50), millis(r.P99), millis(r.P999), millis(r.RefuseP99), r.share(r.Held),
+			r.fraction(r.InTime), r.fraction(r.Refused), r.fraction(r.Unknown),
+			millis(r.P50), millis(r.P99), millis(r.P999), millis(r.RefuseP99), r.fraction(r.RefusedLate),
 			r.Goodput, r.Imbalance, r.Extra)
 		if err != nil {
 			return err
@@ -60,6 +60,7 @@
 	return nil
 }
 
-func (r Row) share(n int) float64 { return float64(n) / float64(max(r.Asked, 1)) }
+// fraction returns n as a share of the group's requests.
+func (r Row) fraction(n int) float64 { return float64(n) / float64(max(r.Asked, 1)) }
 
 func millis(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
--- a/internal/load/bench/world.go
+++ b/internal/load/bench/world.go
@@ -10,223 +10,224 @@
 	"hawthornfield.org/hawthornfield/internal/core/ident"
 )
 
-// Sizes of the callers' side.
+// Parameters of the callers.
 const (
-	callers    = 500
-	keys       = 4096
-	shape      = 2.0 // of the gamma distribution of work: it varies by 0.7 of its mean
-	longBytes  = 4 << 20
-	shortBytes = 2 << 10
-	backoff    = 10 * time.Millisecond // before a naive caller asks again
+	defaultCallers = 500
+	keyCount       = 4096
+	workShape      = 2.0 // shape of the gamma distribution of work: its standard deviation is 0.7 of the mean
+	longBytes      = 4 << 20
+	shortBytes     = 2 << 10
+	callerBackoff  = 10 * time.Millisecond // least delay before a caller retries
 )
 
-// request is what one caller asks for once.
+// request is one request of a caller.
 type request struct {
-	vm     int
-	group  Group
-	caller ident.Caller
-	key    ident.Key
-	owner  int // -1 when the service is not divided
-	asked  time.Duration
-	by     time.Duration
-	demand time.Duration
-	long   bool
-	asks   int // how often the caller has asked before
-	ended  bool
+	vm            int
+	group         Group
+	caller        ident.Caller
+	key           ident.Key
+	owner         int // server that owns the key, -1 if the service is not sharded
+	askedAt       time.Duration
+	deadline      time.Duration
+	work          time.Duration
+	long          bool
+	priorAttempts int // how often the caller has made this request before
+	ended         bool
 }
 
-// policy is what is measured: it gets every request, and ends each exactly once.
+// policy is a load policy under measurement: it receives every request, and must end
+// each exactly once. attemptCounts returns the first attempts and those beyond them.
 type policy interface {
 	arrive(r *request)
 	report(server, load int, age time.Duration)
-	extra() (first, more int)
+	attemptCounts() (first, extra int)
 }
 
-// world holds the servers, the callers and the clock of one run.
+// world is the state of one run: the servers, the callers and the clock.
 type world struct {
 	clock
-	scene   Scene
-	origins []*origin
-	policy  policy
-	results *results
-
-	arrivals *rand.Rand // arrivals and work, the same for each policy
-	again    *rand.Rand
-	names    []ident.Caller
-	keyNames []ident.Key
-	work     distuv.Gamma
-	longWork distuv.Gamma
+	scenario Scene
+	origins  []*origin
+	policy   policy
+	results  *results
+
+	arrivalRand *rand.Rand // arrivals and their properties, the same for each policy
+	retryRand   *rand.Rand
+	callerNames []ident.Caller
+	keyNames    []ident.Key
+	work        distuv.Gamma
+	longWork    distuv.Gamma
 }
 
 func newWorld(sc Scene, seed uint64) *world {
 	w := &world{
-		scene:    sc,
-		arrivals: rand.New(rand.NewPCG(seed, 1)),
-		again:    rand.New(rand.NewPCG(seed, 2)),
-		results:  newResults(sc),
+		scenario:    sc,
+		arrivalRand: rand.New(rand.NewPCG(seed, 1)),
+		retryRand:   rand.New(rand.NewPCG(seed, 2)),
+		results:     newResults(sc),
 	}
 	src := rand.NewPCG(seed, 3)
-	w.work = distuv.Gamma{Alpha: shape, Beta: shape / sc.Service.Mean.Seconds(), Src: src}
-	w.longWork = distuv.Gamma{Alpha: shape, Beta: shape / sc.Service.Long.Seconds(), Src: src}
+	w.work = distuv.Gamma{Alpha: workShape, Beta: workShape / sc.Service.MeanWork.Seconds(), Src: src}
+	w.longWork = distuv.Gamma{Alpha: workShape, Beta: workShape / sc.Service.LongMeanWork.Seconds(), Src: src}
 	for i := range sc.Service.Servers {
-		o := &origin{clock: &w.clock, slots: sc.Service.Slots, cold: sc.Cold && i%2 == 0}
+		o := &origin{clock: &w.clock, slots: sc.Service.Slots, cold: sc.HalfCold && i%2 == 0}
 		w.origins = append(w.origins, o)
 	}
 	n := sc.Callers
 	if n == 0 {
-		n = callers
+		n = defaultCallers
 	}
 	for i := range n {
-		w.names = append(w.names, ident.Caller("caller-"+strconv.Itoa(i)))
+		w.callerNames = append(w.callerNames, ident.Caller("caller-"+strconv.Itoa(i)))
 	}
-	for i := range keys {
+	for i := range keyCount {
 		w.keyNames = append(w.keyNames, ident.Key("key-"+strconv.Itoa(i)))
 	}
 	return w
 }
 
-// start schedules arrivals, faults and reports.
+// start schedules the first arrival, the faults and the load reports.
 func (w *world) start() {
-	w.after(w.gap(), w.arrival)
-	for _, f := range w.scene.Faults {
-		w.fault(f)
+	w.after(w.interarrivalTime(), w.handleArrival)
+	for _, f := range w.scenario.Faults {
+		w.scheduleFault(f)
 	}
 	for i := range w.origins {
 		w.after(time.Duration(i)*time.Millisecond, func() { w.report(i) })
 	}
 }
 
-func (w *world) fault(f Fault) {
+func (w *world) scheduleFault(f Fault) {
 	o := w.origins[f.Server]
-	begin, end := func() { o.slow = f.Factor }, func() { o.slow = 0 }
-	switch f.Trouble {
+	begin, end := func() { o.slowFactor = f.Factor }, func() { o.slowFactor = 0 }
+	switch f.Kind {
 	case Freeze:
 		begin, end = o.freeze, o.thaw
 	case Fail:
-		begin, end = func() { o.fails = true }, func() { o.fails = false }
+		begin, end = func() { o.failing = true }, func() { o.failing = false }
 	default:
 	}
 	w.at(f.From, begin)
 	w.at(f.To, end)
 }
 
-// reportEvery is how often a server's load is read; what is read is as old
-// again.
-const reportEvery = 100 * time.Millisecond
+// reportInterval is the time between two reports of a server's load. Each report holds
+// the load at the time of the previous one, so its age is one interval as well.
+const reportInterval = 100 * time.Millisecond
 
 func (w *world) report(i int) {
 	o := w.origins[i]
-	told := o.told
-	o.told = o.load()
-	if w.scene.Lies && i%3 == 0 {
-		told = 0
+	reported := o.lastReport
+	o.lastReport = o.load()
+	if w.scenario.LyingReports && i%3 == 0 {
+		reported = 0
 	}
-	w.policy.report(i, told, reportEvery)
-	if w.now < w.scene.Last {
-		w.after(reportEvery, func() { w.report(i) })
+	w.policy.report(i, reported, reportInterval)
+	if w.now < w.scenario.End {
+		w.after(reportInterval, func() { w.report(i) })
 	}
 }
 
-// rate is the arrivals per second now, the hot caller's and key's included.
-func (w *world) rate() float64 {
+// arrivalRate returns the current arrivals per second, including those of the hot caller
+// and for the hot key.
+func (w *world) arrivalRate() float64 {
 	load := 0.0
-	for _, p := range w.scene.Phases {
+	for _, p := range w.scenario.Phases {
 		if w.now >= p.From {
 			load = p.Load
 		}
 	}
-	perSecond := load * w.scene.capacity()
-	return perSecond / (1 - w.scene.HotCaller) / (1 - w.scene.HotKey)
+	perSecond := load * w.scenario.capacity()
+	return perSecond / (1 - w.scenario.HotCaller) / (1 - w.scenario.HotKey)
 }
 
-// capacity is the requests per second that all slots together can do.
+// capacity returns the requests per second that all slots together can serve.
 func (sc Scene) capacity() float64 {
 	s := sc.Service
-	mean := s.Mean.Seconds()
-	if p := sc.longOdds(); p > 0 {
-		mean = (1-p)*mean + p*s.Long.Seconds()
+	mean := s.MeanWork.Seconds()
+	if p := sc.longProbability(); p > 0 {
+		mean = (1-p)*mean + p*s.LongMeanWork.Seconds()
 	}
 	return float64(s.Servers*s.Slots) / mean
 }
 
-// longOdds is the share of requests that are long, from their share of slot
-// time.
-func (sc Scene) longOdds() float64 {
+// longProbability returns the share of requests that are long, computed from their share
+// of slot time.
+func (sc Scene) longProbability() float64 {
 	if sc.LongShare == 0 {
 		return 0
 	}
-	short := (1 - sc.LongShare) / sc.Service.Mean.Seconds()
-	long := sc.LongShare / sc.Service.Long.Seconds()
+	short := (1 - sc.LongShare) / sc.Service.MeanWork.Seconds()
+	long := sc.LongShare / sc.Service.LongMeanWork.Seconds()
 	return long / (long + short)
 }
 
-func (w *world) gap() time.Duration {
-	return seconds(w.arrivals.ExpFloat64() / w.rate())
+func (w *world) interarrivalTime() time.Duration {
+	return seconds(w.arrivalRand.ExpFloat64() / w.arrivalRate())
 }
 
-func (w *world) arrival() {
-	if w.now >= w.scene.Last {
+func (w *world) handleArrival() {
+	if w.now >= w.scenario.End {
 		return
 	}
-	r := w.draw()
-	w.results.asked(r)
+	r := w.newRequest()
+	w.results.recordAsked(r)
 	w.policy.arrive(r)
-	w.after(w.gap(), w.arrival)
+	w.after(w.interarrivalTime(), w.handleArrival)
 }
 
-// draw makes the next request.
-func (w *world) draw() *request {
-	s := w.scene.Service
-	rng := w.arrivals
+// newRequest draws the next request at random.
+func (w *world) newRequest() *request {
+	s := w.scenario.Service
+	rng := w.arrivalRand
 	r := &request{
-		vm:     rng.IntN(s.VMs),
-		caller: w.names[rng.IntN(len(w.names))],
-		owner:  -1,
-		asked:  w.now,
-		by:     w.now + s.Deadline,
-	}
-	key := rng.IntN(keys)
-	r.long = rng.Float64() < w.scene.longOdds()
-	r.demand = seconds(w.work.Rand())
+		vm:       rng.IntN(s.VMs),
+		caller:   w.callerNames[rng.IntN(len(w.callerNames))],
+		owner:    -1,
+		askedAt:  w.now,
+		deadline: w.now + s.Deadline,
+	}
+	key := rng.IntN(keyCount)
+	r.long = rng.Float64() < w.scenario.longProbability()
+	r.work = seconds(w.work.Rand())
 	if r.long {
 		r.group = Long
-		r.demand = seconds(w.longWork.Rand())
-		r.by = w.now + s.LongBy
+		r.work = seconds(w.longWork.Rand())
+		r.deadline = w.now + s.LongDeadline
 	}
-	if rng.Float64() < w.scene.HotCaller {
+	if rng.Float64() < w.scenario.HotCaller {
 		r.caller, r.group = "hot", Hot
 	}
-	if rng.Float64() < w.scene.HotKey {
+	if rng.Float64() < w.scenario.HotKey {
 		key, r.group = 0, Hot
 	}
 	r.key = w.keyNames[key]
-	if s.Divided {
+	if s.Sharded {
 		r.owner = key % s.Servers
-		if w.scene.HotKey > 0 && r.owner == 0 && key != 0 {
+		if w.scenario.HotKey > 0 && r.owner == 0 && key != 0 {
 			r.group = Neighbour
 		}
 	}
 	return r
 }
 
-// end records what became of a request; a caller that did not get its answer
-// may ask again.
-func (w *world) end(r *request, how Ending, hint time.Duration) {
+// end records the outcome of a request. A caller that was not served may retry.
+func (w *world) end(r *request, outcome Outcome, retryAfter time.Duration) {
 	if r.ended {
 		panic("bench: a request was answered twice")
 	}
 	r.ended = true
-	w.results.end(r, how, w.now)
-	if how == Served || r.asks >= w.scene.Again || w.now >= w.scene.Last {
+	w.results.recordEnd(r, outcome, w.now)
+	if outcome == Served || r.priorAttempts >= w.scenario.CallerRetries || w.now >= w.scenario.End {
 		return
 	}
 	next := *r
 	next.ended = false
-	next.asks++
-	w.after(max(hint, backoff), func() {
-		next.vm = w.again.IntN(w.scene.Service.VMs)
-		next.asked, next.by = w.now, w.now+(r.by-r.asked)
-		w.results.asked(&next)
+	next.priorAttempts++
+	w.after(max(retryAfter, callerBackoff), func() {
+		next.vm = w.retryRand.IntN(w.scenario.Service.VMs)
+		next.askedAt, next.deadline = w.now, w.now+(r.deadline-r.askedAt)
+		w.results.recordAsked(&next)
 		w.policy.arrive(&next)
 	})
 }
