--- a/internal/admin/bench/load.go
+++ b/internal/admin/bench/load.go
@@ -23,9 +23,9 @@
 	if o.Quick {
 		services = services[:1]
 	}
-	var scenes []lab.Scene
+	var scenes []lab.Scenario
 	for _, svc := range services {
-		scenes = append(scenes, lab.Scenes(svc)...)
+		scenes = append(scenes, lab.Scenarios(svc)...)
 	}
 	rows, err := lab.RunAll(scenes, loadSeed)
 	if err != nil {
@@ -48,12 +48,12 @@
 		if r.Policy != lab.Policy(0).String() || r.Group != lab.Other.String() {
 			continue
 		}
-		name := fmt.Sprintf("%s, %s, window %d: ", r.Service, r.Scene, r.Window)
+		name := fmt.Sprintf("%s, %s, window %d: ", r.Service, r.Scenario, r.Window)
 		s.Figures = append(s.Figures,
 			Figure{Name: name + "in time", Value: float64(r.InTime) / float64(max(r.Asked, 1)), Unit: "of all asked", Better: Higher},
 			Figure{Name: name + "p99", Value: millis(r.P99), Unit: "ms", Better: Lower},
 		)
-		if strings.HasPrefix(r.Scene, "overload") && r.Window == 0 {
+		if strings.HasPrefix(r.Scenario, "overload") && r.Window == 0 {
 			s.Figures = append(s.Figures,
 				Figure{Name: name + "goodput", Value: r.Goodput, Unit: "of capacity", Better: Higher, Target: ">= 0.95"},
 				Figure{Name: name + "refused within (p99)", Value: millis(r.RefuseP99), Unit: "ms", Better: Lower, Target: "< 10 ms"},
--- a/internal/load/bench/clock.go
+++ b/internal/load/bench/clock.go
@@ -7,7 +7,7 @@
 // drawn from seeds, so a run always gives the same figures, and every policy gets the
 // same arrivals and service times.
 //
-//	rows := bench.Run(bench.Scenes(bench.Basin())[0], bench.Ours, 1)
+//	rows := bench.Run(bench.Scenarios(bench.Basin())[0], bench.Ours, 1)
 package bench
 
 import (
--- a/internal/load/bench/result.go
+++ b/internal/load/bench/result.go
@@ -51,12 +51,12 @@
 
 // results collects the statistics of one run.
 type results struct {
-	scenario   Scene
+	scenario   Scenario
 	windowEnds []time.Duration
 	windows    [][groupCount]groupStats
 }
 
-func newResults(sc Scene) *results {
+func newResults(sc Scenario) *results {
 	marks := sc.WindowEnds
 	if len(marks) == 0 {
 		marks = []time.Duration{sc.End}
@@ -113,22 +113,22 @@
 	}
 }
 
-// Row holds the results of one group in one window of a scene. Latencies are from the
+// Row holds the results of one group in one window of a scenario. Latencies are from the
 // request to the answer.
 type Row struct {
-	Service string        `json:"service"`
-	Scene   string        `json:"scene"`
-	Policy  string        `json:"policy"`
-	Window  int           `json:"window"`
-	Group   string        `json:"group"`
-	Asked   int           `json:"asked"`
-	Served  int           `json:"served"`
-	InTime  int           `json:"intime"`
-	Refused int           `json:"refused"`
-	Unknown int           `json:"unknown"`
-	P50     time.Duration `json:"p50"`
-	P99     time.Duration `json:"p99"`
-	P999    time.Duration `json:"p999"`
+	Service  string        `json:"service"`
+	Scenario string        `json:"scene"`
+	Policy   string        `json:"policy"`
+	Window   int           `json:"window"`
+	Group    string        `json:"group"`
+	Asked    int           `json:"asked"`
+	Served   int           `json:"served"`
+	InTime   int           `json:"intime"`
+	Refused  int           `json:"refused"`
+	Unknown  int           `json:"unknown"`
+	P50      time.Duration `json:"p50"`
+	P99      time.Duration `json:"p99"`
+	P999     time.Duration `json:"p999"`
 	// RefuseP99 and RefuseMax are the times from requests to their refusal.
 	RefuseP99 time.Duration `json:"refusep99"`
 	RefuseMax time.Duration `json:"refusemax"`
@@ -157,7 +157,7 @@
 				continue
 			}
 			row := t.row()
-			row.Service, row.Scene, row.Policy = w.scenario.Service.Name, w.scenario.Name, policy
+			row.Service, row.Scenario, row.Policy = w.scenario.Service.Name, w.scenario.Name, policy
 			row.Window, row.Group = i, g.String()
 			row.Goodput, row.Imbalance, row.Extra = good, w.imbalance(), w.extraShare()
 			rows = append(rows, row)
--- a/internal/load/bench/run.go
+++ b/internal/load/bench/run.go
@@ -12,9 +12,9 @@
 // String names the policy.
 func (p Policy) String() string { return [...]string{"ours", "naive"}[p] }
 
-// Run simulates a scene under a policy. The same scene and seed always give the same
-// rows.
-func Run(sc Scene, p Policy, seed uint64) []Row {
+// Run simulates a scenario under a policy. The same scenario and seed always give the
+// same rows.
+func Run(sc Scenario, p Policy, seed uint64) []Row {
 	w := newWorld(sc, seed)
 	if p == Naive {
 		w.policy = newNaivePolicy(w)
--- a/internal/load/bench/run_test.go
+++ b/internal/load/bench/run_test.go
@@ -14,17 +14,17 @@
 //
 //	HAWTHORN_TABLE=1 go test -v -run TestTable ./internal/load/bench
 //
-// HAWTHORN_TABLE can name a service to restrict the table to, and HAWTHORN_SCENE a scene.
+// HAWTHORN_TABLE can name a service to restrict the table to, and HAWTHORN_SCENE a scenario.
 func TestTable(t *testing.T) {
 	if os.Getenv("HAWTHORN_TABLE") == "" {
 		t.Skip("set HAWTHORN_TABLE=1 to print the table")
 	}
-	var all []Scene
+	var all []Scenario
 	for _, s := range Services() {
 		if only := os.Getenv("HAWTHORN_TABLE"); only != "1" && only != s.Name {
 			continue
 		}
-		for _, sc := range Scenes(s) {
+		for _, sc := range Scenarios(s) {
 			if only := os.Getenv("HAWTHORN_SCENE"); only == "" || strings.Contains(only, sc.Name) {
 				all = append(all, sc)
 			}
@@ -38,7 +38,7 @@
 // A policy could lose a request or end it twice. The simulation panics at a second end,
 // and a missing one shows in the sum of the outcomes.
 func TestEveryRequestEndsOnce(t *testing.T) {
-	for _, sc := range Scenes(Kerala()) {
+	for _, sc := range Scenarios(Kerala()) {
 		sc.End = min(sc.End, 13e9)
 		for _, p := range []Policy{Ours, Naive} {
 			for _, r := range Run(sc, p, testSeed) {
@@ -51,7 +51,7 @@
 // The same seed must give the same figures, so that a changed figure always comes from
 // a change of the code.
 func TestSameSeedSameRows(t *testing.T) {
-	sc := Scenes(Kerala())[2]
+	sc := Scenarios(Kerala())[2]
 	var first, second strings.Builder
 	assert.NilError(t, Table(&first, Run(sc, Ours, testSeed)))
 	assert.NilError(t, Table(&second, Run(sc, Ours, testSeed)))
--- a/internal/load/bench/runall.go
+++ b/internal/load/bench/runall.go
@@ -10,11 +10,11 @@
 	"hawthornfield.org/hawthornfield/internal/core/group"
 )
 
-// RunAll simulates every scene under both policies, four runs at a time, and returns
-// the rows in the order of the scenes, Ours before Naive.
-func RunAll(scenes []Scene, seed uint64) ([]Row, error) {
+// RunAll simulates every scenario under both policies, four runs at a time, and returns
+// the rows in the order of the scenarios, Ours before Naive.
+func RunAll(scenarios []Scenario, seed uint64) ([]Row, error) {
 	const workers = 4
-	results := make([][]Row, 2*len(scenes))
+	results := make([][]Row, 2*len(scenarios))
 	var g group.Group
 	var mu sync.Mutex
 	next := 0
@@ -28,7 +28,7 @@
 				if i >= len(results) {
 					return nil
 				}
-				results[i] = Run(scenes[i/2], Policy(i%2), seed)
+				results[i] = Run(scenarios[i/2], Policy(i%2), seed)
 			}
 		})
 	}
@@ -49,7 +49,7 @@
 	}
 	for _, r := range rows {
 		_, err := fmt.Fprintf(w, "| %s | %s | %d | %s | %s | %d | %.4f | %.4f | %.4f | %.1f | %.1f | %.1f | %.1f | %.4f | %.3f | %.2f | %.3f |\n",
-			r.Service, r.Scene, r.Window, r.Policy, r.Group, r.Asked,
+			r.Service, r.Scenario, r.Window, r.Policy, r.Group, r.Asked,
 			r.fraction(r.InTime), r.fraction(r.Refused), r.fraction(r.Unknown),
 			millis(r.P50), millis(r.P99), millis(r.P999), millis(r.RefuseP99), r.fraction(r.RefusedLate),
 			r.Goodput, r.Imbalance, r.Extra)
--- a/internal/load/bench/scenario.go
+++ b/internal/load/bench/scenario.go
@@ -41,8 +41,8 @@
 	From, To time.Duration
 }
 
-// Scene is one load pattern on one service.
-type Scene struct {
+// Scenario is one load pattern on one service.
+type Scenario struct {
 	Name          string
 	Service       Service
 	WarmUp        time.Duration // requests made before this time are not measured
@@ -103,51 +103,51 @@
 // Services returns the services that are measured.
 func Services() []Service { return []Service{Basin(), Ledger(), Viewer(), Kerala()} }
 
-// Loads of the scenes, as shares of capacity.
+// Loads of the scenarios, as shares of capacity.
 const (
 	normalLoad   = 0.7
 	overloadLoad = 2.0
 	burstLoad    = 10 * normalLoad
 )
 
-// Scenes returns the load patterns for a service.
-func Scenes(s Service) []Scene {
+// Scenarios returns the load patterns for a service.
+func Scenarios(s Service) []Scenario {
 	flat := func(load float64) []Phase { return []Phase{{0, load}} }
-	base := Scene{Service: s, WarmUp: 3 * time.Second, End: 13 * time.Second, Phases: flat(normalLoad)}
-	scene := func(name string, change func(*Scene)) Scene {
+	base := Scenario{Service: s, WarmUp: 3 * time.Second, End: 13 * time.Second, Phases: flat(normalLoad)}
+	scenario := func(name string, change func(*Scenario)) Scenario {
 		sc := base
 		sc.Name = name
 		change(&sc)
 		return sc
 	}
-	return []Scene{
-		scene("normal", func(*Scene) {}),
-		scene("burst", func(sc *Scene) {
+	return []Scenario{
+		scenario("normal", func(*Scenario) {}),
+		scenario("burst", func(sc *Scenario) {
 			sc.Phases = []Phase{{0, normalLoad}, {5 * time.Second, burstLoad}, {7 * time.Second, normalLoad}}
 		}),
-		scene("hot-caller", func(sc *Scene) { sc.HotCaller = 0.5 }),
-		scene("hot-key", func(sc *Scene) { sc.HotKey = 0.3 }),
-		scene("slow-server", func(sc *Scene) {
+		scenario("hot-caller", func(sc *Scenario) { sc.HotCaller = 0.5 }),
+		scenario("hot-key", func(sc *Scenario) { sc.HotKey = 0.3 }),
+		scenario("slow-server", func(sc *Scenario) {
 			sc.Faults = []Fault{{Server: 1, Kind: Slow, Factor: 10, From: 4 * time.Second, To: sc.End}}
 		}),
-		scene("frozen-server", func(sc *Scene) {
+		scenario("frozen-server", func(sc *Scenario) {
 			sc.Faults = []Fault{{Server: 1, Kind: Freeze, From: 4 * time.Second, To: 8 * time.Second}}
 		}),
-		scene("failing-server", func(sc *Scene) {
+		scenario("failing-server", func(sc *Scenario) {
 			sc.Faults = []Fault{{Server: 1, Kind: Fail, From: 4 * time.Second, To: sc.End}}
 		}),
-		scene("long-among-short", func(sc *Scene) { sc.LongShare = 0.4 }),
-		scene("lying-reports", func(sc *Scene) { sc.LyingReports = true }),
-		scene("half-cold", func(sc *Scene) { sc.HalfCold, sc.WarmUp = true, 0 }),
+		scenario("long-among-short", func(sc *Scenario) { sc.LongShare = 0.4 }),
+		scenario("lying-reports", func(sc *Scenario) { sc.LyingReports = true }),
+		scenario("half-cold", func(sc *Scenario) { sc.HalfCold, sc.WarmUp = true, 0 }),
 		Overload(s),
-		scene("overload-again", func(sc *Scene) { sc.Phases, sc.CallerRetries = flat(overloadLoad), 2 }),
+		scenario("overload-again", func(sc *Scenario) { sc.Phases, sc.CallerRetries = flat(overloadLoad), 2 }),
 	}
 }
 
 // Overload is a load of twice the capacity for a minute, then the normal load. Its
 // windows are the overload, the 5 s after it, and the rest.
-func Overload(s Service) Scene {
-	return Scene{
+func Overload(s Service) Scenario {
+	return Scenario{
 		Name: "overload", Service: s, WarmUp: 3 * time.Second, End: 75 * time.Second,
 		Phases:     []Phase{{0, normalLoad}, {3 * time.Second, overloadLoad}, {63 * time.Second, normalLoad}},
 		WindowEnds: []time.Duration{63 * time.Second, 68 * time.Second, 75 * time.Second},
--- a/internal/load/bench/target_test.go
+++ b/internal/load/bench/target_test.go
@@ -35,15 +35,15 @@
 	return Row{}
 }
 
-func scenarioNamed(t *testing.T, s Service, name string) Scene {
+func scenarioNamed(t *testing.T, s Service, name string) Scenario {
 	t.Helper()
-	for _, sc := range Scenes(s) {
+	for _, sc := range Scenarios(s) {
 		if sc.Name == name {
 			return sc
 		}
 	}
-	t.Fatalf("no scene %q", name)
-	return Scene{}
+	t.Fatalf("no scenario %q", name)
+	return Scenario{}
 }
 
 func forEachService(t *testing.T, do func(t *testing.T, s Service)) {
@@ -119,7 +119,7 @@
 	}
 }
 
-// One server is ten times slower; in another scene it freezes for four seconds. Only the
+// One server is ten times slower; in another scenario it freezes for four seconds. Only the
 // few requests that were on it may fail or be late.
 func TestSlowAndFrozenServers(t *testing.T) {
 	for _, s := range []Service{Ledger(), Kerala()} {
--- a/internal/load/bench/world.go
+++ b/internal/load/bench/world.go
@@ -46,7 +46,7 @@
 // world is the state of one run: the servers, the callers and the clock.
 type world struct {
 	clock
-	scenario Scene
+	scenario Scenario
 	origins  []*origin
 	policy   policy
 	results  *results
@@ -59,7 +59,7 @@
 	longWork    distuv.Gamma
 }
 
-func newWorld(sc Scene, seed uint64) *world {
+func newWorld(sc Scenario, seed uint64) *world {
 	w := &world{
 		scenario:    sc,
 		arrivalRand: rand.New(rand.NewPCG(seed, 1)),
@@ -142,7 +142,7 @@
 }
 
 // capacity returns the requests per second that all slots together can serve.
-func (sc Scene) capacity() float64 {
+func (sc Scenario) capacity() float64 {
 	s := sc.Service
 	mean := s.MeanWork.Seconds()
 	if p := sc.longProbability(); p > 0 {
@@ -153,7 +153,7 @@
 
 // longProbability returns the share of requests that are long, computed from their share
 // of slot time.
-func (sc Scene) longProbability() float64 {
+func (sc Scenario) longProbability() float64 {
 	if sc.LongShare == 0 {
 		return 0
 	}
