--- a/internal/fake/world/server.go
+++ b/internal/fake/world/server.go
@@ -18,9 +18,9 @@
 
 	w           *World
 	index       int
-	clockRate   float64
-	startedAt   time.Duration
-	bootID      uint64
+	clockRate   float64       // seconds of the server's clock per simulated second
+	startedAt   time.Duration // simulated time at which the process started
+	bootID      uint64        // differs for every process
 	frozenUntil time.Duration
 	pending     []func() // calls received while frozen, run on thaw
 
--- a/internal/fake/world/vm.go
+++ b/internal/fake/world/vm.go
@@ -25,8 +25,8 @@
 	Left   bool // asked to leave
 
 	w              *World
-	clockRate      float64
-	clockOffset    time.Duration
+	clockRate      float64       // seconds of the VM's clock per simulated second
+	clockOffset    time.Duration // reading of the VM's clock at simulated time zero
 	pausedUntil    time.Duration
 	pausedSince    time.Duration
 	pending        []pendingCall
--- a/internal/fake/world/world.go
+++ b/internal/fake/world/world.go
@@ -31,13 +31,13 @@
 // Options describe a world. The zero value of a field means its default.
 type Options struct {
 	Seed        uint64
-	VMs         int // default 4
-	Servers     int // default 3
-	Slices      int // default 6; slices and hot keys together at most 64
-	Centres     int // default 3
-	FenceChecks bool
-	Patience    time.Duration
-	Standby     bool // standby servers serve the keys of lost servers while the store is down
+	VMs         int           // default 4
+	Servers     int           // default 3
+	Slices      int           // default 6; slices and hot keys together at most 64
+	Centres     int           // default 3
+	FenceChecks bool          // servers refuse orders with a fence below the highest one applied
+	Patience    time.Duration // how long a silent server keeps its keys after its lease ended
+	Standby     bool          // standby servers serve the keys of lost servers while the store is down
 	// NewLessor creates a lessor; tests set a deliberately flawed one here.
 	NewLessor func(lessor.Config) loop.Model
 	// NewWriter creates the writer that combines the table edits of one VM's lessors; with
@@ -95,7 +95,7 @@
 	now           time.Duration
 	rng           *rand.Rand
 	queue         events
-	lastSeq       uint64
+	lastSeq       uint64                      // of the events, for the order of simultaneous ones
 	cutUntil      map[[2]string]time.Duration // until when a link is cut
 	epochHolders  map[string]ident.VM         // server and epoch to holder
 	times         lease.Times
@@ -117,6 +117,7 @@
 	Forwarded     int // edits sent to a coordinator
 }
 
+// startTime is the wall time at the start of a history.
 var startTime = time.Date(2026, 9, 21, 6, 0, 0, 0, time.UTC)
 
 // New creates a world and starts its VMs.
