--- a/internal/edge/front/body.go
+++ b/internal/edge/front/body.go
@@ -98,14 +98,14 @@
 // Read reads with a timeout. It clears the deadline after each successful read and at the
 // end: net/http goes on reading to notice a caller that disconnects, and would take an
 // expired deadline for a disconnect.
-func (p *timeoutReader) Read(b []byte) (int, error) {
-	if p.timeout <= 0 {
-		return p.Reader.Read(b)
+func (r *timeoutReader) Read(b []byte) (int, error) {
+	if r.timeout <= 0 {
+		return r.Reader.Read(b)
 	}
-	_ = p.rc.SetReadDeadline(time.Now().Add(p.timeout))
-	n, err := p.Reader.Read(b)
+	_ = r.rc.SetReadDeadline(time.Now().Add(r.timeout))
+	n, err := r.Reader.Read(b)
 	if errors.Is(err, io.EOF) || err == nil {
-		_ = p.rc.SetReadDeadline(time.Time{})
+		_ = r.rc.SetReadDeadline(time.Time{})
 	}
 	return n, err
 }
@@ -136,23 +136,23 @@
 	if timeout <= 0 || length >= 0 && length <= noDeadlineLength {
 		return x.w, func() {}
 	}
-	d := &timeoutWriter{ResponseWriter: x.w, rc: http.NewResponseController(x.w), timeout: timeout}
-	return d, func() {
+	w := &timeoutWriter{ResponseWriter: x.w, rc: http.NewResponseController(x.w), timeout: timeout}
+	return w, func() {
 		// The next answer on the connection sets its own deadline.
-		_ = d.rc.SetWriteDeadline(time.Time{})
+		_ = w.rc.SetWriteDeadline(time.Time{})
 	}
 }
 
 // Write writes with a timeout.
-func (d *timeoutWriter) Write(b []byte) (int, error) {
-	_ = d.rc.SetWriteDeadline(time.Now().Add(d.timeout))
-	return d.ResponseWriter.Write(b)
+func (w *timeoutWriter) Write(b []byte) (int, error) {
+	_ = w.rc.SetWriteDeadline(time.Now().Add(w.timeout))
+	return w.ResponseWriter.Write(b)
 }
 
 // Flush sends buffered data with a timeout.
-func (d *timeoutWriter) Flush() {
-	_ = d.rc.SetWriteDeadline(time.Now().Add(d.timeout))
-	_ = d.rc.Flush()
+func (w *timeoutWriter) Flush() {
+	_ = w.rc.SetWriteDeadline(time.Now().Add(w.timeout))
+	_ = w.rc.Flush()
 }
 
 // errorBody is the JSON body of an answer that the system itself generates.
@@ -163,8 +163,8 @@
 	ID   ident.Request `json:"id"`
 }
 
-func (r errorBody) json() []byte {
-	b, err := json.Marshal(r)
+func (e errorBody) json() []byte {
+	b, err := json.Marshal(e)
 	if err != nil {
 		return nil // cannot happen: all fields are plain text
 	}
--- a/internal/edge/front/exchange.go
+++ b/internal/edge/front/exchange.go
@@ -90,8 +90,8 @@
 	return x.handle()
 }
 
-// newExchange creates the exchange of a request. arrived is when the request arrived if it
-// waited to be read, otherwise zero.
+// newExchange creates the exchange of a request. If the request waited to be read, arrived
+// is when it arrived; otherwise it is zero.
 func (f *Front) newExchange(r *http.Request, arrived time.Time) *exchange {
 	now := time.Now()
 	x := &exchange{f: f, r: r}
--- a/internal/edge/front/front.go
+++ b/internal/edge/front/front.go
@@ -42,7 +42,7 @@
 // that cannot be determined now. The ticket is settled once it is known whether the
 // request ran.
 type Claimer interface {
-	Claim(ctx context.Context, ask dedup.Request) (*dedup.Ticket, error)
+	Claim(ctx context.Context, claim dedup.Request) (*dedup.Ticket, error)
 }
 
 // DurableRecorder makes a decision durable before the request is forwarded.
@@ -58,7 +58,7 @@
 }
 
 // Front serves callers. Set the exported fields, then call Start and Handler. State and
-// Relay are required; the step of any other dependency that is nil is skipped.
+// Relay are required; a step whose dependency is nil is skipped.
 type Front struct {
 	VM     ident.VM
 	Centre ident.Centre
@@ -90,7 +90,6 @@
 	// OnKeyRequest, if set, is called for each request for a key of a service divided by
 	// key.
 	OnKeyRequest func(svc ident.Service, key ident.Key)
-
 	// OnAnswer, if set, is called with the time that a server worked on a request,
 	// estimated from the time of its answer and the load that the server reported with
 	// it.
--- a/internal/edge/front/front_test.go
+++ b/internal/edge/front/front_test.go
@@ -106,10 +106,9 @@
 	})
 }
 
-// Guards against requests that wait for a frozen owner until their deadlines although
-// their keys have moved. Idempotent requests are repeated at the next owner, other
-// requests that were sent are answered as unknown once the server is known to be
-// unresponsive, and requests still queued for the frozen server run at the next owner.
+// Guards against requests that wait for a frozen owner although their keys have moved.
+// Idempotent and still queued ones must run at the next owner; others that were sent are
+// answered as unknown once the server is known to be unresponsive.
 func TestRequestsLeaveAFrozenOwner(t *testing.T) {
 	for sent, status := range map[string]int{
 		"/scales/sent":   http.StatusOK,
@@ -209,7 +208,7 @@
 // The connection to the owner of a key breaks before the answer arrives. An idempotent
 // request must be retried within its deadline; otherwise the caller sees an error
 // although the owner works again.
-func TestALookupWhoseAnswerWasLostIsAskedAgainAtItsOwner(t *testing.T) {
+func TestALookupWhoseAnswerWasLostIsRetriedAtItsOwner(t *testing.T) {
 	runWithTestbed(t, func(t *testing.T, tb *testbed) {
 		tb.origins["l1"].Break(1)
 		resp, _, err := tb.do(tb.request("GET", "/again/7", nil))
@@ -226,7 +225,7 @@
 
 // A caller disconnects while the server still works. The slot must be free for the next
 // caller at once, not when the work is done.
-func TestACallerThatHangsUpFreesItsPlaceAtOnce(t *testing.T) {
+func TestACallerThatDisconnectsFreesItsSlotAtOnce(t *testing.T) {
 	runWithTestbed(t, func(t *testing.T, tb *testbed) {
 		svc, _ := tb.state.Service("upload")
 		ctx, cancel := context.WithCancel(t.Context())
@@ -269,7 +268,7 @@
 
 // A caller asks for a large answer and then reads nothing. If such callers kept their
 // slots, a few of them would block a server, and every other caller would be refused.
-func TestACallerThatStopsReadingFreesItsPlace(t *testing.T) {
+func TestACallerThatStopsReadingFreesItsSlot(t *testing.T) {
 	runWithTestbed(t, func(t *testing.T, tb *testbed) {
 		c, err := tb.net.Dial(t.Context(), entryAddr)
 		assert.NilError(t, err)
--- a/internal/edge/front/move_test.go
+++ b/internal/edge/front/move_test.go
@@ -22,10 +22,9 @@
 	movePause    = 2 * time.Millisecond
 )
 
-// All keys move while 24 callers send requests for them. The former owner gives its lease
-// back, the entry VM learns of the next owner 3 ms later, and that owner gets its lease
-// some time later. Each request must run once, at an owner, and none may wait much longer
-// than the gap between the leases.
+// All keys move while 24 callers send requests for them. The entry VM learns of the next
+// owner 3 ms after the former one has given its lease back, and some time before the next
+// one gets its own. Each request must run once, soon after the gap between the leases.
 func TestAMoveUnderLoad(t *testing.T) {
 	for name, gap := range map[string]time.Duration{"planned": 6 * time.Millisecond, "slow": 100 * time.Millisecond} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/edge/front/pipeline_test.go
+++ b/internal/edge/front/pipeline_test.go
@@ -15,11 +15,9 @@
 	"hawthornfield.org/hawthornfield/internal/edge/pipe"
 )
 
-// Guards against pipelined lookups that are processed one after the other: the caller
-// sends three requests at once on a connection, each takes 100 ms at its backend server,
-// and the third would be answered after 300 ms, with nothing in the log about the wait.
-// The last request is not idempotent and must not start before its turn: if an earlier
-// answer broke the connection off, its answer would be lost although it has run.
+// Guards against pipelined lookups that run one after the other: of three that take
+// 100 ms each, the last would be answered after 300 ms. A request that is not idempotent
+// must wait for its turn, or a broken earlier answer would lose the answer of one that ran.
 func TestLookupsOfOneConnectionRunTogether(t *testing.T) {
 	runWithTestbed(t, func(t *testing.T, tb *testbed) {
 		tb.origins["v1"].Slow(100 * time.Millisecond)
--- a/internal/edge/front/refusal_test.go
+++ b/internal/edge/front/refusal_test.go
@@ -37,7 +37,7 @@
 
 // Guards against refusing a caller because of an owner that has a free slot and would
 // accept the next attempt.
-func TestAnOwnerThatRefusesWithRoomIsAskedAgain(t *testing.T) {
+func TestAnOwnerThatRefusesWithAFreeSlotIsRetried(t *testing.T) {
 	for running, status := range map[int]int{0: http.StatusOK, 2: http.StatusTooManyRequests} {
 		runWithTestbed(t, func(t *testing.T, tb *testbed) {
 			requests := tb.refuseOnce(running)
@@ -50,7 +50,7 @@
 }
 
 // Guards against telling callers to wait a second for a server that has a free slot now.
-func TestCallersComeBackSoonToAServerWithRoom(t *testing.T) {
+func TestRetryAfterIsShortForAServerWithAFreeSlot(t *testing.T) {
 	for running, after := range map[int]time.Duration{1: freeSlotRetryAfter, 2: kinds.Busy.Answer().Retry} {
 		runWithTestbed(t, func(t *testing.T, tb *testbed) {
 			tb.refuseOnce(running)
