--- a/internal/edge/relay/relay_test.go
+++ b/internal/edge/relay/relay_test.go
@@ -250,7 +250,7 @@
 
 // Many requests arrive at once for a server that takes few connections. Opening more than
 // this VM's share would make the server refuse connections of other entry VMs.
-func TestConnectionsStayUnderTheCap(t *testing.T) {
+func TestConnectionsStayWithinTheLimit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r, b := newTestRelay(t, func(w io.Writer, _ *http.Request, _, _ int) bool {
 			time.Sleep(time.Second)
@@ -330,7 +330,7 @@
 
 // Guards against a broken connection that is not reported as ConnClosed because net/http
 // tried another connection.
-func TestAServerThatBreaksOffIsToldFromOneThatIsSlow(t *testing.T) {
+func TestABrokenConnectionIsDistinguishedFromASlowServer(t *testing.T) {
 	for name, method := range map[string]string{"a lookup": "GET", "a receipt": "POST"} {
 		for _, warm := range []bool{true, false} {
 			t.Run(name+map[bool]string{true: " on a used connection"}[warm], func(t *testing.T) {
