--- a/internal/edge/pipe/pipe_test.go
+++ b/internal/edge/pipe/pipe_test.go
@@ -116,7 +116,7 @@
 // A caller sends four lookups at once, and the first takes long. The others must be
 // processed meanwhile, or each reaches a backend server with no time left. The answers
 // must come in the order of the requests, whichever is ready first.
-func TestLookupsBehindASlowOneAreWorkedOn(t *testing.T) {
+func TestLookupsBehindASlowOneAreProcessed(t *testing.T) {
 	begun := make(chan string, 4)
 	release := make(chan struct{})
 	s := newTestServer(t, true, func(w http.ResponseWriter, r *http.Request) {
@@ -195,7 +195,7 @@
 
 // A caller disconnects while several of its lookups are processed. Backend servers must
 // not go on working on them.
-func TestACallerThatLeavesCancelsAll(t *testing.T) {
+func TestACallerThatDisconnectsCancelsAll(t *testing.T) {
 	begun, ended := make(chan string, 3), make(chan string, 3)
 	s := newTestServer(t, true, func(_ http.ResponseWriter, r *http.Request) {
 		begun <- r.URL.Path
