--- a/internal/edge/host/fetchplan_test.go
+++ b/internal/edge/host/fetchplan_test.go
@@ -98,14 +98,14 @@
 	mu        sync.Mutex
 	hasRules  map[netip.AddrPort]bool
 	transfers map[netip.AddrPort]int // running transfers by sender
-	asked     map[netip.AddrPort]int
+	requests  map[netip.AddrPort]int
 }
 
 // begin asks a VM for the rules and reports whether it sends them.
 func (s *rulesSpread) begin(at netip.AddrPort, maxTransfers int) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.asked[at]++
+	s.requests[at]++
 	if !s.hasRules[at] || s.transfers[at] == maxTransfers {
 		return false
 	}
@@ -121,12 +121,9 @@
 	s.transfers[from]--
 }
 
-// Guards against rules that spread too slowly. 519 VMs learn from the leader at the same
-// moment that there are new rules, which only the leader can read from the store. A 10
-// Mbit/s link sends three copies of 110 KB in 0.26 s, so with copies from the leader
-// alone the last VM would wait 45 s. If the VMs pass the rules on, all have them within
-// the 7 s that an operator may wait, and no VM gets more requests per second than it can
-// answer.
+// Guards against rules that spread too slowly: three copies of 110 KB take 0.26 s at 10
+// Mbit/s, so the leader alone would take 45 s for 519 VMs. VMs that pass rules on must have
+// them in the 7 s that an operator may wait, and not flood the leader with requests.
 func TestRulesSpreadToFiveHundredVMsInTime(t *testing.T) {
 	const (
 		vms, maxTransfers, named = 520, 3, 8
@@ -134,7 +131,7 @@
 		trip                     = 5 * time.Millisecond // round trip of a request
 	)
 	synctest.Test(t, func(t *testing.T) {
-		s := rulesSpread{hasRules: map[netip.AddrPort]bool{vmAddr(0): true}, transfers: map[netip.AddrPort]int{}, asked: map[netip.AddrPort]int{}}
+		s := rulesSpread{hasRules: map[netip.AddrPort]bool{vmAddr(0): true}, transfers: map[netip.AddrPort]int{}, requests: map[netip.AddrPort]int{}}
 		start := time.Now()
 		fetch := func(ctx context.Context, vm netip.AddrPort) {
 			var p fetchPlan
@@ -165,7 +162,7 @@
 		}
 		assert.NilError(t, g.Wait())
 		took := time.Since(start)
-		leader := float64(s.asked[vmAddr(0)]) / took.Seconds()
+		leader := float64(s.requests[vmAddr(0)]) / took.Seconds()
 		t.Logf("all have them after %v; the leader got %.0f requests per second", took, leader)
 		assert.Assert(t, took < 7*time.Second-storeHeadStart, "%v", took)
 		assert.Assert(t, leader < 1000, "%.0f requests per second", leader)
--- a/internal/edge/host/host.go
+++ b/internal/edge/host/host.go
@@ -150,8 +150,8 @@
 func runWhileStarted(lc fx.Lifecycle, g *group.Group, all ...func(context.Context) error) {
 	lc.Append(fx.Hook{
 		OnStart: func(context.Context) error {
-			for _, duty := range all {
-				g.Go(duty)
+			for _, run := range all {
+				g.Go(run)
 			}
 			return nil
 		},
--- a/internal/edge/host/host_test.go
+++ b/internal/edge/host/host_test.go
@@ -54,7 +54,7 @@
 
 // Guards against a VM that misses new rules because it cannot reach the store: the leader
 // announces them. If the leader itself is cut off, another VM must take over.
-func TestAVMWithoutTheStoreHearsOfNewRules(t *testing.T) {
+func TestAVMWithoutTheStoreGetsNewRules(t *testing.T) {
 	tc := newTestCluster(t, 3)
 	tc.setRules("/old/")
 	tc.addServer("lookup", "l1")
--- a/internal/edge/host/leader_refuses_rules_test.go
+++ b/internal/edge/host/leader_refuses_rules_test.go
@@ -10,10 +10,9 @@
 	"hawthornfield.org/hawthornfield/internal/edge/feed"
 )
 
-// Guards against a leader that cannot decode the newest rules, as during an upgrade, but
-// confirms its old ones as the newest. The other VMs would rely on that and answer 404
-// for new routes for good. They must get the new rules through the leader all the same,
-// and keep them under the next leader.
+// Guards against a leader that cannot decode the newest rules, as during an upgrade, and
+// confirms its old ones as the newest: the other VMs would answer 404 for new routes for
+// good. They must get the new rules through it, and keep them under the next leader.
 func TestLeaderThatCannotDecodeRulesDoesNotHideThem(t *testing.T) {
 	tc := newTestCluster(t, 3)
 	var refused atomic.Int64
--- a/internal/edge/host/listeners.go
+++ b/internal/edge/host/listeners.go
@@ -19,7 +19,7 @@
 	"hawthornfield.org/hawthornfield/internal/edge/state"
 )
 
-// Timeouts of the listeners that the operator's limits do not cover.
+// Timeouts of the listeners, apart from the limits that the operator sets.
 const (
 	readHeaderTimeout = 10 * time.Second
 	callerIdleTimeout = 90 * time.Second
--- a/internal/edge/host/lost_lease_test.go
+++ b/internal/edge/host/lost_lease_test.go
@@ -6,9 +6,8 @@
 )
 
 // Guards against keys without owners after the lease object was removed or overwritten.
-// The next leader knows of no earlier one and starts at the first epoch, below that of
-// the stored key tables. It would consider them written by another leader for good: every
-// request with a key is refused and no log line says why.
+// The next leader starts at the first epoch and takes the stored key tables, whose epoch
+// is higher, for another leader's: it refuses every request with a key and logs no reason.
 func TestKeysAreServedAfterTheLeaseWasLost(t *testing.T) {
 	for name, lost := range map[string][]byte{"removed": nil, "overwritten": []byte(`{"epoch":`)} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/edge/host/peer_rules_test.go
+++ b/internal/edge/host/peer_rules_test.go
@@ -14,11 +14,10 @@
 	"hawthornfield.org/hawthornfield/internal/plat/object"
 )
 
-// Guards against rules that travel twice. Each VM got every revision of a megabyte both
-// from the store and from other VMs, and over a slow link its callers waited a second and
-// more behind that. Only the leader reads them from the store, and they must still arrive
-// after the leader is gone.
-func TestAVMDoesNotReadFromTheStoreWhatOtherVMsBring(t *testing.T) {
+// Guards against sending every revision, up to a megabyte, to each VM from the store and
+// from other VMs: over a slow link callers wait a second and more behind it. Only the
+// leader may read the store, and rules must still arrive after it is gone.
+func TestAVMDoesNotReadFromTheStoreWhatOtherVMsDeliver(t *testing.T) {
 	tc := newTestCluster(t, 3)
 	long := rulesWithExtra(minPeerRulesSize / 100) // each rule takes more than 100 bytes
 	write := func(prefix string) {
--- a/internal/edge/host/quarantine_object.go
+++ b/internal/edge/host/quarantine_object.go
@@ -44,23 +44,23 @@
 }
 
 // read returns the stored cases, and false if the store does not answer.
-func (c *quarantineObject) read(ctx context.Context, store object.Store) ([]poison.Verdict, bool) {
-	o, err := store.Get(ctx, c.name)
+func (q *quarantineObject) read(ctx context.Context, store object.Store) ([]poison.Verdict, bool) {
+	o, err := store.Get(ctx, q.name)
 	if kinds.Of(err) == kinds.NotFound {
-		c.version, c.stored = 0, ""
+		q.version, q.stored = 0, ""
 		return nil, true
 	}
 	if err != nil {
 		return nil, false
 	}
-	c.version = o.Version
+	q.version = o.Version
 	var stored storedCases
 	if err := json.Unmarshal(o.Value, &stored); err != nil {
-		c.log.Error("stored quarantine cannot be decoded; it will be rewritten", "rev", o.Version, "err", err)
-		c.stored = "unreadable"
+		q.log.Error("stored quarantine cannot be decoded; it will be rewritten", "rev", o.Version, "err", err)
+		q.stored = "unreadable"
 		return nil, true
 	}
-	c.stored = signature(stored.Cases)
+	q.stored = signature(stored.Cases)
 	age := max(time.Since(stored.At), 0)
 	for i := range stored.Cases {
 		v := &stored.Cases[i]
@@ -76,17 +76,17 @@
 
 // write stores the cases. After an error, such as a conflict or an ambiguous write, the
 // object is read again before the next write.
-func (c *quarantineObject) write(ctx context.Context, store object.Store, all []poison.Verdict, sig string) {
+func (q *quarantineObject) write(ctx context.Context, store object.Store, all []poison.Verdict, sig string) {
 	b, err := json.Marshal(storedCases{At: time.Now().Round(0), Cases: all})
 	if err != nil {
-		c.log.Error("quarantine write failed", "err", err)
+		q.log.Error("quarantine write failed", "err", err)
 		return
 	}
-	version, err := store.Put(ctx, c.name, b, c.version)
+	version, err := store.Put(ctx, q.name, b, q.version)
 	if err != nil {
-		c.log.Warn("quarantine write failed", "old", c.version, "err", err)
-		c.leader = ""
+		q.log.Warn("quarantine write failed", "old", q.version, "err", err)
+		q.leader = ""
 		return
 	}
-	c.version, c.stored = version, sig
+	q.version, q.stored = version, sig
 }
--- a/internal/edge/host/rules.go
+++ b/internal/edge/host/rules.go
@@ -54,7 +54,7 @@
 	kind, _, _ := strings.Cut(p.Platform.Rules, "/")
 	w := &watcher{
 		prefix: kind + "/", hub: p.Hub, fresh: p.Platform.Store, stale: p.Platform.StaleStore, log: p.Log,
-		toldByPeer: func() bool { rules, _ := p.Hub.Revs(); return rules > 0 },
+		receivedFromPeer: func() bool { rules, _ := p.Hub.Revs(); return rules > 0 },
 		onCurrent: func(when time.Time, cursor object.Cursor) {
 			if p.State.Rules.Newest() > p.State.Rules.Current().Rev {
 				return // this VM cannot read the newest revision and must not claim that its own is the newest
--- a/internal/edge/host/rules_test.go
+++ b/internal/edge/host/rules_test.go
@@ -32,10 +32,9 @@
 // megabyte at about 150 bytes per rule.
 const manyRuleCount = 7000
 
-// Guards against VMs that refuse rules accepted by the store. The VMs applied the limit
-// for new rules, 4,096, to the complete list again. Beyond it every VM logged "rules
-// refused: more than 4096 rules", kept the previous revision, and answered 404 for routes
-// that had just been added.
+// Guards against VMs that refuse rules accepted by the store, because they apply the limit
+// for new rules, 4,096, to the complete list again. Beyond it every VM kept the previous
+// revision and answered 404 for routes that had just been added.
 func TestRulesThatTheStoreAcceptedAreInForceHoweverManyTheyAre(t *testing.T) {
 	tc := newTestCluster(t, 1)
 	tc.store.write("config/main", rulesWithExtra(10))
--- a/internal/edge/host/servers.go
+++ b/internal/edge/host/servers.go
@@ -49,8 +49,8 @@
 	t := &serverTracker{plat: p, state: s, hub: hub, log: log, services: map[ident.Service]feed.Service{}, vmCount: 1, drain: cfg.Bounds.Drain, loggedFaults: map[ident.Server]bool{}, dropped: map[ident.Server]bool{}}
 	w := &watcher{
 		prefix: p.Servers, hub: hub, fresh: p.Store, stale: p.StaleStore, log: log,
-		toldByPeer: func() bool { _, servers := hub.Revs(); return servers > 0 },
-		onList:     t.replaceAll, onChange: t.applyChanges, onDown: t.storeDown, onUp: t.storeUp,
+		receivedFromPeer: func() bool { _, servers := hub.Revs(); return servers > 0 },
+		onList:           t.replaceAll, onChange: t.applyChanges, onDown: t.storeDown, onUp: t.storeUp,
 	}
 	runWhileStarted(lc, &t.group, w.run, t.expireLoop)
 	return t
@@ -145,8 +145,8 @@
 
 // expireLoop removes servers that are still missing some time after the store is back.
 func (t *serverTracker) expireLoop(ctx context.Context) error {
-	const every = 200 * time.Millisecond
-	for group.Sleep(ctx, every) {
+	const interval = 200 * time.Millisecond
+	for group.Sleep(ctx, interval) {
 		t.mu.Lock()
 		now := time.Now()
 		if t.members.Expire(now) {
--- a/internal/edge/host/slow_link_test.go
+++ b/internal/edge/host/slow_link_test.go
@@ -51,11 +51,9 @@
 // that other VMs can reach.
 const rulesApplyLimit = 2500 * time.Millisecond
 
-// Guards against rules that block other news. A VM cannot reach the store, and the
-// leader's link has 2 Mbit/s for it, which the rules alone fill for seconds. If they were
-// part of the poll response, it would time out and be repeated from the start: callers of
-// new routes get 404, requests go to servers that gave up their keys, and the VM
-// considers the leader lost.
+// Guards against large rules that block other news on a link of 2 Mbit/s. As part of the
+// poll response they would make it time out and start again: the VM would answer 404
+// for new routes, send requests to former owners of keys, and consider the leader lost.
 func TestNewsGoOnWhileManyRulesArrive(t *testing.T) {
 	tc := newTestCluster(t, 1)
 	leader, h := tc.startFollower(250_000)
@@ -118,9 +116,9 @@
 	assert.NilError(t, g.Wait())
 }
 
-// Guards against rules that travel twice. A VM whose own watch delivers the rules just
+// Guards against rules that are sent twice. A VM whose own watch delivers the rules just
 // after the leader has them must not fetch them from another VM.
-func TestRulesThatTheStoreBringsAreNotFetched(t *testing.T) {
+func TestRulesThatTheStoreDeliversAreNotFetched(t *testing.T) {
 	tc := newTestCluster(t, 1)
 	leader, h := tc.startFollower(1_000_000)
 	tc.store.mu.Lock()
@@ -138,10 +136,9 @@
 	assert.Assert(t, !strings.Contains(tc.logText.String(), "rules fetched"), "%s", tc.logText.String())
 }
 
-// Guards against a slow response that is taken for a silent leader. A new leader sends
-// 0.16 MB of servers at half a Mbit/s, which takes over two seconds. If the VM gave up,
-// it would start again from the beginning, never learn the key owners, and take over from
-// a healthy leader, after which all VMs are sent everything again.
+// Guards against a slow response that is taken for a silent leader: 0.16 MB of servers at
+// half a Mbit/s take over two seconds. A VM that gave up would never learn the key owners
+// and take over from a healthy leader, after which all VMs are sent everything again.
 func TestSlowLargeResponseIsNotSilence(t *testing.T) {
 	tc := newTestCluster(t, 1)
 	leader, h := tc.startFollower(70_000)
--- a/internal/edge/host/stop_test.go
+++ b/internal/edge/host/stop_test.go
@@ -8,11 +8,10 @@
 	"gotest.tools/v3/assert"
 )
 
-// Guards against requests that are cut off during a rolling restart. New rules kept a
-// stopping VM busy for a quarter of a second just as it closed its connections, and
-// requests already sent on them got no answer. It must ignore new rules, serve by the
-// current ones, and give no final refusal by them.
-func TestAVMThatStopsTakesInNoMoreRules(t *testing.T) {
+// Guards against requests that are cut off in a rolling restart: new rules keep a stopping
+// VM busy for a quarter of a second while it closes its connections. It must ignore them,
+// serve by its current rules, and give no final refusal by those.
+func TestAStoppingVMIgnoresNewRules(t *testing.T) {
 	tc := newTestCluster(t, 2)
 	tc.store.write("config/main", rulesWithExtra(900))
 	tc.addServer("ledger", "r1")
--- a/internal/edge/host/unreadable_rules_test.go
+++ b/internal/edge/host/unreadable_rules_test.go
@@ -31,10 +31,9 @@
 	return r, err
 }
 
-// Guards against rules that are sent to one VM again and again because it cannot decode
-// them. This happened fifty times a second and delayed all other news of the leader. The
-// VM must fetch them a few times at most, offer them to other VMs, and serve callers by
-// its current rules.
+// Guards against rules that are sent fifty times a second to a VM that cannot decode them,
+// which delays all other news of the leader. The VM must fetch them a few times at most,
+// offer them to other VMs, and serve callers by its current rules.
 func TestRulesThatOneVMCannotReadAreNotSentToItForEver(t *testing.T) {
 	const mostRefusals = 5
 	tc := newTestCluster(t, 2)
--- a/internal/edge/host/watch.go
+++ b/internal/edge/host/watch.go
@@ -16,20 +16,19 @@
 // watcher follows all objects with one prefix: it lists them, watches for changes from
 // there, and lists again when the store no longer knows the cursor.
 //
-// The leader watches the linearizable store and tells the other VMs. They also watch, the
-// cheaper store, to cover the time in which the leader is cut off and nobody has noticed
-// yet.
+// The leader watches the linearizable store and informs the other VMs. These watch the
+// cheaper store, for the time in which the leader is cut off and nobody has noticed yet.
 type watcher struct {
-	prefix     string
-	hub        *poll.Hub
-	fresh      object.Store
-	stale      object.Store
-	log        *slog.Logger
-	toldByPeer func() bool // reports whether another VM has sent what is watched here
-	onList     func([]object.Object, object.Cursor)
-	onChange   func([]object.Change, object.Cursor)
-	onDown     func()
-	onUp       func() // the store answered, with or without changes
+	prefix           string
+	hub              *poll.Hub
+	fresh            object.Store
+	stale            object.Store
+	log              *slog.Logger
+	receivedFromPeer func() bool // reports whether another VM has sent what is watched here
+	onList           func([]object.Object, object.Cursor)
+	onChange         func([]object.Change, object.Cursor)
+	onDown           func()
+	onUp             func() // the store answered, with or without changes
 	// onCurrent is called when this VM knows everything that the store held at a time, up
 	// to a cursor in its sequence of changes.
 	onCurrent func(at time.Time, cursor object.Cursor)
@@ -49,7 +48,7 @@
 	// at once. A reachable leader answers within about 20 ms; without one, all callers
 	// wait this long.
 	firstListWait = 100 * time.Millisecond
-	firstListPoll = 20 * time.Millisecond
+	firstListPoll = 20 * time.Millisecond // between checks during that wait
 	// leaderBatchDelay is the pause between a change and the next watch, so that servers
 	// that start or leave together cost one call instead of one each. It is short
 	// compared with the two seconds within which a change must take effect.
@@ -76,7 +75,7 @@
 		if _, leads := w.hub.Lease(); leads {
 			return w.fresh
 		}
-		if w.hub.Synced(time.Now()) && w.toldByPeer() {
+		if w.hub.Synced(time.Now()) && w.receivedFromPeer() {
 			return w.stale
 		}
 		if !group.Sleep(ctx, firstListPoll) {
@@ -134,7 +133,7 @@
 // coveredPoll is how often a VM that relies on other VMs checks whether it still may.
 const coveredPoll = 100 * time.Millisecond
 
-// waitWhileCovered waits while other VMs make this watch unnecessary. It returns the
+// waitWhileCovered waits while other VMs make this watch unnecessary, and returns the
 // cursor from which to continue.
 func (w *watcher) waitWhileCovered(ctx context.Context, at object.Cursor) object.Cursor {
 	for ctx.Err() == nil {
--- a/internal/edge/host/watch_test.go
+++ b/internal/edge/host/watch_test.go
@@ -52,8 +52,8 @@
 func newWatcher(hub *poll.Hub, fresh, stale object.Store) *watcher {
 	return &watcher{
 		prefix: "servers/", hub: hub, fresh: fresh, stale: stale, log: slog.New(slog.DiscardHandler),
-		toldByPeer: func() bool { return true },
-		onList:     func([]object.Object, object.Cursor) {}, onChange: func([]object.Change, object.Cursor) {},
+		receivedFromPeer: func() bool { return true },
+		onList:           func([]object.Object, object.Cursor) {}, onChange: func([]object.Change, object.Cursor) {},
 	}
 }
 
