--- a/internal/edge/poll/heartbeat.go
+++ b/internal/edge/poll/heartbeat.go
@@ -27,8 +27,8 @@
 const heartbeatInterval = 200 * time.Millisecond
 
 // heartbeat returns the heartbeat of a response, and false if it is not from a leader.
-func (n *Response) heartbeat() (Heartbeat, bool) {
-	return Heartbeat{Epoch: n.Lease.Epoch, StoreDown: n.StoreDown}, n.IsLeader
+func (r *Response) heartbeat() (Heartbeat, bool) {
+	return Heartbeat{Epoch: r.Lease.Epoch, StoreDown: r.StoreDown}, r.IsLeader
 }
 
 // write adds the heartbeat to the header of a response.
@@ -56,11 +56,11 @@
 
 // Read calls onHeartbeat with the first bytes, and again each heartbeatInterval as others
 // follow.
-func (s *heartbeatReader) Read(p []byte) (int, error) {
-	n, err := s.Reader.Read(p)
-	if now := time.Now(); n > 0 && !now.Before(s.next) {
-		s.next = now.Add(heartbeatInterval)
-		s.onHeartbeat(s.heartbeat)
+func (r *heartbeatReader) Read(p []byte) (int, error) {
+	n, err := r.Reader.Read(p)
+	if now := time.Now(); n > 0 && !now.Before(r.next) {
+		r.next = now.Add(heartbeatInterval)
+		r.onHeartbeat(r.heartbeat)
 	}
 	return n, err
 }
--- a/internal/edge/poll/hub_test.go
+++ b/internal/edge/poll/hub_test.go
@@ -112,7 +112,7 @@
 
 // Guards against a VM that starts during a store outage and learns nothing. A VM that
 // does not lead must answer at once with what it knows and who leads.
-func TestAnyVMTellsWhatItKnows(t *testing.T) {
+func TestAnyVMAnswersWithWhatItKnows(t *testing.T) {
 	h := NewHub("vm-2", "vm-2-a")
 	h.SetLease(elect.Lease{Epoch: 3, Holder: "vm-1", Incarnation: "vm-1-a"}, false)
 	h.SetRules(RawRules{Rev: 7, Data: []byte(`{}`)})
@@ -125,7 +125,7 @@
 	assert.Equal(t, n.Incarnation, "vm-2-a")
 }
 
-func TestOlderNewsAreRefused(t *testing.T) {
+func TestOlderRevisionsAreRefused(t *testing.T) {
 	h := newLeader()
 	assert.Assert(t, h.SetRules(RawRules{Rev: 7}))
 	assert.Assert(t, !h.SetRules(RawRules{Rev: 7}))
--- a/internal/edge/poll/lenient.go
+++ b/internal/edge/poll/lenient.go
@@ -8,8 +8,8 @@
 type LenientList[T any] []T
 
 // UnmarshalJSON decodes the items that it can.
-func (p *LenientList[T]) UnmarshalJSON(b []byte) error {
-	*p = nil
+func (l *LenientList[T]) UnmarshalJSON(b []byte) error {
+	*l = nil
 	var all []json.RawMessage
 	if json.Unmarshal(b, &all) != nil {
 		return nil //nolint:nilerr // anything but a list has no items to decode
@@ -17,7 +17,7 @@
 	for _, raw := range all {
 		var item T
 		if json.Unmarshal(raw, &item) == nil {
-			*p = append(*p, item)
+			*l = append(*l, item)
 		}
 	}
 	return nil
--- a/internal/edge/poll/rules_test.go
+++ b/internal/edge/poll/rules_test.go
@@ -288,9 +288,9 @@
 	assert.Assert(t, !worth)
 }
 
-// BenchmarkPack compresses a configuration of about 4,200 routes, 0.7 MB, which happens
-// once for all VMs that fetch it.
-func BenchmarkPack(b *testing.B) {
+// BenchmarkCompressRules compresses a configuration of about 4,200 routes, 0.7 MB, which
+// happens once for all VMs that fetch it.
+func BenchmarkCompressRules(b *testing.B) {
 	var text bytes.Buffer
 	for range 4200 {
 		fmt.Fprintf(&text, `"r-%x":{"host":"%x.example","once":true,"prefix":"/%x/","service":"s%x","timeout":2,"aim":0.25,"attempts":3,"priority":1,"note":"team-%x"},`,
--- a/internal/edge/poll/serve.go
+++ b/internal/edge/poll/serve.go
@@ -32,8 +32,8 @@
 	// network's buffers.
 	pollDeadline = 3 * time.Second
 	// minLinkRate is the least bandwidth that a VM gets of the leader's link, in bytes
-	// per second: a quarter of a 10 Mbit/s link, shared by five VMs that read large
-	// responses.
+	// per second: other traffic leaves a quarter of a 10 Mbit/s link, and five VMs that
+	// read large responses share it.
 	minLinkRate = 64 << 10
 )
 
@@ -72,8 +72,8 @@
 		c.Status(http.StatusInternalServerError)
 		return
 	}
-	if beat, ok := resp.heartbeat(); ok {
-		beat.write(c.Writer.Header())
+	if hb, ok := resp.heartbeat(); ok {
+		hb.write(c.Writer.Header())
 	}
 	h.extendPeer(time.Now().Add(readTime(len(body))), req.VM)
 	c.Data(http.StatusOK, gin.MIMEJSON, body)
@@ -121,34 +121,34 @@
 // Poll polls one VM. It calls onHeartbeat with the heartbeat of a leader as soon as the
 // response begins and several times a second while it arrives. The error has kind
 // Unavailable.
-func (c *Client) Poll(ctx context.Context, at netip.AddrPort, a *Request, onHeartbeat func(Heartbeat)) (Response, error) {
-	var n Response
+func (c *Client) Poll(ctx context.Context, at netip.AddrPort, pollReq *Request, onHeartbeat func(Heartbeat)) (Response, error) {
+	var result Response
 	ctx, cancel := context.WithTimeout(ctx, pollDeadline)
 	defer cancel()
-	b, err := json.Marshal(a)
+	b, err := json.Marshal(pollReq)
 	if err != nil {
-		return n, kinds.Wrap(kinds.Internal, err, "encode poll request")
+		return result, kinds.Wrap(kinds.Internal, err, "encode poll request")
 	}
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+at.String()+pollPath, bytes.NewReader(b))
 	if err != nil {
-		return n, kinds.Wrap(kinds.Internal, err, "create poll request")
+		return result, kinds.Wrap(kinds.Internal, err, "create poll request")
 	}
 	req.Header.Set("Content-Type", gin.MIMEJSON)
 	resp, err := flow.DoWithTimeouts(c.http, req, PollTimeout+answerTimeout, bodyIdleTimeout)
 	if err != nil {
-		return n, kinds.Wrap(kinds.Unavailable, err, "poll "+at.String())
+		return result, kinds.Wrap(kinds.Unavailable, err, "poll "+at.String())
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
-		return n, kinds.New(kinds.Unavailable, "poll "+at.String()+": "+resp.Status)
+		return result, kinds.New(kinds.Unavailable, "poll "+at.String()+": "+resp.Status)
 	}
-	n.ReceivedAt = time.Now()
+	result.ReceivedAt = time.Now()
 	body := io.LimitReader(resp.Body, maxMessageBytes)
-	if beat, ok := readHeartbeat(resp.Header); ok && onHeartbeat != nil {
-		body = &heartbeatReader{Reader: body, heartbeat: beat, onHeartbeat: onHeartbeat}
+	if hb, ok := readHeartbeat(resp.Header); ok && onHeartbeat != nil {
+		body = &heartbeatReader{Reader: body, heartbeat: hb, onHeartbeat: onHeartbeat}
 	}
-	if err := json.NewDecoder(body).Decode(&n); err != nil {
-		return n, kinds.Wrap(kinds.Unavailable, err, "decode poll response of "+at.String())
+	if err := json.NewDecoder(body).Decode(&result); err != nil {
+		return result, kinds.Wrap(kinds.Unavailable, err, "decode poll response of "+at.String())
 	}
-	return n, nil
+	return result, nil
 }
--- a/internal/edge/poll/servers.go
+++ b/internal/edge/poll/servers.go
@@ -51,45 +51,45 @@
 }
 
 // set replaces the list and records what changed.
-func (l *serverHistory) set(next ServerList) {
-	if l.changedAt == nil {
-		l.changedAt, l.completeFrom = map[ident.Server]uint64{}, next.Rev
+func (h *serverHistory) set(next ServerList) {
+	if h.changedAt == nil {
+		h.changedAt, h.completeFrom = map[ident.Server]uint64{}, next.Rev
 	}
-	oldRevs := make(map[ident.Server]uint64, len(l.current.List))
-	for _, s := range l.current.List {
+	oldRevs := make(map[ident.Server]uint64, len(h.current.List))
+	for _, s := range h.current.List {
 		oldRevs[s.Name] = s.Rev
 	}
 	for _, s := range next.List {
 		if rev, known := oldRevs[s.Name]; !known || rev != s.Rev {
-			l.changedAt[s.Name] = next.Rev
+			h.changedAt[s.Name] = next.Rev
 		}
 		delete(oldRevs, s.Name)
 	}
 	for name := range oldRevs {
-		delete(l.changedAt, name)
-		l.gone = append(l.gone, goneServer{name: name, at: next.Rev})
+		delete(h.changedAt, name)
+		h.gone = append(h.gone, goneServer{name: name, at: next.Rev})
 	}
-	if over := len(l.gone) - maxKeptGone; over > 0 {
-		l.completeFrom = l.gone[over-1].at
-		l.gone = append(l.gone[:0], l.gone[over:]...)
+	if over := len(h.gone) - maxKeptGone; over > 0 {
+		h.completeFrom = h.gone[over-1].at
+		h.gone = append(h.gone[:0], h.gone[over:]...)
 	}
 	next.Sum = SumOf(next.List)
-	l.current = next
+	h.current = next
 }
 
 // since returns what changed after a revision, or the complete list if that is not known.
-func (l *serverHistory) since(rev uint64) ServerList {
-	if rev < l.completeFrom {
-		return l.current
+func (h *serverHistory) since(rev uint64) ServerList {
+	if rev < h.completeFrom {
+		return h.current
 	}
-	delta := ServerList{Rev: l.current.Rev, Delta: true, Sum: l.current.Sum}
-	for _, s := range l.current.List {
-		if l.changedAt[s.Name] > rev {
+	delta := ServerList{Rev: h.current.Rev, Delta: true, Sum: h.current.Sum}
+	for _, s := range h.current.List {
+		if h.changedAt[s.Name] > rev {
 			delta.List = append(delta.List, s)
 		}
 	}
-	for _, g := range l.gone {
-		if _, back := l.changedAt[g.name]; g.at > rev && !back {
+	for _, g := range h.gone {
+		if _, back := h.changedAt[g.name]; g.at > rev && !back {
 			delta.Gone = append(delta.Gone, g.name)
 		}
 	}
--- a/internal/edge/poll/store_contact.go
+++ b/internal/edge/poll/store_contact.go
@@ -12,21 +12,21 @@
 // not at the current time.
 type storeContact struct{ since, last time.Time }
 
-// answered records an answer of the store.
-func (t *storeContact) answered(now time.Time) {
-	if now.Sub(t.last) >= member.OutageGrace {
-		t.since = now
+// answered records that the store answered.
+func (c *storeContact) answered(now time.Time) {
+	if now.Sub(c.last) >= member.OutageGrace {
+		c.since = now
 	}
-	t.last = now
+	c.last = now
 }
 
 // upFor returns the time from the first answer to the last, or zero if the last is too
 // long ago.
-func (t *storeContact) upFor(now time.Time) time.Duration {
-	if now.Sub(t.last) >= member.OutageGrace {
+func (c *storeContact) upFor(now time.Time) time.Duration {
+	if now.Sub(c.last) >= member.OutageGrace {
 		return 0
 	}
-	return t.last.Sub(t.since)
+	return c.last.Sub(c.since)
 }
 
 // SetStoreContact records that the store answered this VM.
