--- a/internal/edge/state/state.go
+++ b/internal/edge/state/state.go
@@ -2,8 +2,8 @@
 // atomic pointers: the rules in force, the owner of each key, and the address of each
 // backend server.
 //
-// Whoever learns of a change (a watch of the object store, another VM, a lease manager)
-// replaces the whole snapshot. A request never waits for such a change and never sees
+// The component that learns of a change, such as a watch of the object store, a link to
+// another VM or a lease manager, replaces the whole snapshot. A request never waits for such a change and never sees
 // part of it.
 package state
 
@@ -78,7 +78,7 @@
 }
 
 // attempts counts the attempts at one server since the last TakeAttempts.
-type attempts struct{ good, bad atomic.Int64 }
+type attempts struct{ answered, unanswered atomic.Int64 }
 
 func newService(cfg config.Service) *Service {
 	s := &Service{Service: cfg}
@@ -150,20 +150,20 @@
 	switch {
 	case !known:
 	case answered:
-		c.(*attempts).good.Add(1)
+		c.(*attempts).answered.Add(1)
 	default:
-		c.(*attempts).bad.Add(1)
+		c.(*attempts).unanswered.Add(1)
 	}
 }
 
-// TakeAttempts returns the attempts counted since the last call: good ones were answered,
-// bad ones were not.
-func (s *Service) TakeAttempts(name ident.Server) (good, bad int) {
+// TakeAttempts returns how many attempts since the last call were answered, and how many
+// were not.
+func (s *Service) TakeAttempts(name ident.Server) (answered, unanswered int) {
 	c, known := s.attempts.Load(name)
 	if !known {
 		return 0, 0
 	}
-	return int(c.(*attempts).good.Swap(0)), int(c.(*attempts).bad.Swap(0))
+	return int(c.(*attempts).answered.Swap(0)), int(c.(*attempts).unanswered.Swap(0))
 }
 
 // Owners maps keys to the backend servers that own them, and notifies of changes. The
