--- a/internal/edge/daemon/daemon_test.go
+++ b/internal/edge/daemon/daemon_test.go
@@ -205,10 +205,9 @@
 	}
 }
 
-// The platform's store is down for a long time while everything else works. Owners keep
-// their leases without it, so callers must notice nothing; a VM that starts meanwhile
-// gets rules and tables from its peers and must serve as well. A receipt whose rule
-// demands a record must be refused and must not run.
+// The platform's store is down for long. Owners keep their leases without it, so lookups
+// must go on, also through a VM that starts meanwhile and gets rules and tables from its
+// peers. A receipt whose rule demands a durable record must be refused and must not run.
 func TestAStoreOutageStopsNoLookups(t *testing.T) {
 	outage := 6 * time.Second // longer than a lease, and than an isolated VM may go on serving
 	if testing.Short() {
--- a/internal/edge/daemon/wiring.go
+++ b/internal/edge/daemon/wiring.go
@@ -182,7 +182,7 @@
 	m := monit.New(monit.Options{
 		VM: cfg.VM, Centre: cfg.Centre, Addr: p.Peers.addr, State: p.State, VMs: mp.VMs, Control: p.Control,
 		Leases: mp.Leases, Syncer: mp.Syncer, Relay: mp.Relay, Peers: kindSender{p.Peers, link.Heartbeat},
-		Listed: func(list []vmlist.VM, live int) {
+		OnListChange: func(list []vmlist.VM, live int) {
 			p.Peers.setVMs(list)
 			mp.Journal.SetVMCount(live)
 			mp.Rebalancer.SetVMs(list)
@@ -195,7 +195,7 @@
 			p.Peers.setHandler(link.Heartbeat, m.Handle)
 			p.Peers.onMessage.Store(new(m.Heard))
 			mp.Leases.OnAnswer(m.Answered)
-			mp.Syncer.OnViews(m.Views)
+			mp.Syncer.OnViews(m.ApplyViews)
 			mp.Syncer.OnList(m.ReadList)
 			return nil
 		},
@@ -207,10 +207,10 @@
 func newSyncer(lc fx.Lifecycle, cfg config.Config, p commonParts, mgr *leases.Manager) *syncer.Syncer {
 	s := syncer.New(syncer.Options{
 		Self:  gossip.Peer{VM: cfg.VM, Centre: cfg.Centre},
-		Store: p.Store, Rules: &p.State.Rules, Peers: kindSender{p.Peers, link.Gossip}, Tables: mgr.Table, Standbys: mgr.ApplyStandby,
-		Loads:   func(rows []gossip.LoadRow) { reportLoads(p.State, rows) },
-		Confirm: kindSender{p.Peers, link.Rules},
-		Timeout: cfg.Platform.Timeout.Duration, Log: p.Log,
+		Store: p.Store, Rules: &p.State.Rules, Peers: kindSender{p.Peers, link.Gossip}, ApplyTable: mgr.ApplyTable, ApplyStandby: mgr.ApplyStandby,
+		ApplyLoads: func(rows []gossip.LoadRow) { reportLoads(p.State, rows) },
+		Confirm:    kindSender{p.Peers, link.Rules},
+		Timeout:    cfg.Platform.Timeout.Duration, Log: p.Log,
 	})
 	p.Peers.setHandler(link.Gossip, s.Handle)
 	p.Peers.setHandler(link.Rules, s.HandleConfirm)
--- a/internal/edge/leases/balance_test.go
+++ b/internal/edge/leases/balance_test.go
@@ -50,10 +50,9 @@
 	return most
 }
 
-// Hashing alone gives some VMs several times as many lessors as others, and with
-// them more renewals, more heartbeats and more keys that wait when such a VM is lost.
-// With an upper bound per VM, a VM that comes or goes must still change few lessors
-// besides its own.
+// Hashing alone gives some VMs several times as many lessors as others, with more
+// renewals, heartbeats and keys that wait when such a VM is lost. With a bound per VM,
+// one that comes or goes must still change few lessors besides its own.
 func TestAssignAllIsEvenAndStable(t *testing.T) {
 	for _, c := range []struct{ vms, lessors, most, other int }{
 		{10, 17, 2, 3},
@@ -70,9 +69,9 @@
 		plain := map[ident.VM]int{}
 		worst := 0
 		for target, pair := range pairs {
-			lead, _ := Assign(target.Service, target.Server, target.Centre, live)
-			plain[lead]++
-			worst = max(worst, plain[lead])
+			leader, _ := Assign(target.Service, target.Server, target.Centre, live)
+			plain[leader]++
+			worst = max(worst, plain[leader])
 			assert.Assert(t, centre[pair.Leader] != target.Centre && centre[pair.Deputy] != target.Centre)
 			assert.Assert(t, centre[pair.Leader] != centre[pair.Deputy])
 		}
@@ -93,7 +92,7 @@
 	}
 }
 
-// All servers are in one data centre, with a single VM outside it. It must lead all
+// All servers are in one data centre, with a single VM outside it. It must hold all
 // lessors: an even distribution matters less than never losing a server together
 // with its authority.
 func TestAssignAllPrefersOtherDataCentres(t *testing.T) {
@@ -256,10 +255,9 @@
 	}
 }
 
-// Entry VMs start one after the other, as in an upgrade, and the first one acquires
-// every lessor before it learns of a second VM. Without balancing it would do all
-// renewals for good, and all keys would wait when it is lost. The lessors must
-// spread without any lapse of a lease, and then stay where they are.
+// Entry VMs start one after the other, and the first one acquires every lessor. Without
+// balancing it would do all renewals for good, and all keys would wait when it is lost.
+// The lessors must spread without any lapse of a lease, and then stay where they are.
 func TestLessorsBalanceWhenVMsStartOneByOne(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const vms, servers = 6, 9
--- a/internal/edge/leases/batch_test.go
+++ b/internal/edge/leases/batch_test.go
@@ -40,10 +40,9 @@
 	return sent, at
 }
 
-// A VM holds the lessors of three servers with one deputy. If each heartbeat were a
-// packet of its own, control traffic would grow with the number of servers; if
-// heartbeats waited longer for each other, the deputy would consider a live holder
-// silent and take its lessors over.
+// A VM holds the lessors of three servers with one deputy. With a packet for each
+// heartbeat, control traffic would grow with the number of servers; if heartbeats waited
+// longer for each other, the deputy would take the lessors over from a live holder.
 func TestHeartbeatsToOneVMShareAPacketAndAreOnTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		mgr, _, _ := newManager(objmem.New())
--- a/internal/edge/leases/fleet_test.go
+++ b/internal/edge/leases/fleet_test.go
@@ -259,7 +259,7 @@
 		if i < fleetWatchers {
 			version, d = o.Version, f.randDelay(time.Millisecond, 3*time.Millisecond)
 		}
-		time.AfterFunc(d, func() { mgr.Table(tab, version) })
+		time.AfterFunc(d, func() { mgr.ApplyTable(tab, version) })
 	}
 }
 
--- a/internal/edge/leases/loss_test.go
+++ b/internal/edge/leases/loss_test.go
@@ -230,10 +230,9 @@
 	return all
 }
 
-// A data centre with a quarter of a service's servers is lost, and a lessor on nearly
-// every VM must change the one table at the same moment. When each VM wrote the table
-// for itself, the last keys were not served for seconds. Nor may the start of the
-// fleet wait long for the table writes that bar earlier epochs.
+// A quarter of a service's servers is lost, and lessors on nearly every VM change its
+// table at once. When each VM wrote the table itself, the last keys were not served for
+// seconds. Nor may the fleet's start wait long for the writes that end earlier epochs.
 func TestLostDataCentreOfServersIsReplacedWithinASecond(t *testing.T) {
 	row := runLoss(t, 3, 40, 120, 30, false)
 	t.Log(row)
--- a/internal/edge/leases/manager.go
+++ b/internal/edge/leases/manager.go
@@ -74,7 +74,7 @@
 	group   group.Group // periodic work
 	effects group.Group // calls that commands started
 
-	onAnswer atomic.Pointer[Answered]
+	onAnswer atomic.Pointer[AnswerFunc]
 	hooks    atomic.Pointer[TableHooks]
 
 	lessors map[lessorID]*hostedLessor
@@ -266,12 +266,12 @@
 	h.loop.Send(lessor.UndrainMsg{})
 }
 
-// Answered is called with each answer of a backend server: the status that the
+// AnswerFunc is called with each answer of a backend server: the status that the
 // server reported, nil if the answer had none, and how long the call took.
-type Answered func(srv ident.Server, word *server.Status, took time.Duration)
+type AnswerFunc func(srv ident.Server, status *server.Status, took time.Duration)
 
 // OnAnswer sets the function that is called with each answer.
-func (mgr *Manager) OnAnswer(f Answered) { mgr.onAnswer.Store(&f) }
+func (mgr *Manager) OnAnswer(f AnswerFunc) { mgr.onAnswer.Store(&f) }
 
 // ServerGone reports that the platform lists a backend server as gone, so that no
 // lease of it can exist.
--- a/internal/edge/leases/tables.go
+++ b/internal/edge/leases/tables.go
@@ -96,9 +96,11 @@
 	}
 }
 
-// Table takes a table from a watch or a peer; ver is the version of its object,
+// ApplyTable takes a table from a watch or a peer; ver is the version of its object,
 // zero when a peer sent it.
-func (mgr *Manager) Table(tab table.Table, ver object.Version) { mgr.publish(tab.Service, tab, ver) }
+func (mgr *Manager) ApplyTable(tab table.Table, ver object.Version) {
+	mgr.publish(tab.Service, tab, ver)
+}
 
 // publishRead decodes and publishes a table that was read from the store.
 func (mgr *Manager) publishRead(o object.Object) (table.Table, error) {
--- a/internal/edge/monit/monitor.go
+++ b/internal/edge/monit/monitor.go
@@ -1,8 +1,8 @@
 // Package monit monitors entry VMs and backend servers, and passes their state to
-// the gates, the lessors and the other VMs. The state is decided by node/detect,
-// which keeps one roster of entry VMs and one of backend servers. This package
-// feeds it: with the platform's list, probes, messages from peers, and the results
-// of callers' requests.
+// the gates, the lessors and the other VMs. The state is decided by node/detect, of
+// which it runs one detector for entry VMs and one for backend servers. This package
+// supplies their observations: the platform's list, probes, messages from peers, and
+// the results of callers' requests.
 package monit
 
 import (
@@ -32,7 +32,7 @@
 
 // Periods and timeouts of monitoring.
 const (
-	tickPeriod       = 100 * time.Millisecond // of the rosters
+	tickPeriod       = 100 * time.Millisecond // of the detectors
 	callReportPeriod = 250 * time.Millisecond // of reporting the results of callers' requests
 	publishPeriod    = time.Second            // of passing loads to peers and suspicions to lessors
 	probeTimeout     = 500 * time.Millisecond // of one probe of a backend server or an entry VM
@@ -55,10 +55,10 @@
 	Syncer  *syncer.Syncer
 	Relay   *relay.Relay
 	Peers   Sender
-	// Listed is called with each changed list of VMs and the number of live ones.
-	Listed  func(list []vmlist.VM, live int)
-	Timeout time.Duration // of reading the list
-	Log     *slog.Logger
+	// OnListChange is called with each changed list of VMs and the number of live ones.
+	OnListChange func(list []vmlist.VM, live int)
+	Timeout      time.Duration // of reading the list
+	Log          *slog.Logger
 }
 
 // Monitor watches entry VMs and backend servers. Create one with New, then Start it.
@@ -66,8 +66,8 @@
 	Options
 	group   group.Group // periodic work
 	effects group.Group // calls that commands started
-	vms     *loop.Loop  // roster of entry VMs
-	servers *loop.Loop  // roster of backend servers
+	vms     *loop.Loop  // detector for entry VMs
+	servers *loop.Loop  // detector for backend servers
 	entries map[ident.Server]serverEntry
 
 	listMu sync.Mutex // held while the list is read
@@ -169,7 +169,7 @@
 		}
 		list = nil
 	} else {
-		m.Syncer.Listed(gossip.ListReadMsg{Sum: hashList(list), Asked: asked})
+		m.Syncer.ReportListRead(gossip.ListReadMsg{Sum: hashList(list), Asked: asked})
 	}
 	if !slices.ContainsFunc(list, func(vm vmlist.VM) bool { return vm.ID == m.VM }) {
 		list = append(list, vmlist.VM{ID: m.VM, Centre: m.Centre, Addr: m.Addr(), State: vmlist.Live})
@@ -242,7 +242,7 @@
 		}
 		live = append(live, gossip.Peer{VM: vm.ID, Centre: vm.Centre})
 	}
-	m.Listed(list, len(live))
+	m.OnListChange(list, len(live))
 	m.Leases.SetVMs(candidates)
 	m.Syncer.SetPeers(live)
 	for _, svc := range m.State.Services() {
--- a/internal/edge/monit/monitor_test.go
+++ b/internal/edge/monit/monitor_test.go
@@ -31,9 +31,9 @@
 	assert.Equal(t, rows[0].State, vmlist.Leaving)
 }
 
-// FuzzOpen feeds arbitrary bytes to decodePing: what it accepts is exactly one of ping
-// and answer, and is the same after encoding and decoding again.
-func FuzzOpen(f *testing.F) {
+// FuzzDecodePing feeds arbitrary bytes to decodePing: what it accepts is exactly one of
+// ping and answer, and is the same after encoding and decoding again.
+func FuzzDecodePing(f *testing.F) {
 	for _, msg := range []pingMsg{{Ping: true}, {Pong: true}, {Ping: true, Pong: true}, {}} {
 		b, err := wire.Encode(msg)
 		assert.NilError(f, err)
--- a/internal/edge/monit/servers.go
+++ b/internal/edge/monit/servers.go
@@ -55,7 +55,7 @@
 	return rows
 }
 
-// runServers carries out the commands of the roster of backend servers.
+// runServers carries out the commands of the detector for backend servers.
 func (m *Monitor) runServers(_ context.Context, cmd loop.Cmd, send func(loop.Msg)) {
 	switch cmd := cmd.(type) {
 	case detect.ProbeCmd[ident.Server]:
@@ -98,7 +98,7 @@
 	m.mu.Unlock()
 }
 
-// setCold notes whether a server reports itself cold, which the roster does not track.
+// setCold notes whether a server reports itself cold, which the detector does not track.
 func (m *Monitor) setCold(id ident.Server, h server.Health) {
 	m.mu.Lock()
 	s := m.states[id]
@@ -147,7 +147,7 @@
 	svc.Gate.SetServers(all)
 }
 
-// reportCalls passes to the roster how many of callers' requests each server answered
+// reportCalls passes to the detector how many of callers' requests each server answered
 // and failed since the last time.
 func (m *Monitor) reportCalls(context.Context) {
 	for name, e := range m.entries {
@@ -180,5 +180,5 @@
 		delete(m.loads, name)
 	}
 	m.mu.Unlock()
-	m.Syncer.Report(rows)
+	m.Syncer.PublishLoads(rows)
 }
--- a/internal/edge/monit/views.go
+++ b/internal/edge/monit/views.go
@@ -61,8 +61,8 @@
 	return out
 }
 
-// Views passes the views of the other VMs to the rosters that they concern.
-func (m *Monitor) Views(cmd gossip.ViewsCmd) {
+// ApplyViews passes the views of the other VMs to the detectors that they concern.
+func (m *Monitor) ApplyViews(cmd gossip.ViewsCmd) {
 	m.mu.Lock()
 	vms, servers := m.ids.vms, m.ids.servers
 	m.mu.Unlock()
--- a/internal/edge/monit/vms.go
+++ b/internal/edge/monit/vms.go
@@ -62,7 +62,7 @@
 	m.Peers.Cast(to, b)
 }
 
-// runVMs carries out the commands of the roster of entry VMs.
+// runVMs carries out the commands of the detector for entry VMs.
 func (m *Monitor) runVMs(_ context.Context, cmd loop.Cmd, _ func(loop.Msg)) {
 	switch cmd := cmd.(type) {
 	case detect.ProbeCmd[ident.VM]:
@@ -76,7 +76,7 @@
 }
 
 // ping sends a VM a ping. Any message from it within probeTimeout counts as an answer;
-// silence is reported to the roster as evidence of a freeze.
+// silence is reported to the detector as evidence of a freeze.
 func (m *Monitor) ping(id ident.VM) {
 	asked := time.Now()
 	m.cast(id, pingMsg{Ping: true})
--- a/internal/edge/syncer/standby.go
+++ b/internal/edge/syncer/standby.go
@@ -44,8 +44,8 @@
 		s.Log.Error("stand-by", "from", cmd.From, "err", err)
 		return
 	}
-	if s.Standbys != nil {
-		s.Standbys(sb)
+	if s.ApplyStandby != nil {
+		s.ApplyStandby(sb)
 	}
 }
 
--- a/internal/edge/syncer/syncer.go
+++ b/internal/edge/syncer/syncer.go
@@ -38,16 +38,16 @@
 
 // Options configure a Syncer. Self, Store, Rules and Peers are required.
 type Options struct {
-	Self     gossip.Peer
-	Store    object.Store
-	Rules    *revs.Holder
-	Peers    Sender
-	Tables   func(table.Table, object.Version) // called with each table; version zero from a peer
-	Loads    func([]gossip.LoadRow)            // called with loads that peers read
-	Standbys func(leases.Standby)              // called with standby hints of peers
-	Confirm  Sender                            // sends confirmations of rules/quorum; nil sends none
-	Timeout  time.Duration                     // of one store call, except watches; default 2 s
-	Log      *slog.Logger
+	Self         gossip.Peer
+	Store        object.Store
+	Rules        *revs.Holder
+	Peers        Sender
+	ApplyTable   func(table.Table, object.Version) // called with each table; version zero from a peer
+	ApplyLoads   func([]gossip.LoadRow)            // called with loads that peers read
+	ApplyStandby func(leases.Standby)              // called with standby hints of peers
+	Confirm      Sender                            // sends confirmations of rules/quorum; nil sends none
+	Timeout      time.Duration                     // of one store call, except watches; default 2 s
+	Log          *slog.Logger
 }
 
 // Syncer synchronises one VM with the store and its peers. Create one with New.
@@ -104,8 +104,8 @@
 	s.quorum.Send(quorum.PeersMsg{Order: gossip.WatchOrder(live)})
 }
 
-// Report publishes loads of backend servers that this VM read itself.
-func (s *Syncer) Report(rows []gossip.LoadRow) { s.gossip.Send(gossip.ReportMsg{Rows: rows}) }
+// PublishLoads sends the other VMs loads of backend servers that this VM read itself.
+func (s *Syncer) PublishLoads(rows []gossip.LoadRow) { s.gossip.Send(gossip.ReportMsg{Rows: rows}) }
 
 // PublishView tells the other VMs which members look frozen or suspect to this one.
 // It replaces the view published before.
@@ -117,8 +117,9 @@
 // OnList sets the function that reads the platform's list of VMs when it is due.
 func (s *Syncer) OnList(f func()) { s.onList.Store(&f) }
 
-// Listed reports what this VM read from that list, and when it asked.
-func (s *Syncer) Listed(msg gossip.ListReadMsg) { s.gossip.Send(msg) }
+// ReportListRead passes on what this VM read from the platform's list of VMs, and when it
+// asked for it.
+func (s *Syncer) ReportListRead(msg gossip.ListReadMsg) { s.gossip.Send(msg) }
 
 // Watching reports whether this VM watches the store for the others.
 func (s *Syncer) Watching() bool { return s.watching.Load() }
@@ -161,8 +162,8 @@
 			(*onList)()
 		}
 	case gossip.LoadCmd:
-		if s.Loads != nil {
-			s.Loads(cmd.Rows)
+		if s.ApplyLoads != nil {
+			s.ApplyLoads(cmd.Rows)
 		}
 	}
 }
@@ -201,8 +202,8 @@
 }
 
 func (s *Syncer) passTable(tab table.Table, ver object.Version) {
-	if s.Tables != nil {
-		s.Tables(tab, ver)
+	if s.ApplyTable != nil {
+		s.ApplyTable(tab, ver)
 	}
 }
 
--- a/internal/edge/syncer/syncer_test.go
+++ b/internal/edge/syncer/syncer_test.go
@@ -46,10 +46,9 @@
 func (noPeers) Send(ident.VM, []byte) {}
 func (noPeers) Cast(ident.VM, []byte) {}
 
-// The store answers late, as it also seems to when this process is paused between
-// calling it and handling the answer, and then not at all; no peer answers either. An
-// answer shows the state at the time of the call. If its age counted from its
-// handling, this VM would serve by rules that were replaced seconds before.
+// The store answers late, or this process is paused before it handles the answer; then
+// neither store nor peers answer. An answer shows the state at the time of the call: if
+// its age counted from its handling, this VM would serve by rules replaced seconds before.
 func TestStoreAnswersAgeFromTheirCall(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := &slowStore{Store: objmem.New()}
