--- a/internal/edge/perf/latency.go
+++ b/internal/edge/perf/latency.go
@@ -259,9 +259,11 @@
 
 func requestPath(i int) string { return fmt.Sprintf("/scales/s%d", i%keys) }
 
-// routedAddr and directAddr return the address that request number i is sent to.
+// routedAddr returns the address that a routed request is sent to: the entry VM's.
 func (b *testbed) routedAddr(int) netip.AddrPort { return b.vm.Callers() }
 
+// directAddr returns the address that direct request number i is sent to: that of the owner
+// of its key.
 func (b *testbed) directAddr(i int) netip.AddrPort {
 	svc, _ := b.vm.State().Service("lookup")
 	owner, _ := svc.Owner(ident.Key(requestPath(i)[len("/scales/"):]))
