--- a/internal/edge/front/body.go
+++ b/internal/edge/front/body.go
@@ -110,10 +110,11 @@
 	return n, err
 }
 
-// A caller must accept one write, of at most 32 KiB, within writeTimeoutFactor times the
-// header timeout. With a shorter timeout, a brief pause of a wireless link would end an
-// answer.
+// Limits on how slowly a caller may read an answer.
 const (
+	// writeTimeoutFactor is how many header timeouts a caller has to accept one write, of
+	// at most 32 KiB. With a shorter timeout, a brief pause of a wireless link would end
+	// an answer.
 	writeTimeoutFactor = 4
 	// noDeadlineLength is the longest answer, in bytes, that is written without a write
 	// deadline: net/http buffers it, so the write does not block.
--- a/internal/edge/front/hedge.go
+++ b/internal/edge/front/hedge.go
@@ -28,8 +28,8 @@
 // answer wins; the other attempt is canceled and its slot released at once. It returns
 // the winner, or the last failure.
 //
-// This serves lookups that one briefly slow server would delay although other servers are
-// idle, for example one lookup in a hundred with fifteen other servers idle.
+// This serves lookups that one briefly slow server would delay: without it, one caller in
+// a hundred waits although fifteen other servers are idle.
 func (x *exchange) race(ctx context.Context, permit gate.Permit) *hedgeAttempt {
 	done := make(chan *hedgeAttempt, 2)
 	x.startAttempt(ctx, permit, done)
