--- a/internal/load/gate/admit.go
+++ b/internal/load/gate/admit.go
@@ -43,12 +43,13 @@
 	requestCost = 1
 )
 
-// lane is one queue with the debts of its callers and keys.
+// lane is one queue with the debts of its callers and keys. Each owner of keys has one
+// lane for short and one for long requests, and so have the requests without an owner.
 type lane struct {
 	q             queue.Queue[*Ticket]
 	callerDebts   fair.Debts
 	keyDebts      fair.Debts
-	debtFreeShare float64       // share of arrivals with next to no debt while the queue is standing
+	debtFreeShare float64       // share of arrivals with little or no debt while the queue is standing
 	startInterval time.Duration // average time between two starts while others wait
 	lastStart     time.Time     // the last start while others wait
 }
@@ -310,7 +311,7 @@
 	c.waiting--
 }
 
-// refuseWaiting refuses a request that was told to wait.
+// refuseWaiting refuses a request that got the verdict Wait before.
 func (c *Core) refuseWaiting(t *Ticket, k kinds.Kind, after time.Duration) {
 	c.refuse(t, k, after)
 	c.decided = append(c.decided, t)
--- a/internal/load/gate/choose_test.go
+++ b/internal/load/gate/choose_test.go
@@ -10,7 +10,7 @@
 	"hawthornfield.org/hawthornfield/internal/core/kinds"
 )
 
-// Guards against uploads of 60 KB that go to the next server in turn: two of three then
+// Guards against uploads of 60 KB that go to servers in round robin: two of three then
 // cross between data centres, which is paid for by the byte. A busy moment of the local
 // server costs the caller only a few milliseconds.
 func TestLocalServersArePreferredWhileHealthy(t *testing.T) {
--- a/internal/load/gate/coldstart_test.go
+++ b/internal/load/gate/coldstart_test.go
@@ -76,12 +76,10 @@
 	return answered, unknown, late
 }
 
-// Guards against a flood before the first answer of a new VM. It expects answers of 5
-// ms where they take 200 ms and admits too many requests. Those at the end of the queue
-// were sent just before their deadline, held a slot for nothing and ended as "unknown"
-// instead of being refused; and the owner's silence of 100 ms was taken for a freeze,
-// so it got one request at a time. Excess requests must be refused when the first
-// answers arrive, not at their deadlines.
+// Guards against a new VM that expects answers in 5 ms where they take 200 ms. Requests
+// admitted in excess were sent just before their deadlines, held slots and ended as
+// "unknown"; 100 ms of silence counted as a freeze, which left the owner one request at a
+// time. The excess must be refused when the first answers arrive.
 func TestFloodBeforeFirstAnswerLeavesNoUnknownOutcome(t *testing.T) {
 	answered, unknown, late := floodNewVM(t)
 	assert.Equal(t, unknown, 0)
--- a/internal/load/gate/core.go
+++ b/internal/load/gate/core.go
@@ -19,7 +19,7 @@
 	Service  ident.Service
 	Deadline time.Duration // for jobs without one; zero means DefaultDeadline
 	Queue    int           // most requests in one queue; zero means the queue's default
-	MaxHeld  int           // most requests waiting for an owner; zero means DefaultHeld
+	MaxHeld  int           // most requests in all move queues, waiting for an owner; zero means DefaultHeld
 	Seed     uint64        // for random choices; zero means a random seed
 	// RetryBudget bounds the attempts beyond the first of all VMs together: a share of
 	// the requests, and a burst that the VMs divide among them. Zero means the defaults
@@ -46,9 +46,9 @@
 	// DefaultDeadline is for callers that set none: as long as a driver at the
 	// weighbridge waits before trying again.
 	DefaultDeadline = 2 * time.Second
-	// DefaultHeld is one second of one server's throughput in lookups; a move of a key
+	// DefaultMaxHeld is one second of one server's throughput in lookups; a move of a key
 	// may take that long.
-	DefaultHeld = 800
+	DefaultMaxHeld = 800
 )
 
 // Verdict is the immediate result for an offered request.
@@ -66,7 +66,7 @@
 type Core struct {
 	cfg    Config
 	rng    *rand.Rand
-	seed   maphash.Seed
+	seed   maphash.Seed // of flowOf
 	closed bool
 
 	servers        []*server
@@ -79,10 +79,10 @@
 	score          func(int) float64
 	scoreTime      time.Time
 
-	shared        lanePair // requests that may go to any server
-	avgLatency    [sizes.KindCount]float64
-	answers       [sizes.KindCount]int // number of answers of each kind
-	concurrency   [sizes.KindCount]float64
+	shared        lanePair                 // requests that may go to any server
+	avgLatency    [sizes.KindCount]float64 // in seconds; zero before the first answer
+	answers       [sizes.KindCount]int     // number of answers of each kind
+	concurrency   [sizes.KindCount]float64 // requests of each kind that may run at once on all servers
 	moveQueues    moveQueueSet
 	keyPaces      keyPaceSet                    // paces of the keys whose owner was crowded
 	ownerLookup   func(ident.Key) (Owner, bool) // nil if owners are not known
@@ -97,12 +97,12 @@
 
 	lastEvent    time.Time // last call to detectPause
 	lastPause    vmPause   // the most recent pause
-	running      int
-	waiting      int
-	startCount   float64 // decaying count of requests sent, as of startCountAt; see recentStarts
+	running      int       // requests on backend servers
+	waiting      int       // requests in lanes, without those in move queues
+	startCount   float64   // decaying count of requests sent, as of startCountAt; see recentStarts
 	startCountAt time.Time
 
-	decided []*Ticket
+	decided []*Ticket // since the last call of Ready
 	stats   Stats
 }
 
@@ -112,7 +112,7 @@
 		cfg.Deadline = DefaultDeadline
 	}
 	if cfg.MaxHeld <= 0 {
-		cfg.MaxHeld = DefaultHeld
+		cfg.MaxHeld = DefaultMaxHeld
 	}
 	if cfg.Seed == 0 {
 		cfg.Seed = rand.Uint64()
@@ -279,7 +279,7 @@
 		c.Done(now, t, Cancel())
 	case stateQueued:
 		c.dequeue(t)
-	case stateHeld:
+	case stateAwaitingOwner:
 		c.moveQueues.remove(t)
 	default:
 	}
--- a/internal/load/gate/core_test.go
+++ b/internal/load/gate/core_test.go
@@ -263,10 +263,9 @@
 	}
 }
 
-// Guards against requests that are decided never or twice, late, or sent where they
-// must not go, whatever happens: servers come, go and drain, keys move, callers leave,
-// answers fail, reports are wrong. A caller would wait for ever, or its request would
-// run twice.
+// Guards against requests that are decided never, twice or late, or sent to a wrong
+// server, so that a caller waits for ever or its request runs twice. Servers come, go
+// and drain, keys move, callers leave, answers fail, reports are wrong.
 func TestEveryRequestIsDecidedOnce(t *testing.T) {
 	seeds.Check(t, func(t *rapid.T) {
 		m := newMachine(t)
--- a/internal/load/gate/gate.go
+++ b/internal/load/gate/gate.go
@@ -12,6 +12,13 @@
 // and conns. [Gate] makes it safe for concurrent use: it locks, runs the timer and
 // handles callers that go away.
 //
+// The terms: a request is keyed if a key decides which server, the key's owner, must
+// get it; it then waits in a queue of that owner, other requests wait in shared queues.
+// A flow is all requests of one caller, or for one key. A flow that sends more than its
+// fair share has a debt; with a large debt it is hot (package fair). A queue is standing
+// when waits have been long for some time, which is overload and not a burst (package
+// queue). A move is the change of a key's owner.
+//
 //	g := gate.New(gate.Config{Service: "lookup"})
 //	defer g.Close()
 //	g.SetServers([]gate.ServerInfo{{Name: "a", Slots: 4, Conns: 100}})
@@ -191,8 +198,8 @@
 	Slots   int           // requests that it processes concurrently
 }
 
-// Inspect returns the current state of the named server, or of all servers together for
-// the empty name.
+// Inspect returns the current state of the named server, or of all servers together if
+// the name is empty or not listed.
 func (g *Gate) Inspect(s ident.Server) Snapshot {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -214,8 +221,8 @@
 	g.scheduleTick()
 }
 
-// run is the gate's timer goroutine. It refuses requests whose deadline can no longer
-// be met, and updates health and limits while no calls come in.
+// run is the gate's timer goroutine: it calls [Core.Tick] when it is due, also while no
+// other calls come in.
 func (g *Gate) run(ctx context.Context) error {
 	timer := time.NewTimer(time.Hour)
 	defer timer.Stop()
--- a/internal/load/gate/keypace.go
+++ b/internal/load/gate/keypace.go
@@ -16,13 +16,13 @@
 // share of what the server can process. Requests that do not fit are refused at once
 // with the time after which to retry.
 //
-// The owner's other keys are not spaced. With one pace for all keys of an owner the hot
-// key takes each turn, and the owner's other keys are refused although it could serve
-// them.
+// The owner's other keys are not spaced. With one pace for all keys of an owner, the hot
+// key would use each start that the pace allows, and the owner's other keys would be
+// refused although it could serve them.
 //
-// The report comes with each answer, so a VM learns of the crowd after its first
-// request. The interval doubles at each such report and halves at each other one. A VM
-// that gets no more requests for the key drops the interval.
+// The report comes with each answer, so a VM learns after its first request that the
+// owner is crowded. The interval doubles at each such report and halves at each other
+// one. A VM that gets no more requests for the key drops the interval.
 
 const (
 	// crowdedLoad is the reported load, in requests for each slot, from which requests
@@ -120,8 +120,8 @@
 	return c.share.VMs > maxUnpacedVMsPerSlot*max(s.info.Slots, 1)
 }
 
-// evenInterval returns the interval between starts that gives each VM the same part of the server's
-// capacity.
+// evenInterval returns the interval between starts that gives each VM the same part of
+// the server's capacity.
 func (c *Core) evenInterval(s *server) time.Duration {
 	work := cmp.Or(s.workTime, c.typicalLatency(s.limitKind)) // the server may have answered only other VMs
 	return work * time.Duration(c.share.VMs) / time.Duration(max(s.info.Slots, 1))
--- a/internal/load/gate/longtoken.go
+++ b/internal/load/gate/longtoken.go
@@ -9,9 +9,9 @@
 // This file handles uploads for keys among lookups for keys. A key's request can only
 // go to the key's owner, and ten VMs that each use half of the owner's slots for
 // uploads leave nothing for lookups. So an upload starts at an owner only with the
-// owner's token, which circulates among the VMs, and only if the owner's last report
-// showed a free slot, or after the upload has let the token pass maxSkippedWindows
-// times.
+// owner's token, which passes from VM to VM in windows of time (see [sizes.Token]), and
+// only if the owner's last report showed a free slot, or after the upload has let
+// the token pass maxSkippedWindows times.
 //
 // Reports without the token make it worse: all VMs see the same free slot and all take
 // it.
--- a/internal/load/gate/lostowner_test.go
+++ b/internal/load/gate/lostowner_test.go
@@ -52,11 +52,9 @@
 	}
 }
 
-// Guards against probes refused while another one is in progress. An owner is lost and
-// its keys in eight slices have another owner after 700 ms; each slice sends probes
-// meanwhile. A probe that found another one in progress was refused with "no backend
-// server is available", although the others waiting with it were served within half a
-// second.
+// Guards against probes refused with "no backend server is available" because another
+// one is in progress. An owner is lost and its eight slices have another one after 700
+// ms; requests that waited with the refused probe were served within half a second.
 func TestWaitersForLostOwnerAreNotRefused(t *testing.T) {
 	const slices = 8
 	l := &lostOwnerSim{moveSim: newMoveSim(0), t: t}
--- a/internal/load/gate/move.go
+++ b/internal/load/gate/move.go
@@ -14,8 +14,8 @@
 // callers; letting each of them retry by itself would flood the new owner with retries
 // in random order, most of which it refuses. So the requests of a key wait here in a
 // bounded queue, ordered by arrival, and are sent together once the owner is known and
-// accepts them. Those whose deadline or MaxOwnerWait comes first are refused as not
-// run.
+// accepts them. Those whose deadline or MaxOwnerWait comes first are refused, and their
+// callers learn that they were not run.
 //
 // A move queue is created when a request returns because the server said that it is not
 // the owner, or could not be reached. It ends when the owner lookup returns another
@@ -109,10 +109,12 @@
 	return c.admitMoving(now, q, t)
 }
 
-// chargeResend charges a further attempt to the retry budget if Config.RetryBudget is
-// set, and reports whether it is allowed.
+// chargeResend charges a further attempt to the retry budget, and reports whether it is
+// allowed. Without Config.RetryBudget it always is, and is not charged.
 func (c *Core) chargeResend() bool { return c.cfg.RetryBudget.Burst == 0 || c.retryBudget.ChargeSafe() }
 
+// scheduleProbe sets the time of the queue's next probe, after one was sent now. The
+// delay doubles up to maxProbeDelay, and is at least minDelay.
 func (q *moveQueue) scheduleProbe(now time.Time, minDelay time.Duration) {
 	q.probeDelay = max(min(2*q.probeDelay, maxProbeDelay), minDelay)
 	q.probeAt = now.Add(q.probeDelay)
@@ -198,7 +200,7 @@
 	if c.moveQueues.n >= c.cfg.MaxHeld || !returning && !c.moveQueues.hasRoom(c.cfg.MaxHeld, t.Job.Caller) {
 		return c.refuse(t, kinds.Moving, c.retryAfter(remaining))
 	}
-	t.state = stateHeld
+	t.state = stateAwaitingOwner
 	c.moveQueues.insert(q, t)
 	c.stats.Queued++
 	if c.nextExpiry.IsZero() || t.item.Deadline.Before(c.nextExpiry) {
@@ -300,7 +302,7 @@
 	}
 }
 
-// resend routes a request that was told to wait.
+// resend routes a request that was waiting for its owner or in the owner's queue.
 func (c *Core) resend(now time.Time, t *Ticket) {
 	t.state = stateIdle
 	if c.route(now, t) != Wait {
--- a/internal/load/gate/move_test.go
+++ b/internal/load/gate/move_test.go
@@ -105,10 +105,9 @@
 	})
 }
 
-// Guards against reordering by a move. Some requests arrive while the key is between
-// owners, some come back refused by the former owner; the next owner must run each
-// once, in order of arrival. Otherwise a driver at the weighbridge would see the load
-// of the lorry behind.
+// Guards against reordering by a move: a driver at the weighbridge would see the load of
+// the lorry behind. Some requests arrive during the move, some come back refused by the
+// former owner; the next owner must run each once, in order of arrival.
 func TestWaitingRequestsRunInArrivalOrderAfterMove(t *testing.T) {
 	seeds.Check(t, func(t *rapid.T) {
 		m := newMoveSim(100)
--- a/internal/load/gate/permit.go
+++ b/internal/load/gate/permit.go
@@ -118,5 +118,13 @@
 // active reports whether the permit still holds a started request.
 func (p Permit) active() bool { return p.t.gen == p.gen && p.t.state == stateStarted }
 
+// Outcome is the result of an attempt.
+type Outcome struct {
+	Kind    kinds.Kind    // None if a complete answer arrived
+	Latency time.Duration // from sending to the first byte of the answer; zero means the time since the start
+	Refused bool          // the server refused the request and ran nothing
+	Bytes   int64         // transferred in both directions
+}
+
 // Cancel returns the outcome of an attempt whose answer is no longer wanted.
 func Cancel() Outcome { return Outcome{Kind: kinds.Canceled} }
--- a/internal/load/gate/reestimate.go
+++ b/internal/load/gate/reestimate.go
@@ -11,7 +11,7 @@
 // This file handles an owner of keys that slows down, freezes or gets uploads while
 // requests are queued for it. They were admitted by an estimate that no longer holds.
 // Kept until their deadlines, they would take up places in the queue for nothing, and
-// their callers would be told much later than possible. So while requests are queued
+// their callers would be refused later than necessary. So while requests are queued
 // for an owner their wait is estimated again, and those that cannot be served in time
 // any more are refused at once.
 
@@ -27,7 +27,8 @@
 	// the limit averages for a decision. Requests admitted before that were admitted on
 	// defaultLatencySeconds or on few answers.
 	minLatencySamples = 16
-	minOverdue        = 20 * time.Millisecond
+	// minOverdue is the shortest silence after which an owner is overdue.
+	minOverdue = 20 * time.Millisecond
 )
 
 // reestimateWaits estimates the waits for owners of keys again.
--- a/internal/load/gate/reestimate_test.go
+++ b/internal/load/gate/reestimate_test.go
@@ -32,10 +32,9 @@
 	return &Ticket{Job: Job{Caller: ident.Caller(strconv.FormatInt(now.UnixNano(), 36)), Key: "k", Server: s, Size: 1, Deadline: now.Add(left)}}
 }
 
-// Guards against requests that wait until their deadline for a frozen owner. They were
-// admitted with 250 ms to go and expected to start within a few answers of 8 ms; once
-// the owner has been silent for half of the time to spare they cannot expect an answer
-// in time and must be refused then.
+// Guards against requests that wait until their deadline for a frozen owner. Admitted
+// with 250 ms to go and answers expected every 8 ms, they must be refused once the owner
+// has been silent for half of the time to spare.
 func TestWaitersForFrozenOwnerAreRefusedEarly(t *testing.T) {
 	c, now := newKeyedCore()
 	froze := now
@@ -92,11 +91,9 @@
 	}
 }
 
-// Guards against queueing and retrying for an owner that refuses everything or cannot
-// be reached: no other server has the key, so both only delay the refusal. The first
-// request still goes there, so that the owner's recovery is noticed. Requests to a full
-// server must be refused as Busy; only for a lost one is it worth waiting until its
-// keys move.
+// Guards against queueing and retrying for an owner that refuses everything (Busy) or
+// cannot be reached (NoServer: waiting for a move may help). Both only delay the refusal.
+// One request at a time still goes there, so that the owner's recovery is noticed.
 func TestAFailingOwnerRefusesAtOnce(t *testing.T) {
 	for want, out := range map[kinds.Kind]Outcome{
 		kinds.Busy: {Kind: kinds.Busy, Refused: true}, kinds.NoServer: {Kind: kinds.NoServer},
--- a/internal/load/gate/retry.go
+++ b/internal/load/gate/retry.go
@@ -1,26 +1,12 @@
 package gate
 
 import (
-	"maps"
 	"time"
 
-	"hawthornfield.org/hawthornfield/internal/core/ident"
 	"hawthornfield.org/hawthornfield/internal/load/retry"
 	"hawthornfield.org/hawthornfield/internal/load/sizes"
 )
 
-// Overload reports whether some queue is standing. A queue that is standing because of
-// an owner's hot keys only blocks retries to that owner, see [Core.MayRetry].
-func (c *Core) Overload() bool {
-	over := false
-	c.forEachLanes(func(ls *lanePair) {
-		for k := range ls.bySize {
-			over = over || ls.bySize[k].q.Standing()
-		}
-	})
-	return over
-}
-
 // MayRetry reports whether a started request may be tried again after o, and charges
 // the retry to the budget.
 func (c *Core) MayRetry(now time.Time, t *Ticket, o Outcome) bool {
@@ -75,44 +61,3 @@
 
 // HedgeAfter returns how long to wait for an answer before hedging.
 func (c *Core) HedgeAfter() time.Duration { return c.retryBudget.HedgeAfter() }
-
-// Stats returns counters and gauges.
-func (c *Core) Stats(now time.Time) Stats {
-	s := c.stats
-	s.Refused = maps.Clone(c.stats.Refused)
-	s.Waiting, s.Held, s.Running = c.waiting, c.moveQueues.n, c.running
-	s.Ejected = c.monitor.Ejected()
-	s.Overload = c.Overload()
-	s.Budget = c.retryBudget.Remaining()
-	for _, srv := range c.servers {
-		s.Servers = append(s.Servers, srv.stats(now))
-	}
-	return s
-}
-
-// Inspect returns the current state of a server, see [Gate.Inspect].
-func (c *Core) Inspect(now time.Time, name ident.Server) Snapshot {
-	if s := c.byName[name]; s != nil {
-		v := Snapshot{Running: s.running, Limit: s.maxRunning(now), Slots: s.info.Slots}
-		if s.ownLanes != nil {
-			v.Waiting = s.ownLanes.len()
-		}
-		if !s.reportedAt.IsZero() {
-			v.Load, v.LoadAge = s.reportedLoad, now.Sub(s.reportedAt)
-		}
-		v.Remote = c.cfg.Centre != "" && s.info.Centre != c.cfg.Centre
-		return v
-	}
-	return Snapshot{Running: c.running, Limit: int(c.concurrency[sizes.Short]), Waiting: c.shared.len()}
-}
-
-func (s *server) stats(now time.Time) ServerStats {
-	n := 0
-	if s.ownLanes != nil {
-		n = s.ownLanes.len()
-	}
-	return ServerStats{
-		Name: s.info.Name, Running: s.running, Limit: s.maxRunning(now), Waiting: n,
-		Latency: s.load.Latency(), State: string(s.health.State()),
-	}
-}
--- /dev/null
+++ b/internal/load/gate/stats.go
@@ -0,0 +1,90 @@
+package gate
+
+import (
+	"maps"
+	"time"
+
+	"hawthornfield.org/hawthornfield/internal/core/ident"
+	"hawthornfield.org/hawthornfield/internal/core/kinds"
+	"hawthornfield.org/hawthornfield/internal/load/sizes"
+)
+
+// Stats holds the gate's counters since its start and its current gauges.
+type Stats struct {
+	Started  uint64                `json:"started"` // attempts sent to a server
+	Queued   uint64                `json:"queued"`  // requests that had to wait
+	Refused  map[kinds.Kind]uint64 `json:"refused"`
+	Retries  uint64                `json:"retries"`
+	Hedges   uint64                `json:"hedges"`
+	Canceled uint64                `json:"canceled"`
+	Waiting  int                   `json:"waiting"` // in the queues now
+	Held     int                   `json:"held"`    // waiting in move queues for an owner now
+	Running  int                   `json:"running"` // on backend servers now
+	Ejected  int                   `json:"ejected"` // servers ejected for bad health
+	Overload bool                  `json:"overload"`
+	Budget   float64               `json:"budget"` // retries left in the budget
+	Servers  []ServerStats         `json:"servers"`
+}
+
+// ServerStats holds the gauges of one backend server.
+type ServerStats struct {
+	Name    ident.Server  `json:"name"`
+	Running int           `json:"running"`
+	Limit   int           `json:"limit"`
+	Waiting int           `json:"waiting"`
+	Latency time.Duration `json:"latency"`
+	State   string        `json:"state"`
+}
+
+// Overload reports whether some queue is standing. A queue that is standing because of
+// an owner's hot keys only blocks retries to that owner, see [Core.MayRetry].
+func (c *Core) Overload() bool {
+	over := false
+	c.forEachLanes(func(ls *lanePair) {
+		for k := range ls.bySize {
+			over = over || ls.bySize[k].q.Standing()
+		}
+	})
+	return over
+}
+
+// Stats returns counters and gauges.
+func (c *Core) Stats(now time.Time) Stats {
+	s := c.stats
+	s.Refused = maps.Clone(c.stats.Refused)
+	s.Waiting, s.Held, s.Running = c.waiting, c.moveQueues.n, c.running
+	s.Ejected = c.monitor.Ejected()
+	s.Overload = c.Overload()
+	s.Budget = c.retryBudget.Remaining()
+	for _, srv := range c.servers {
+		s.Servers = append(s.Servers, srv.stats(now))
+	}
+	return s
+}
+
+func (s *server) stats(now time.Time) ServerStats {
+	n := 0
+	if s.ownLanes != nil {
+		n = s.ownLanes.len()
+	}
+	return ServerStats{
+		Name: s.info.Name, Running: s.running, Limit: s.maxRunning(now), Waiting: n,
+		Latency: s.load.Latency(), State: string(s.health.State()),
+	}
+}
+
+// Inspect returns the current state of a server, see [Gate.Inspect].
+func (c *Core) Inspect(now time.Time, name ident.Server) Snapshot {
+	if s := c.byName[name]; s != nil {
+		v := Snapshot{Running: s.running, Limit: s.maxRunning(now), Slots: s.info.Slots}
+		if s.ownLanes != nil {
+			v.Waiting = s.ownLanes.len()
+		}
+		if !s.reportedAt.IsZero() {
+			v.Load, v.LoadAge = s.reportedLoad, now.Sub(s.reportedAt)
+		}
+		v.Remote = c.cfg.Centre != "" && s.info.Centre != c.cfg.Centre
+		return v
+	}
+	return Snapshot{Running: c.running, Limit: int(c.concurrency[sizes.Short]), Waiting: c.shared.len()}
+}
--- a/internal/load/gate/ticket.go
+++ b/internal/load/gate/ticket.go
@@ -10,12 +10,13 @@
 	"hawthornfield.org/hawthornfield/internal/load/sizes"
 )
 
+// state is where a request is in the core.
 type state uint8
 
 const (
 	stateIdle state = iota
 	stateQueued
-	stateHeld
+	stateAwaitingOwner
 	stateStarted
 	stateRefused
 )
@@ -24,21 +25,21 @@
 type Ticket struct {
 	Job Job
 
-	wake        chan struct{}
-	gen         uint64
+	wake        chan struct{} // signalled when the request is decided
+	gen         uint64        // incremented when the ticket is reused
 	state       state
 	sizeKind    sizes.Kind
-	srv         *server
+	srv         *server   // on which it was started; nil before that
 	startedAt   time.Time // when the last attempt was sent
 	refusalKind kinds.Kind
 	retryAfter  time.Duration
 
-	lanes          *lanePair
+	lanes          *lanePair // that it was offered to; nil before that
 	item           queue.Item[*Ticket]
 	callerFlow     fair.Flow
 	keyFlow        fair.Flow
-	latencyUnknown bool // admitted before typical latencies were known
-	moveQueue      *moveQueue
+	latencyUnknown bool       // admitted before typical latencies were known
+	moveQueue      *moveQueue // that it waits in; nil otherwise
 }
 
 // Server returns the server on which the request was started.
--- a/internal/load/gate/vmpause.go
+++ b/internal/load/gate/vmpause.go
@@ -13,8 +13,8 @@
 // owners ejected for a second, with one slot left for all requests for their keys.
 type vmPause struct{ start, end time.Time }
 
-// detectPause records a pause that ends now. Every call that reports an event makes it
-// first.
+// detectPause records a pause if one ends now. Every method of Core that handles an
+// event calls it first.
 func (c *Core) detectPause(now time.Time) {
 	since := c.healthCheckAt
 	if c.lastEvent.After(since) {
--- a/internal/load/gate/vmpause_test.go
+++ b/internal/load/gate/vmpause_test.go
@@ -11,9 +11,8 @@
 )
 
 // Guards against requests refused as Busy after this VM, or a backend server, was
-// paused for 300 ms. Those that arrived meanwhile are handled at once afterwards, but
-// the server is idle and nobody asks for more than it can do; refused drivers would
-// come back a second later for nothing.
+// paused for 300 ms. Those that arrived meanwhile come all at once, but to an idle server
+// that can serve them; refused callers would come back a second later for nothing.
 func TestVMPauseRefusesNoRequest(t *testing.T) {
 	const vms, slots, during = 4, 2, 8
 	c, now := NewCore(Config{Seed: 7}), begin
@@ -62,10 +61,9 @@
 	assert.Equal(t, c.Stats(now).Waiting, 0)
 }
 
-// Guards against a server ejected because this VM was paused for 300 ms, although the
-// server had answered. Whether the VM first reads the answers or first checks health is
-// chance. An ejected server would run one request at a time for a second, and requests
-// for its keys would be refused.
+// Guards against a server that answered but is ejected because this VM was paused for
+// 300 ms. It would run one request at a time for a second and refuse the rest. Whether
+// the VM first reads the answers or first checks health is chance.
 func TestVMPauseEjectsNoServer(t *testing.T) {
 	for order, readFirst := range map[string]bool{"answers first": true, "judgement first": false} {
 		t.Run(order, func(t *testing.T) {
--- a/internal/load/gate/warm.go
+++ b/internal/load/gate/warm.go
@@ -8,14 +8,14 @@
 )
 
 // This file handles a hundred entry VMs, each with a few requests a second, in front of
-// a hundred servers. With plain turns, every VM reaches every server once in half a
-// minute, which is longer than a server keeps an idle connection: nearly each request
-// opens a new one, which costs the server a millisecond. So if the turn comes to a
-// server that this VM has not used for a while, it takes a recently used one instead.
-// It still takes turns among those, so that some ten servers share its requests, and
-// leaves them as soon as another looks clearly better. A VM with enough requests to
-// keep all connections warm takes plain turns: if it never tries a server it does not
-// learn that it is the better one.
+// a hundred servers. With plain round robin, every VM reaches every server once in half
+// a minute, which is longer than a server keeps an idle connection: nearly each request
+// opens a new one, which costs the server a millisecond. So if round robin comes to a
+// server that this VM has not used for a while, it chooses a warm one instead: one that
+// it used recently. It uses round robin among those too, so that some ten servers share
+// its requests, and leaves them as soon as another looks clearly better. A VM with
+// enough requests to keep all connections warm uses plain round robin: if it never tries
+// a server it does not learn that it is the better one.
 
 const (
 	// warmFor is how long after its last request a server counts as warm. Servers keep
@@ -57,6 +57,8 @@
 	return c.startCount * math.Exp(-now.Sub(c.startCountAt).Seconds()/warmFor.Seconds())
 }
 
+// isCold reports whether this VM has not used a server recently, as opposed to
+// ServerInfo.Cold, a server that has just started.
 func (c *Core) isCold(now time.Time, i int) bool { return now.Sub(c.servers[i].lastStart) > warmFor }
 
 // updateWarm records whether a server that may be preferred was used recently.
