--- a/internal/load/bench/ours.go
+++ b/internal/load/bench/ours.go
@@ -112,7 +112,7 @@
 // settle carries out what a core has decided, and schedules its next tick.
 func (o *ours) settle(vm int) {
 	c := o.cores[vm]
-	for _, t := range c.Ready() {
+	for _, t := range c.TakeDecided() {
 		f := o.live[t]
 		if t.Server() != "" {
 			o.started(f, t)
--- a/internal/load/gate/bench_test.go
+++ b/internal/load/gate/bench_test.go
@@ -34,7 +34,7 @@
 			b.Fatal("not started")
 		}
 		c.Done(now, tk, Outcome{Latency: 5 * time.Millisecond})
-		c.Ready()
+		c.TakeDecided()
 	}
 }
 
@@ -59,7 +59,7 @@
 		if c.Offer(now, tk) == Start {
 			running = append(running, tk)
 		}
-		for _, r := range c.Ready() {
+		for _, r := range c.TakeDecided() {
 			if r.state == stateStarted {
 				running = append(running, r)
 			}
@@ -67,7 +67,7 @@
 		if i%2 == 0 && len(running) > 0 {
 			c.Done(now, running[0], Outcome{Latency: 8 * time.Millisecond})
 			running = append(running[:0], running[1:]...)
-			for _, r := range c.Ready() {
+			for _, r := range c.TakeDecided() {
 				if r.state == stateStarted {
 					running = append(running, r)
 				}
--- a/internal/load/gate/coldstart_test.go
+++ b/internal/load/gate/coldstart_test.go
@@ -61,7 +61,7 @@
 				}
 			}
 		}
-		for _, tk := range c.Ready() {
+		for _, tk := range c.TakeDecided() {
 			if tk.state == stateStarted {
 				run(now, tk)
 				continue
--- a/internal/load/gate/core.go
+++ b/internal/load/gate/core.go
@@ -54,7 +54,7 @@
 // Verdict is the immediate result for an offered request.
 type Verdict uint8
 
-// The verdicts. Wait is followed by exactly one later decision, see [Core.Ready].
+// The verdicts. Wait is followed by exactly one later decision, see [Core.TakeDecided].
 const (
 	Wait Verdict = iota
 	Start
@@ -102,7 +102,7 @@
 	startCount   float64   // decaying count of requests sent, as of startCountAt; see recentStarts
 	startCountAt time.Time
 
-	decided []*Ticket // since the last call of Ready
+	decided []*Ticket // since the last call of TakeDecided
 	stats   Stats
 }
 
@@ -335,9 +335,9 @@
 	return nil
 }
 
-// Ready returns the tickets decided since the last call, started or refused. The slice
+// TakeDecided returns the tickets decided since the last call, started or refused. The slice
 // is valid until the next call into the core.
-func (c *Core) Ready() []*Ticket {
+func (c *Core) TakeDecided() []*Ticket {
 	done := c.decided
 	c.decided = c.decided[:0]
 	return done
--- a/internal/load/gate/core_test.go
+++ b/internal/load/gate/core_test.go
@@ -229,7 +229,7 @@
 }
 
 func (m *machine) collect(t *rapid.T) {
-	for _, tk := range m.core.Ready() {
+	for _, tk := range m.core.TakeDecided() {
 		assert.Assert(t, m.waiting[tk], "decided without waiting")
 		delete(m.waiting, tk)
 		if tk.state == stateStarted {
@@ -302,7 +302,7 @@
 				c.Done(now, running[0], Outcome{Latency: 5 * time.Millisecond})
 				running = running[1:]
 			}
-			for _, tk := range c.Ready() {
+			for _, tk := range c.TakeDecided() {
 				assert.Equal(t, tk, naive[0])
 				naive = naive[1:]
 				running = append(running, tk)
@@ -325,7 +325,7 @@
 	}
 	assert.Assert(t, len(waiting) > 0)
 	c.SetServers(begin, []ServerInfo{{Name: "b", Slots: 1, Conns: 10}})
-	got := c.Ready()
+	got := c.TakeDecided()
 	assert.Equal(t, len(got), len(waiting))
 	for _, tk := range got {
 		kind, after := tk.Refusal()
--- a/internal/load/gate/fairness_test.go
+++ b/internal/load/gate/fairness_test.go
@@ -71,7 +71,7 @@
 }
 
 func (s *serverSim) collect() {
-	for _, tk := range s.core.Ready() {
+	for _, tk := range s.core.TakeDecided() {
 		if tk.state == stateStarted {
 			s.enqueue(tk)
 		}
--- a/internal/load/gate/gate.go
+++ b/internal/load/gate/gate.go
@@ -268,7 +268,7 @@
 
 // notifyDecided signals the callers whose tickets were decided.
 func (g *Gate) notifyDecided() {
-	for _, t := range g.core.Ready() {
+	for _, t := range g.core.TakeDecided() {
 		t.wake <- struct{}{}
 	}
 }
--- a/internal/load/gate/keypace_test.go
+++ b/internal/load/gate/keypace_test.go
@@ -53,7 +53,7 @@
 
 // collectStarted passes on the requests that a core has started since.
 func (s *ownerSim) collectStarted(c *Core) {
-	for _, tk := range c.Ready() {
+	for _, tk := range c.TakeDecided() {
 		if tk.Server() != "" {
 			s.arrive(c, tk)
 		}
--- a/internal/load/gate/lostowner_test.go
+++ b/internal/load/gate/lostowner_test.go
@@ -75,7 +75,7 @@
 	l.core.OwnersChanged(l.now)
 	served := 0
 	for until := l.now.Add(2 * time.Second); l.now.Before(until); {
-		for _, k := range append(l.core.Ready(), l.advance(time.Millisecond)...) {
+		for _, k := range append(l.core.TakeDecided(), l.advance(time.Millisecond)...) {
 			kind, _ := k.Refusal()
 			assert.Equal(t, kind, kinds.None)
 			assert.Equal(t, k.Server(), ident.Server("b"))
--- a/internal/load/gate/move_test.go
+++ b/internal/load/gate/move_test.go
@@ -55,7 +55,7 @@
 	for next := m.core.Next(); !next.IsZero() && !next.After(until); next = m.core.Next() {
 		m.now = next
 		m.core.Tick(m.now)
-		all = append(all, m.core.Ready()...)
+		all = append(all, m.core.TakeDecided()...)
 	}
 	m.now = until
 	return all
@@ -127,7 +127,7 @@
 		m.core.OwnersChanged(m.now)
 		var ran []*Ticket
 		for len(ran) < len(asked) {
-			got := m.core.Ready()
+			got := m.core.TakeDecided()
 			assert.Assert(t, len(got) > 0, "%d of %d ran", len(ran), len(asked))
 			ran = append(ran, got...)
 			m.now = m.now.Add(time.Millisecond)
@@ -170,7 +170,7 @@
 	m.now = m.now.Add(time.Millisecond)
 	m.core.Done(m.now, got[0], Outcome{Latency: time.Millisecond})
 	assert.Equal(t, m.core.Stats(m.now).Held, 0, "the others must be released")
-	assert.Assert(t, len(m.core.Ready()) > 0)
+	assert.Assert(t, len(m.core.TakeDecided()) > 0)
 }
 
 // Guards against waiting in vain when an owner is lost and its keys have no owner for a
@@ -261,7 +261,7 @@
 	old.Job.arrivedAt, old.Job.ownerMissingSince = begin.Add(-2*time.Second), begin
 	assert.Equal(t, m.core.WaitOwner(m.now, old), Wait, "older than all: the newest must be refused")
 	assert.Equal(t, m.core.Stats(m.now).Held, 4)
-	assert.Equal(t, len(m.core.Ready()), 1)
+	assert.Equal(t, len(m.core.TakeDecided()), 1)
 }
 
 // Guards against a late answer ending a move. The former owner answers a request that
@@ -279,7 +279,7 @@
 	m.now = m.now.Add(time.Millisecond)
 	m.core.Done(m.now, early, Outcome{Latency: 2 * time.Millisecond})
 	assert.Equal(t, m.core.Stats(m.now).Held, 5)
-	assert.Equal(t, len(m.core.Ready()), 0)
+	assert.Equal(t, len(m.core.TakeDecided()), 0)
 }
 
 // Guards against requests for the other keys of a slice waiting while a key with an
@@ -325,5 +325,5 @@
 		got = m.advance(time.Millisecond)
 	}
 	m.core.Done(m.now, got[0], Outcome{Latency: time.Millisecond})
-	assert.Assert(t, len(m.core.Ready()) > 1, "the other slices must probe the recovered server")
+	assert.Assert(t, len(m.core.TakeDecided()) > 1, "the other slices must probe the recovered server")
 }
--- a/internal/load/gate/reestimate_test.go
+++ b/internal/load/gate/reestimate_test.go
@@ -49,7 +49,7 @@
 	for now.Sub(froze) < 200*time.Millisecond {
 		now = now.Add(time.Millisecond)
 		c.Tick(now)
-		for _, tk := range c.Ready() {
+		for _, tk := range c.TakeDecided() {
 			kind, after := tk.Refusal()
 			assert.Equal(t, kind, kinds.DeadlineMissed)
 			assert.Assert(t, after > 0)
@@ -78,11 +78,11 @@
 	for range 40 {
 		now = now.Add(time.Millisecond)
 		c.Tick(now)
-		assert.Equal(t, len(c.Ready()), 0)
+		assert.Equal(t, len(c.TakeDecided()), 0)
 	}
 	c.Done(now, first, Outcome{Latency: 40 * time.Millisecond})
 	for range 4 {
-		got := c.Ready()
+		got := c.TakeDecided()
 		assert.Equal(t, len(got), 1)
 		assert.Equal(t, got[0].Server(), ident.Server("a"))
 		now = now.Add(8 * time.Millisecond)
@@ -150,7 +150,7 @@
 			now = now.Add(time.Millisecond)
 			c.Tick(now)
 		}
-		c.Ready()
+		c.TakeDecided()
 	}
 	assert.Equal(t, c.Offer(now, lookup()), Start)
 	assert.Equal(t, c.Offer(now, lookup()), Wait, "the limit for short requests must hold")
--- a/internal/load/gate/vmpause_test.go
+++ b/internal/load/gate/vmpause_test.go
@@ -35,7 +35,7 @@
 		for _, tk := range done {
 			c.Done(now, tk, Outcome{Kind: kinds.None})
 		}
-		running = append(running, c.Ready()...)
+		running = append(running, c.TakeDecided()...)
 	}
 	for range 200 { // light load, from which the gate learns the typical latency
 		offer()
