--- a/internal/load/fair/flows.go
+++ b/internal/load/fair/flows.go
@@ -2,7 +2,7 @@
 
 import "math/bits"
 
-// slot is an entry of the hash table.
+// slot is an entry of the hash table; not to be confused with a server's slots.
 type slot struct {
 	flow Flow    // zero when the slot is empty
 	due  float64 // debt of the flow plus Debts.paid; no debt is left when it is at most paid
--- a/internal/load/gate/choose.go
+++ b/internal/load/gate/choose.go
@@ -111,5 +111,5 @@
 // mayStartLongShared reports whether this VM may run another long request on the
 // server, for requests that may go to any server.
 func (c *Core) mayStartLongShared(now time.Time, s *server) bool {
-	return !c.classifier.Mixed(now) || s.runningLong < c.share.Long(s.idx, len(c.servers), s.info.Slots)
+	return !c.classifier.Mixed(now) || s.runningLong < c.share.LongSlots(s.idx, len(c.servers), s.info.Slots)
 }
--- a/internal/load/gate/servers.go
+++ b/internal/load/gate/servers.go
@@ -284,7 +284,7 @@
 	most := s.health.MaxRunning(min(s.limit[s.limitKind].Max(), s.connPool.Max(now)))
 	c.concurrency[sizes.Short] += float64(most)
 	if mixed {
-		most = min(most, c.share.Long(s.idx, len(c.servers), s.info.Slots))
+		most = min(most, c.share.LongSlots(s.idx, len(c.servers), s.info.Slots))
 	}
 	c.concurrency[sizes.Long] += float64(most)
 }
--- a/internal/load/health/health.go
+++ b/internal/load/health/health.go
@@ -259,8 +259,8 @@
 // Monitor judges the servers of one service together.
 type Monitor struct {
 	latencies []float64 // buffer of median
-	ejected   int
-	panic     bool
+	ejected   int       // result of Ejected
+	panic     bool      // result of Panic
 }
 
 // Ejected returns how many servers were ejected after the last call of Evaluate.
@@ -332,6 +332,7 @@
 	return n
 }
 
+// probeIfDue starts to probe an ejected server whose pause is over.
 func (s *Server) probeIfDue(now time.Time) {
 	if now.Sub(s.since) >= s.ejection {
 		s.fire(now, onDue)
--- a/internal/load/poison/poison.go
+++ b/internal/load/poison/poison.go
@@ -74,37 +74,37 @@
 
 // Fingerprint returns the fingerprint of a caller's request with a body.
 func (h Head) Fingerprint(caller string, b Body) Fingerprint {
-	var p Fingerprint
-	copy(p[:partSize], h[:])
-	copy(p[partSize:], b[:])
+	var fp Fingerprint
+	copy(fp[:partSize], h[:])
+	copy(fp[partSize:], b[:])
 	sum := sha256.Sum256([]byte(caller))
-	copy(p[2*partSize:], sum[:])
-	return p
+	copy(fp[2*partSize:], sum[:])
+	return fp
 }
 
 // Head returns the digest of the request line.
-func (p Fingerprint) Head() Head { return Head(p[:partSize]) }
+func (fp Fingerprint) Head() Head { return Head(fp[:partSize]) }
 
 // AnyCaller returns the fingerprint of the same request from any caller.
-func (p Fingerprint) AnyCaller() Fingerprint {
-	clear(p[2*partSize:])
-	return p
+func (fp Fingerprint) AnyCaller() Fingerprint {
+	clear(fp[2*partSize:])
+	return fp
 }
 
 // String returns the fingerprint as 48 hex digits.
-func (p Fingerprint) String() string { return hex.EncodeToString(p[:]) }
+func (fp Fingerprint) String() string { return hex.EncodeToString(fp[:]) }
 
 // MarshalText implements [encoding.TextMarshaler].
-func (p Fingerprint) MarshalText() ([]byte, error) { return []byte(p.String()), nil }
+func (fp Fingerprint) MarshalText() ([]byte, error) { return []byte(fp.String()), nil }
 
 // UnmarshalText implements [encoding.TextUnmarshaler]. It returns a [kinds.Malformed] error
 // unless the text is 48 hex digits.
-func (p *Fingerprint) UnmarshalText(text []byte) error {
+func (fp *Fingerprint) UnmarshalText(text []byte) error {
 	b, err := hex.DecodeString(string(text))
-	if err != nil || len(b) != len(p) {
+	if err != nil || len(b) != len(fp) {
 		return kinds.New(kinds.Malformed, "request fingerprint is not 48 hex digits")
 	}
-	*p = Fingerprint(b)
+	*fp = Fingerprint(b)
 	return nil
 }
 
--- a/internal/load/poison/table.go
+++ b/internal/load/poison/table.go
@@ -114,9 +114,9 @@
 func (t *Table) Suspected(h Head) bool { return t.headCounts[h] > 0 }
 
 // Crashes returns the number of servers that crashed under a request.
-func (t *Table) Crashes(p Fingerprint) int {
+func (t *Table) Crashes(fp Fingerprint) int {
 	most := 0
-	for _, c := range t.casesOf(p) {
+	for _, c := range t.casesOf(fp) {
 		most = max(most, len(c.Crashes))
 	}
 	return most
@@ -124,18 +124,18 @@
 
 // QuarantineLeft returns how much longer a request must not reach any server; zero
 // if it may.
-func (t *Table) QuarantineLeft(now time.Time, p Fingerprint) time.Duration {
+func (t *Table) QuarantineLeft(now time.Time, fp Fingerprint) time.Duration {
 	var left time.Duration
-	for _, c := range t.casesOf(p) {
+	for _, c := range t.casesOf(fp) {
 		left = max(left, t.quarantineEnd(c).Sub(now))
 	}
 	return left
 }
 
 // casesOf lists the cases of a request: that of its caller and that of any caller.
-func (t *Table) casesOf(p Fingerprint) []*Case {
+func (t *Table) casesOf(fp Fingerprint) []*Case {
 	var all []*Case
-	for _, q := range withAnyCaller(p) {
+	for _, q := range withAnyCaller(fp) {
 		if c := t.cases[q]; c != nil {
 			all = append(all, c)
 		}
@@ -144,11 +144,11 @@
 }
 
 // withAnyCaller returns a fingerprint and its AnyCaller form, only one if they are equal.
-func withAnyCaller(p Fingerprint) []Fingerprint {
-	if p == p.AnyCaller() {
-		return []Fingerprint{p}
+func withAnyCaller(fp Fingerprint) []Fingerprint {
+	if fp == fp.AnyCaller() {
+		return []Fingerprint{fp}
 	}
-	return []Fingerprint{p, p.AnyCaller()}
+	return []Fingerprint{fp, fp.AnyCaller()}
 }
 
 // quarantineEnd returns when the quarantine of a request ends. Requests that ran on a
@@ -156,8 +156,8 @@
 // if another one has all its crashes and more. If two have exactly the same crashes, both
 // get only the short tieQuarantine, so that the next answer shows which one is harmless.
 func (t *Table) quarantineEnd(c *Case) time.Time {
-	hold := c.quarantineTime()
-	if hold == 0 {
+	duration := c.quarantineTime()
+	if duration == 0 {
 		return time.Time{}
 	}
 	for _, other := range t.cases {
@@ -169,10 +169,10 @@
 			return time.Time{}
 		}
 		if len(c.Crashes) < maxTieCrashes {
-			hold = min(hold, tieQuarantine)
+			duration = min(duration, tieQuarantine)
 		}
 	}
-	return c.lastEvent().Add(hold)
+	return c.lastEvent().Add(duration)
 }
 
 // Quarantined lists the requests that are in quarantine now, by fingerprint.
@@ -189,13 +189,13 @@
 
 // RecordCrash records that a server broke the connection while it ran a request of this VM.
 // It returns the number of servers that have done so by now.
-func (t *Table) RecordCrash(now time.Time, p Fingerprint, s ident.Server) int {
-	t.addCrash(p, Crash{Server: s, At: now})
-	return t.Crashes(p)
+func (t *Table) RecordCrash(now time.Time, fp Fingerprint, s ident.Server) int {
+	t.addCrash(fp, Crash{Server: s, At: now})
+	return t.Crashes(fp)
 }
 
-func (t *Table) addCrash(p Fingerprint, crash Crash) {
-	for _, q := range withAnyCaller(p) {
+func (t *Table) addCrash(fp Fingerprint, crash Crash) {
+	for _, q := range withAnyCaller(fp) {
 		if c := t.getOrCreate(q); c.add(crash) {
 			t.markChanged(c)
 		}
@@ -204,16 +204,16 @@
 
 // Clear records that a request was answered: earlier crashes were not caused by it, or
 // their cause has been fixed.
-func (t *Table) Clear(now time.Time, p Fingerprint) {
-	for _, c := range t.casesOf(p) {
+func (t *Table) Clear(now time.Time, fp Fingerprint) {
+	for _, c := range t.casesOf(fp) {
 		t.clearCase(now, c)
 	}
 }
 
 // Release clears a request for all its callers, at an operator's command.
-func (t *Table) Release(now time.Time, p Fingerprint) {
+func (t *Table) Release(now time.Time, fp Fingerprint) {
 	for _, c := range t.cases {
-		if c.Fingerprint.AnyCaller() == p.AnyCaller() {
+		if c.Fingerprint.AnyCaller() == fp.AnyCaller() {
 			t.clearCase(now, c)
 		}
 	}
@@ -232,7 +232,7 @@
 // reports whether any shared case changed.
 func (t *Table) Reconcile(now time.Time, liveness func(ident.Server) Liveness) bool {
 	before := t.seq
-	for p, c := range t.cases {
+	for fp, c := range t.cases {
 		n := len(c.Crashes)
 		c.Crashes = slices.DeleteFunc(c.Crashes, func(crash Crash) bool {
 			return !crash.Confirmed && now.Sub(crash.At) >= livenessGrace && liveness(crash.Server) == Alive
@@ -245,23 +245,23 @@
 		}
 		unshared := len(c.Crashes) == 0 && !c.shared
 		if unshared || !now.Before(c.lastEvent().Add(c.quarantineTime()+retention)) {
-			t.remove(p)
+			t.remove(fp)
 		}
 	}
 	return t.seq != before
 }
 
 // getOrCreate returns the case of a request and creates it if there is none.
-func (t *Table) getOrCreate(p Fingerprint) *Case {
-	if c := t.cases[p]; c != nil {
+func (t *Table) getOrCreate(fp Fingerprint) *Case {
+	if c := t.cases[fp]; c != nil {
 		return c
 	}
 	if len(t.cases) >= maxCases {
 		t.evict()
 	}
-	c := &Case{Fingerprint: p}
-	t.cases[p] = c
-	t.headCounts[p.Head()]++
+	c := &Case{Fingerprint: fp}
+	t.cases[fp] = c
+	t.headCounts[fp.Head()]++
 	return c
 }
 
@@ -279,10 +279,10 @@
 	}
 }
 
-func (t *Table) remove(p Fingerprint) {
-	delete(t.cases, p)
-	if t.headCounts[p.Head()]--; t.headCounts[p.Head()] <= 0 {
-		delete(t.headCounts, p.Head())
+func (t *Table) remove(fp Fingerprint) {
+	delete(t.cases, fp)
+	if t.headCounts[fp.Head()]--; t.headCounts[fp.Head()] <= 0 {
+		delete(t.headCounts, fp.Head())
 	}
 }
 
--- a/internal/load/sizes/sizes.go
+++ b/internal/load/sizes/sizes.go
@@ -106,11 +106,11 @@
 	Index int // index of this VM, from zero
 }
 
-// Long returns how many long requests this VM may run on server i of n, each with the given
+// LongSlots returns how many long requests this VM may run on server i of n, each with the given
 // slots, while both kinds are in use. The sum over all VMs is half the slots of each
 // server. But each VM owns at least one long slot: when there are more VMs than long slots,
 // some slots are owned by several VMs.
-func (s Share) Long(i, n, slots int) int {
+func (s Share) LongSlots(i, n, slots int) int {
 	if n <= 0 || i < 0 || i >= n {
 		return 0
 	}
--- a/internal/load/sizes/sizes_test.go
+++ b/internal/load/sizes/sizes_test.go
@@ -22,7 +22,7 @@
 		for v := range vms {
 			own := 0
 			for i := range n {
-				k := Share{VMs: vms, Index: v}.Long(i, n, slots)
+				k := Share{VMs: vms, Index: v}.LongSlots(i, n, slots)
 				own += k
 				perServer[i] += k
 			}
