--- a/internal/edge/syncer/syncer.go
+++ b/internal/edge/syncer/syncer.go
@@ -174,7 +174,7 @@
 		return
 	}
 	p := cmd.Packet
-	if p.Heartbeat != nil || p.Ack != nil || p.Probe != nil || p.News != nil {
+	if p.Heartbeat != nil || p.Ack != nil || p.Comparison != nil || p.News != nil {
 		s.Peers.Cast(cmd.To, b)
 		return
 	}
--- a/internal/node/gossip/bench_test.go
+++ b/internal/node/gossip/bench_test.go
@@ -8,7 +8,7 @@
 
 // BenchmarkSecond measures the decisions of one VM in a second at each fleet size,
 // without encoding: ten ticks, three heartbeats with merged views, which are
-// answered, and two probes.
+// answered, and two comparisons.
 func BenchmarkSecond(b *testing.B) {
 	for _, n := range []int{10, 50, 200, 520} {
 		b.Run("vms="+strconv.Itoa(n), func(b *testing.B) {
@@ -29,8 +29,8 @@
 					}
 					m.Update(now, PacketMsg{From: m.order[i], Packet: Packet{Heartbeat: p}})
 				}
-				for i := range probesPerPeriod {
-					m.Update(now, PacketMsg{From: m.order[i], Packet: Packet{Probe: &Probe{Sum: m.sum, Rows: []LoadRow{{Server: "s1", Age: time.Second}}}}})
+				for i := range comparisonsPerPeriod {
+					m.Update(now, PacketMsg{From: m.order[i], Packet: Packet{Comparison: &Comparison{Sum: m.sum, Rows: []LoadRow{{Server: "s1", Age: time.Second}}}}})
 				}
 			}
 		})
--- a/internal/node/gossip/probe.go
+++ b/internal/node/gossip/compare.go
@@ -17,8 +17,8 @@
 }
 
 const (
-	maxProbeRows = 10               // rows in one probe
-	maxRowAge    = 30 * time.Second // after which a row is no longer used
+	maxComparisonRows = 10               // rows in one comparison
+	maxRowAge         = 30 * time.Second // after which a row is no longer used
 )
 
 // onReport records rows that this VM read itself.
@@ -30,21 +30,21 @@
 	}
 }
 
-// probe compares state with a few other VMs, chosen pseudo-randomly and
+// compare compares state with a few other VMs, chosen pseudo-randomly and
 // differently on each VM and each time.
-func (m *Model) probe(now time.Time) []loop.Cmd {
-	m.probedAt = now
+func (m *Model) compare(now time.Time) []loop.Cmd {
+	m.comparedAt = now
 	n := len(m.order)
 	if n < 2 {
 		return nil
 	}
 	self := slices.Index(m.order, m.self)
-	p := &Probe{Sum: m.sum, Rows: m.freshestRows(now)}
+	p := &Comparison{Sum: m.sum, Rows: m.freshestRows(now)}
 	var cmds []loop.Cmd
-	for range min(probesPerPeriod, n-1) {
+	for range min(comparisonsPerPeriod, n-1) {
 		m.peerChoices++
 		step := 1 + int(rank(string(m.self), ident.VM(strconv.Itoa(m.peerChoices)))%uint64(n-1))
-		cmds = append(cmds, SendCmd{To: m.order[(self+step)%n], Packet: Packet{Probe: p}})
+		cmds = append(cmds, SendCmd{To: m.order[(self+step)%n], Packet: Packet{Comparison: p}})
 	}
 	return cmds
 }
@@ -63,8 +63,8 @@
 	slices.SortFunc(all, func(a, b timedRow) int {
 		return cmp.Or(b.at.Compare(a.at), cmp.Compare(a.Server, b.Server))
 	})
-	if len(all) > maxProbeRows {
-		all = all[:maxProbeRows]
+	if len(all) > maxComparisonRows {
+		all = all[:maxComparisonRows]
 	}
 	out := make([]LoadRow, len(all))
 	for i, r := range all {
@@ -74,7 +74,7 @@
 	return out
 }
 
-func (m *Model) onProbe(now time.Time, from ident.VM, p *Probe) []loop.Cmd {
+func (m *Model) onComparison(now time.Time, from ident.VM, p *Comparison) []loop.Cmd {
 	var news []LoadRow
 	for _, r := range p.Rows {
 		at := now.Add(-r.Age)
@@ -118,7 +118,7 @@
 // sendHeads sends heads in as many packets as they need. If that is more than one,
 // each is marked as partial: the receiver would otherwise take the heads of the
 // other packets as unknown here. It announces what is newer on its side in answer
-// to a probe of this VM.
+// to a comparison with this VM.
 func sendHeads(to ident.VM, list []Head, part bool) []loop.Cmd {
 	part = part || len(list) > maxHeads
 	var cmds []loop.Cmd
--- a/internal/node/gossip/gossip.go
+++ b/internal/node/gossip/gossip.go
@@ -35,7 +35,7 @@
 // heartbeats in a row may be lost. A silent watcher is replaced within the same
 // time, before the bound of 7 s has passed.
 const (
-	Period          = time.Second            // between heartbeats, and between probes
+	Period          = time.Second            // between heartbeats, and between comparisons
 	TickInterval    = 100 * time.Millisecond // how often TickMsg must be sent
 	minHeartbeatGap = 200 * time.Millisecond // minimum between two heartbeats of a watcher
 	fetchTimeout    = 10 * time.Second       // after which a value that no VM delivers is given up; it is announced again if it exists
@@ -59,9 +59,9 @@
 // slow.
 const Watchers = 3
 
-// probesPerPeriod is the number of other VMs that a VM compares its state with in
+// comparisonsPerPeriod is the number of other VMs that a VM compares its state with in
 // each period.
-const probesPerPeriod = 2
+const comparisonsPerPeriod = 2
 
 // PeersMsg replaces the list of participating VMs, this one included.
 type PeersMsg struct{ Live []Peer }
@@ -173,7 +173,7 @@
 
 	heartbeatAt time.Time
 	acksAskedAt time.Time // when this VM's heartbeat last asked for acknowledgements
-	probedAt    time.Time
+	comparedAt  time.Time
 	contactAt   time.Time
 	// peerChoices counts the choices of a peer, so that each differs from the
 	// last.
@@ -217,7 +217,7 @@
 	switch msg := msg.(type) {
 	case PeersMsg:
 		m.setPeers(now, msg.Live)
-		return m, append(m.elect(now), m.probe(now)...)
+		return m, append(m.elect(now), m.compare(now)...)
 	case StoreMsg:
 		m.onStore(now, msg.Asked)
 	case ValueMsg:
@@ -247,8 +247,8 @@
 		return m.onAck(now, from, p.Ack)
 	case p.News != nil:
 		m.onNews(now, p.News)
-	case p.Probe != nil:
-		return m.onProbe(now, from, p.Probe)
+	case p.Comparison != nil:
+		return m.onComparison(now, from, p.Comparison)
 	case p.Heads != nil:
 		return m.onHeads(now, from, p.Heads)
 	case p.Request != nil:
@@ -321,8 +321,8 @@
 	if m.watch && m.heartbeatDue(now) {
 		cmds = append(cmds, m.sendHeartbeat(now)...)
 	}
-	if now.Sub(m.probedAt) >= Period {
-		cmds = append(cmds, m.probe(now)...)
+	if now.Sub(m.comparedAt) >= Period {
+		cmds = append(cmds, m.compare(now)...)
 	}
 	if now.Sub(m.contactAt) >= contactPeriod {
 		m.contactAt = now
--- a/internal/node/gossip/gossip_test.go
+++ b/internal/node/gossip/gossip_test.go
@@ -353,7 +353,7 @@
 	x.update("vm1", ValueMsg{Name: "table/a", Rev: 1, Raw: valueBody(2)})
 	x.update("vm0", ValueMsg{Name: "table/b", Rev: 1, Raw: valueBody(3)})
 	assert.Equal(t, len(x.wire), 0)
-	x.update("vm0", PacketMsg{From: "vm1", Packet: Packet{Probe: &Probe{Sum: x.nodes["vm1"].sum}}})
+	x.update("vm0", PacketMsg{From: "vm1", Packet: Packet{Comparison: &Comparison{Sum: x.nodes["vm1"].sum}}})
 	for range 20 {
 		if len(x.wire) > 0 {
 			x.deliver(0, false)
@@ -371,7 +371,7 @@
 	r := x.nodes["vm1"].rows["s1"]
 	assert.Equal(t, r.Busy, 3)
 	assert.Assert(t, r.at.Equal(t0), "%v", r.at.Sub(t0))
-	x.update("vm1", PacketMsg{From: "vm3", Packet: Packet{Probe: &Probe{Rows: []LoadRow{{Server: "s1", Busy: 9, Age: time.Minute}}}}})
+	x.update("vm1", PacketMsg{From: "vm3", Packet: Packet{Comparison: &Comparison{Rows: []LoadRow{{Server: "s1", Busy: 9, Age: time.Minute}}}}})
 	assert.Equal(t, x.nodes["vm1"].rows["s1"].Busy, 3)
 }
 
--- a/internal/node/gossip/heartbeat.go
+++ b/internal/node/gossip/heartbeat.go
@@ -131,7 +131,7 @@
 }
 
 // recentHeads returns the heads that changed lately, at most as many as a
-// heartbeat may carry; probes transfer the rest. They are sorted by name, so that
+// heartbeat may carry; comparisons transfer the rest. They are sorted by name, so that
 // the few values that all VMs depend on, such as rules/, come before those of
 // which there is one per server.
 func (m *Model) recentHeads(now time.Time) []Head {
@@ -197,7 +197,7 @@
 		cmds = append(cmds, m.onHead(now, from, h)...)
 	}
 	if p.Sum != m.sum && len(p.Heads) == 0 {
-		cmds = append(cmds, SendCmd{To: from, Packet: Packet{Probe: &Probe{Sum: m.sum}}})
+		cmds = append(cmds, SendCmd{To: from, Packet: Packet{Comparison: &Comparison{Sum: m.sum}}})
 	}
 	return cmds
 }
--- a/internal/node/gossip/packet.go
+++ b/internal/node/gossip/packet.go
@@ -12,13 +12,13 @@
 
 // Packet is what one entry VM sends to another. Exactly one field is set.
 type Packet struct {
-	Heartbeat *Heartbeat `cbor:"1,keyasint,omitempty"`
-	Ack       *Ack       `cbor:"2,keyasint,omitempty"`
-	Probe     *Probe     `cbor:"3,keyasint,omitempty"`
-	Heads     *Heads     `cbor:"4,keyasint,omitempty"`
-	Request   *Request   `cbor:"5,keyasint,omitempty"`
-	Value     *Value     `cbor:"6,keyasint,omitempty"`
-	News      *News      `cbor:"7,keyasint,omitempty"`
+	Heartbeat  *Heartbeat  `cbor:"1,keyasint,omitempty"`
+	Ack        *Ack        `cbor:"2,keyasint,omitempty"`
+	Comparison *Comparison `cbor:"3,keyasint,omitempty"`
+	Heads      *Heads      `cbor:"4,keyasint,omitempty"`
+	Request    *Request    `cbor:"5,keyasint,omitempty"`
+	Value      *Value      `cbor:"6,keyasint,omitempty"`
+	News       *News       `cbor:"7,keyasint,omitempty"`
 }
 
 // Head identifies one revision of a named value.
@@ -60,9 +60,9 @@
 	View *View    `cbor:"4,keyasint,omitempty"`
 }
 
-// Probe compares the state of two VMs outside the trees and carries load rows. A
+// Comparison compares the state of two VMs outside the trees and carries load rows. A
 // receiver whose Sum differs answers with its Heads.
-type Probe struct {
+type Comparison struct {
 	Sum  digest.Sum `cbor:"1,keyasint"`
 	Rows []LoadRow  `cbor:"2,keyasint,omitempty"`
 }
@@ -135,13 +135,11 @@
 
 // Limits on what is accepted from a peer.
 const (
-	maxHeads = 256 // in one packet
-	maxName  = 256 // bytes
-	// load rows in one probe
-	maxRows  = 64
+	maxHeads = 256     // in one packet
+	maxName  = 256     // bytes
+	maxRows  = 64      // load rows in one comparison
 	maxValue = 1 << 20 // bytes
-	// differences in one Value
-	maxDiffs = 16
+	maxDiffs = 16      // differences in one Value
 )
 
 // Encode returns the wire form of the packet.
@@ -166,7 +164,7 @@
 // parts returns the number of fields that are set.
 func (p Packet) parts() int {
 	n := 0
-	for _, has := range []bool{p.Heartbeat != nil, p.Ack != nil, p.Probe != nil, p.Heads != nil, p.Request != nil, p.Value != nil, p.News != nil} {
+	for _, has := range []bool{p.Heartbeat != nil, p.Ack != nil, p.Comparison != nil, p.Heads != nil, p.Request != nil, p.Value != nil, p.News != nil} {
 		if has {
 			n++
 		}
@@ -182,8 +180,8 @@
 		return p.Ack.N >= 0 && (p.Ack.View == nil || validView(p.Ack.View))
 	case p.News != nil:
 		return validView(&p.News.View)
-	case p.Probe != nil:
-		return validRows(p.Probe.Rows)
+	case p.Comparison != nil:
+		return validRows(p.Comparison.Rows)
 	case p.Heads != nil:
 		return true
 	case p.Request != nil:
--- a/internal/node/gossip/packet_test.go
+++ b/internal/node/gossip/packet_test.go
@@ -58,7 +58,7 @@
 	for _, h := range list[1:] {
 		a.Update(t0, ValueMsg{Name: h.Name, Rev: h.Rev, Raw: valueBody(1)})
 	}
-	_, cmds := a.Update(t0, PacketMsg{From: "vm1", Packet: Packet{Probe: &Probe{}}})
+	_, cmds := a.Update(t0, PacketMsg{From: "vm1", Packet: Packet{Comparison: &Comparison{}}})
 	announced := map[string]bool{}
 	for _, c := range cmds {
 		send, ok := c.(SendCmd)
@@ -89,7 +89,7 @@
 		{Heartbeat: &Heartbeat{Root: "vm0", Seq: 1 << 41, ViewAge: 1000, View: &View{List: 7, Responders: []byte{2, 1}, Suspects: []Member{9}}}},
 		{Ack: &Ack{Root: "vm0", Seq: 1, N: 4, View: &View{Responders: []byte{1, 0}, Claims: []Claim{{Of: 9, By: []ident.VM{"vm1"}}}}}},
 		{News: &News{Root: "vm0", View: View{Suspects: []Member{9}}}},
-		{Probe: &Probe{Sum: h.Sum, Rows: []LoadRow{{Server: "s", Slots: 4, Busy: 2, Age: 1}}}},
+		{Comparison: &Comparison{Sum: h.Sum, Rows: []LoadRow{{Server: "s", Slots: 4, Busy: 2, Age: 1}}}},
 		{Heads: &Heads{List: []Head{h}}},
 		{Request: &Request{Name: "rules", Have: 1, Sum: headOf(1).Sum}},
 		{Value: &Value{Head: h, Base: 1, Diffs: [][]byte{{3, 0}}}},
--- a/internal/node/gossip/value.go
+++ b/internal/node/gossip/value.go
@@ -102,8 +102,8 @@
 	return list
 }
 
-// refreshSum recomputes the digest over all heads, which heartbeats and probes
-// carry.
+// refreshSum recomputes the digest over all heads, which heartbeats and
+// comparisons carry.
 func (m *Model) refreshSum() {
 	raw, err := wire.Encode(m.heads())
 	if err == nil {
