--- a/internal/node/detect/detect.go
+++ b/internal/node/detect/detect.go
@@ -27,7 +27,9 @@
 
 import (
 	_ "embed"
+	"maps"
 	"net/netip"
+	"slices"
 	"time"
 
 	"hawthornfield.org/hawthornfield/internal/core/chart"
@@ -52,15 +54,15 @@
 )
 
 const (
-	onReady  chart.Trigger = "ready"
-	onLeave  chart.Trigger = "leave"
-	onSilent chart.Trigger = "silent"
-	onLost   chart.Trigger = "lost"
-	onStay   chart.Trigger = "stay"
-	onBack   chart.Trigger = "back"
+	onReady  chart.Trigger = "ready"  // it reports ready and answers
+	onLeave  chart.Trigger = "leave"  // it leaves
+	onSilent chart.Trigger = "silent" // it looks frozen
+	onLost   chart.Trigger = "lost"   // it is listed as gone, and silent
+	onStay   chart.Trigger = "stay"   // it no longer leaves
+	onBack   chart.Trigger = "back"   // it answers again after a freeze
 )
 
-// Config holds the times. The zero value takes DefaultConfig.
+// Config holds the periods and timeouts. The zero value means DefaultConfig.
 type Config struct {
 	ProbePeriod time.Duration // between two probes of a member
 	SilentAfter time.Duration // time without any answer that counts as one observation of a freeze
@@ -224,6 +226,28 @@
 	}
 }
 
+func (m *Model[K]) ids() []K { return slices.Sorted(maps.Keys(m.members)) }
+
+// Members returns all members that are not gone, in the order of their names.
+func (m *Model[K]) Members() []Member[K] {
+	out := make([]Member[K], 0, len(m.members))
+	for _, id := range m.ids() {
+		if x := m.members[id]; x.Is != Gone {
+			out = append(out, x.Member)
+		}
+	}
+	return out
+}
+
+// Member returns one member, also one that is gone.
+func (m *Model[K]) Member(id K) (Member[K], bool) {
+	x := m.members[id]
+	if x == nil {
+		return Member[K]{}, false
+	}
+	return x.Member, true
+}
+
 // Update implements [loop.Model].
 func (m *Model[K]) Update(now time.Time, msg loop.Msg) (loop.Model, []loop.Cmd) {
 	var cmds []loop.Cmd
--- a/internal/node/detect/detect_test.go
+++ b/internal/node/detect/detect_test.go
@@ -185,9 +185,8 @@
 }
 
 // The list says "gone" of most servers at once, which may be wrong, so none that
-// answers may be declared gone; but none of them may get new work. When the guard
-// against a broken list also blocked this, a server that had left still got work;
-// the property test below found it.
+// answers may be declared gone; but none of them may get new work. The guard
+// against a broken list once blocked this too, and a server that had left got work.
 func TestAListOfMostlyGoneOnlyStopsNewWork(t *testing.T) {
 	w := newSim(t, 3)
 	w.servers["s0"].listed, w.servers["s1"].listed = vmlist.Gone, vmlist.Gone
--- a/internal/node/detect/evaluate.go
+++ b/internal/node/detect/evaluate.go
@@ -1,7 +1,6 @@
 package detect
 
 import (
-	"maps"
 	"slices"
 	"time"
 
@@ -11,28 +10,6 @@
 	"hawthornfield.org/hawthornfield/internal/plat/vmlist"
 )
 
-func (m *Model[K]) ids() []K { return slices.Sorted(maps.Keys(m.members)) }
-
-// Members returns all members that are not gone, in the order of their names.
-func (m *Model[K]) Members() []Member[K] {
-	out := make([]Member[K], 0, len(m.members))
-	for _, id := range m.ids() {
-		if x := m.members[id]; x.Is != Gone {
-			out = append(out, x.Member)
-		}
-	}
-	return out
-}
-
-// Member returns one member, also one that is gone.
-func (m *Model[K]) Member(id K) (Member[K], bool) {
-	x := m.members[id]
-	if x == nil {
-		return Member[K]{}, false
-	}
-	return x.Member, true
-}
-
 // evaluate updates the states of the active members: first of those that leave or
 // are gone, then of the others, since the share of frozen members is computed over
 // those that stay.
--- a/internal/node/detect/member.go
+++ b/internal/node/detect/member.go
@@ -20,7 +20,7 @@
 	answers int       // direct answers since the last change of state or failed call
 
 	failedProbes int       // probes in a row without an answer
-	probedAt     time.Time // when this VM last asked
+	probedAt     time.Time // when this VM last probed it
 	// probers are the VMs that probe it, once computed.
 	probers         []ident.VM
 	suspectAt       time.Time // when another VM last reported it as suspect
@@ -51,7 +51,7 @@
 }
 
 // onProbe handles the result of a probe, and reports whether the member became
-// suspect or stopped being so, of which other VMs are told at once.
+// suspect or stopped being so, which is sent to the other VMs at once.
 func (x *member[K]) onProbe(now time.Time, msg ProbeMsg[K]) (changed bool) {
 	before := x.isSuspect()
 	defer func() { changed = x.isSuspect() != before }()
--- a/internal/node/detect/mesh_test.go
+++ b/internal/node/detect/mesh_test.go
@@ -233,10 +233,9 @@
 	}
 }
 
-// A lease holder renews a server's lease several times a second, and each answer
-// carries the server's health. Probes besides would be redundant. When the
-// renewals end, probes must start, or a server that freezes then would stay in
-// use.
+// A VM renews a server's lease several times a second, and each answer carries
+// the server's health, so probes would be redundant. When the renewals end, probes
+// must start, or a server that freezes then would stay in use.
 func TestAHealthReportInAnAnswerReplacesAProbe(t *testing.T) {
 	m, now := New[ident.Server](Config{}), t0
 	m.Update(now, ListMsg[ident.Server]{Rows: []Listed[ident.Server]{{ID: "s1", Group: "lookup", State: vmlist.Live}}})
--- a/internal/node/detect/probing.go
+++ b/internal/node/detect/probing.go
@@ -22,9 +22,10 @@
 // it every VM probes every member.
 //
 // Each member is then probed by a few VMs, which every VM computes alike. The
-// others do not probe it while nothing changes; what they are told never changes
-// what they believe of a member, it only makes them probe it themselves. So a VM
-// that lies, or a lost packet, costs probes and nothing else.
+// others do not probe it while nothing changes. A prober's report that a member is
+// suspect does not change its state at the others, it only makes them probe the
+// member themselves. So a VM that lies, or a lost packet, costs probes and nothing
+// else.
 type ProbersMsg struct {
 	Self ident.VM
 	VMs  []Prober
@@ -155,9 +156,9 @@
 	slices.SortFunc(all, func(a, b ranked) int { return cmp.Or(cmp.Compare(b.rank, a.rank), cmp.Compare(a.VM, b.VM)) })
 	x.probers = make([]ident.VM, 0, probersPerMember)
 	centres := map[ident.Centre]bool{}
-	for _, fresh := range []bool{true, false} {
+	for _, newCentre := range []bool{true, false} {
 		for _, vm := range all {
-			if len(x.probers) < probersPerMember && !slices.Contains(x.probers, vm.VM) && (!fresh || !centres[vm.Centre]) {
+			if len(x.probers) < probersPerMember && !slices.Contains(x.probers, vm.VM) && (!newCentre || !centres[vm.Centre]) {
 				x.probers = append(x.probers, vm.VM)
 				centres[vm.Centre] = true
 			}
--- a/internal/node/detect/schedule.go
+++ b/internal/node/detect/schedule.go
@@ -11,6 +11,8 @@
 	"hawthornfield.org/hawthornfield/internal/plat/vmlist"
 )
 
+// This file decides which members are evaluated at each tick.
+//
 // Nearly all members are healthy at nearly all times. Evaluating each of them ten
 // times a second took 8.2 µs per second and member, 1.9 % of a core with 2,288 of
 // them, to find that nothing had changed. So a healthy member is idle: it is
--- a/internal/node/gossip/gossip.go
+++ b/internal/node/gossip/gossip.go
@@ -145,7 +145,7 @@
 	peers      []Peer
 	order      []ident.VM // all VMs in watch order
 	watchers   map[ident.VM]*watcher
-	watch      bool
+	watch      bool      // this VM watches the store
 	peersAt    time.Time // when the peers last changed
 	shortSince time.Time // since when there are too few watchers; zero if there are enough
 
@@ -171,14 +171,14 @@
 	// reported is this VM's own view.
 	reported ViewMsg
 
-	heartbeatAt time.Time
+	heartbeatAt time.Time // of this VM's last heartbeat
 	acksAskedAt time.Time // when this VM's heartbeat last asked for acknowledgements
-	comparedAt  time.Time
-	contactAt   time.Time
+	comparedAt  time.Time // of the last comparisons that this VM began
+	contactAt   time.Time // of the last ContactCmd
 	// peerChoices counts the choices of a peer, so that each differs from the
 	// last.
 	peerChoices int
-	rows        map[ident.Server]timedRow
+	rows        map[ident.Server]timedRow // newest load rows known here
 	// ownServers are the servers whose load this VM reads itself.
 	ownServers []ident.Server
 }
@@ -344,10 +344,10 @@
 			delete(m.waiting, name)
 			continue
 		}
-		if now.Sub(f.askedAt) < fetchRetry {
+		if now.Sub(f.requestedAt) < fetchRetry {
 			continue
 		}
-		f.askedAt = now
+		f.requestedAt = now
 		f.from = m.otherPeer(f.from)
 		cmds = append(cmds, m.requestValue(f))
 	}
--- a/internal/node/gossip/gossip_test.go
+++ b/internal/node/gossip/gossip_test.go
@@ -375,10 +375,9 @@
 	assert.Equal(t, x.nodes["vm1"].rows["s1"].Busy, 3)
 }
 
-// Packets are lost, duplicated and reordered while revisions follow each other and
-// different watchers read them at different times. Each VM must always hold the
-// content of a real revision, its revision must only rise, and once packets arrive
-// again all VMs must hold the newest.
+// Packets are lost, duplicated and reordered while watchers read new revisions at
+// different times. Each VM must only hold real revisions, in rising order, and all
+// must hold the newest once packets arrive again.
 func TestRevisionsOnlyRiseAndAllVMsAgreeInTheEnd(t *testing.T) {
 	seeds.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(2, 6).Draw(t, "vms")
--- a/internal/node/gossip/heartbeat.go
+++ b/internal/node/gossip/heartbeat.go
@@ -11,12 +11,12 @@
 
 // watcher is what this VM knows from one watcher's heartbeats.
 type watcher struct {
-	seq       uint64
+	seq       uint64        // of the latest heartbeat
 	at        time.Time     // when the latest arrived
 	minDiff   time.Duration // least difference between this VM's clock and the heartbeat's sequence number
 	minDiffAt time.Time     // when minDiff was set
 
-	acks *ackCount
+	acks *ackCount // answers to the latest heartbeat; nil once they are sent on
 	// lastView and lastSeq are the merged answers to the last counted heartbeat
 	// and its sequence number. Only the watcher itself sets them.
 	lastView *mergedView
--- a/internal/node/gossip/packet.go
+++ b/internal/node/gossip/packet.go
@@ -92,7 +92,8 @@
 	Raw   []byte         `cbor:"raw,omitempty"`
 }
 
-// LoadRow is the load of one backend server, read by the VM that holds its seat.
+// LoadRow is the load of one backend server, read by the VM that holds the
+// authority over its keys.
 // On the wire Age is in whole milliseconds, rounded up, so that a row never looks
 // newer than it is.
 type LoadRow struct {
--- a/internal/node/gossip/peerlist.go
+++ b/internal/node/gossip/peerlist.go
@@ -67,7 +67,7 @@
 	}
 }
 
-// currentList is the present one.
+// currentList returns the list that was set last.
 func (m *Model) currentList() *peerList { return m.lists[0] }
 
 // settledList returns the newest list that all VMs have had the time to read. A VM
--- a/internal/node/gossip/tree.go
+++ b/internal/node/gossip/tree.go
@@ -16,8 +16,8 @@
 	Centre ident.Centre
 }
 
-// rank is a pseudo-random order of VMs that differs for each salt and is the same
-// on every VM (rendezvous hashing).
+// rank returns a pseudo-random rank of a VM, which differs for each salt and is the
+// same on every VM (rendezvous hashing).
 func rank(salt string, vm ident.VM) uint64 {
 	return xxhash.Sum64String(salt + "\x00" + string(vm))
 }
@@ -60,10 +60,10 @@
 const fanOut = 4
 
 // newTree places all VMs in a heap. The trees of the watchers use one shuffled
-// order, each rotated by index/3 of its length, with the first VMs in watch order at the
-// end. Only the first quarter of a heap of fan-out 4 has children, so a VM has
-// children in at most one of these trees: its loss breaks one tree only, and no VM
-// carries the load of two.
+// order, each rotated by index/3 of its length, with the first VMs in watch order
+// at the end. Only the first quarter of a heap of fan-out 4 has children, so a VM
+// has children in at most one of these trees: its loss breaks one tree only, and
+// no VM carries the load of two.
 func newTree(watchOrder []ident.VM, root ident.VM, index int, self ident.VM) tree {
 	first := watchOrder[:min(Watchers, len(watchOrder))]
 	rest := slices.Clone(watchOrder[len(first):])
--- a/internal/node/gossip/value.go
+++ b/internal/node/gossip/value.go
@@ -84,13 +84,13 @@
 	return raw
 }
 
-// fetch is a value that is being requested, last from VM from at askedAt.
+// fetch is a value that is being requested, last from VM from at requestedAt.
 type fetch struct {
 	Head
-	from      ident.VM
-	startedAt time.Time
-	askedAt   time.Time
-	whole     bool // differences did not fit: request the whole value
+	from        ident.VM
+	startedAt   time.Time
+	requestedAt time.Time
+	whole       bool // differences did not fit: request the whole value
 }
 
 // heads returns all heads that are held, sorted by name.
@@ -146,7 +146,7 @@
 	if ok && h.Rev <= f.Rev || !ok && len(m.fetches) >= maxHeads {
 		return nil
 	}
-	m.fetches[h.Name] = &fetch{Head: h, from: from, startedAt: now, askedAt: now}
+	m.fetches[h.Name] = &fetch{Head: h, from: from, startedAt: now, requestedAt: now}
 	return []loop.Cmd{HeadCmd{From: from, Head: h}, m.requestValue(m.fetches[h.Name])}
 }
 
@@ -191,6 +191,6 @@
 	if f == nil || f.whole {
 		return nil
 	}
-	f.whole, f.from, f.askedAt = true, from, now
+	f.whole, f.from, f.requestedAt = true, from, now
 	return []loop.Cmd{m.requestValue(f)}
 }
--- a/internal/node/gossip/vmset.go
+++ b/internal/node/gossip/vmset.go
@@ -51,8 +51,8 @@
 	encodedBits  = 0 // one bit per VM
 	encodedGaps  = 1 // distances between members
 	encodedHoles = 2 // distances between VMs that are not members
-	// longest list for which a set is decoded
-	maxVMs = 1 << 12
+
+	maxVMs = 1 << 12 // longest list for which a set is decoded
 )
 
 // encode returns the shortest encoding of the set over a list of n VMs. A full set
--- a/internal/node/member/member_test.go
+++ b/internal/node/member/member_test.go
@@ -146,9 +146,8 @@
 }
 
 // Guards against delayed removals on a VM that alone could not reach the store for seven
-// seconds. It would send requests to a server that left until 2.2 s after its own return,
-// while the platform allows 2 s after the leaving. A peer that reached the store all the
-// time proves it.
+// seconds, as a peer that always could proves. It would send requests to a server that
+// left until 2.2 s after its own return, while the platform allows 2 s from the leaving.
 func TestPeerContactWithStoreEndsTheWait(t *testing.T) {
 	var s Set[string]
 	s.ReplaceAll(start, 10, []Entry[string]{entry("a", 3, false), entry("b", 4, false)})
--- a/internal/node/netsim/fleet_test.go
+++ b/internal/node/netsim/fleet_test.go
@@ -227,11 +227,9 @@
 	return false
 }
 
-// 520 VMs watch servers through three probers each. Two probers of a server are
-// lost when it begins to drain, and the third reports that all is well. If the VMs
-// kept relying on them, the server would get new work until it is gone, and those
-// requests would be lost; if every VM probed every server instead, each server
-// would get 520 probes a second.
+// Two of a server's three probers are lost when it begins to drain, and the third
+// reports that all is well. If 520 VMs kept relying on them, the server would get
+// new work until it is gone; if all probed it, it would get 520 probes a second.
 func TestALeavingServerIsNoticedBy520VMsThroughThreeProbers(t *testing.T) {
 	n, servers := 520, 40
 	if testing.Short() {
--- a/internal/node/netsim/netsim.go
+++ b/internal/node/netsim/netsim.go
@@ -30,8 +30,8 @@
 	Lag      time.Duration
 	// Outage makes the store silent for the second half of the run.
 	Outage bool
-	// Servers is the number of backend servers. The VMs that hold their seats
-	// report their load once a second.
+	// Servers is the number of backend servers. Each is assigned to one VM, which
+	// reports its load once a second.
 	Servers int
 	Seed    uint64
 }
--- a/internal/node/netsim/simulation.go
+++ b/internal/node/netsim/simulation.go
@@ -18,10 +18,10 @@
 	index     int
 	peer      gossip.Peer
 	model     *gossip.Model
-	watch     bool
-	dead      bool
-	bytes     int // sent and received
-	sent      int
+	watch     bool // it watches the store
+	dead      bool // it was replaced by another VM
+	bytes     int  // sent and received
+	sent      int  // packets
 	startedAt time.Time
 	contact   gossip.ContactCmd
 	newsUntil time.Time // time up to which the VM knows that it would have heard news
@@ -33,12 +33,14 @@
 	loadReadAt map[ident.Server]time.Time
 }
 
+// event is something that happens at a simulated time.
 type event struct {
 	at  time.Time
-	seq int
+	seq int // order of events at the same time
 	run func()
 }
 
+// events is a priority queue, earliest first.
 type events []event
 
 func (e events) Len() int { return len(e) }
@@ -176,7 +178,7 @@
 	r.scheduleAfter(gossip.TickInterval, func() { r.tick(n) })
 }
 
-// loadRows returns the loads of the servers whose seats this VM holds.
+// loadRows returns the loads of the servers that are assigned to this VM.
 func (r *simulation) loadRows(n *node) []gossip.LoadRow {
 	var rows []gossip.LoadRow
 	for i := n.index % r.VMs; i < r.Servers; i += r.VMs {
@@ -332,9 +334,9 @@
 // change or from the VM's start, whichever is later. A revision that a VM never
 // received, because it got a newer one first, counts with the time of the newer
 // one.
-func (n *node) lags(made map[ident.Revision]time.Time) []time.Duration {
+func (n *node) lags(changedAt map[ident.Revision]time.Time) []time.Duration {
 	var out []time.Duration
-	for rev, at := range made {
+	for rev, at := range changedAt {
 		if at.Before(n.startedAt) {
 			at = n.startedAt
 		}
