--- a/internal/load/gate/core.go
+++ b/internal/load/gate/core.go
@@ -71,12 +71,12 @@
 
 	servers        []*server
 	byName         map[ident.Server]*server
-	available      pick.Set
+	available      pick.Set // servers with room for a request that is not keyed
 	availableLocal pick.Set // servers of available in this VM's data centre
 	availableWarm  pick.Set // servers of available that were used recently; only local ones if Centre is set
 	monitor        health.Monitor
-	healthScratch  []*health.Server // argument of monitor.Evaluate, reused
-	score          func(int) float64
+	healthScratch  []*health.Server  // argument of monitor.Evaluate, reused
+	score          func(int) float64 // of a server by index, as of scoreTime
 	scoreTime      time.Time
 
 	shared        lanePair                 // requests that may go to any server
@@ -90,10 +90,10 @@
 	classifier    sizes.Classifier
 	share         sizes.Share
 	retryBudget   retry.Budget
-	refusalRate   float64 // recent share of requests refused
-	nextExpiry    time.Time
+	refusalRate   float64   // recent share of requests refused
+	nextExpiry    time.Time // next deadline of a waiting request; may be too early
 	reestimateAt  time.Time // next time that queue waits are estimated again
-	healthCheckAt time.Time
+	healthCheckAt time.Time // next time that the servers' health is checked; zero if none is due
 
 	lastEvent    time.Time // last call to detectPause
 	lastPause    vmPause   // the most recent pause
--- a/internal/load/gate/gate.go
+++ b/internal/load/gate/gate.go
@@ -12,13 +12,6 @@
 // and conns. [Gate] makes it safe for concurrent use: it locks, runs the timer and
 // handles callers that go away.
 //
-// The terms: a request is keyed if a key decides which server, the key's owner, must
-// get it; it then waits in a queue of that owner, other requests wait in shared queues.
-// A flow is all requests of one caller, or for one key. A flow that sends more than its
-// fair share has a debt; with a large debt it is hot (package fair). A queue is standing
-// when waits have been long for some time, which is overload and not a burst (package
-// queue). A move is the change of a key's owner.
-//
 //	g := gate.New(gate.Config{Service: "lookup"})
 //	defer g.Close()
 //	g.SetServers([]gate.ServerInfo{{Name: "a", Slots: 4, Conns: 100}})
@@ -28,6 +21,13 @@
 //	}
 //	outcome := forward(permit.Server())
 //	permit.Done(outcome)
+//
+// In this package, a request is keyed if it must go to the owner of its key. It waits in
+// a queue of that owner; other requests wait in shared queues. A move is the change of a
+// key's owner. A flow is all requests of one caller, or all for one key. A flow that
+// sends more than its fair share has a debt, and is hot if the debt is large (package
+// fair). A queue is standing when waits have been long for some time, which is overload
+// and not a burst (package queue).
 package gate
 
 import (
--- a/internal/load/gate/ticket.go
+++ b/internal/load/gate/ticket.go
@@ -14,10 +14,10 @@
 type state uint8
 
 const (
-	stateIdle state = iota
-	stateQueued
-	stateAwaitingOwner
-	stateStarted
+	stateIdle          state = iota // new, or ended
+	stateQueued                     // in a lane
+	stateAwaitingOwner              // in a move queue
+	stateStarted                    // on a backend server
 	stateRefused
 )
 
--- a/internal/load/gate/vmpause.go
+++ b/internal/load/gate/vmpause.go
@@ -13,8 +13,8 @@
 // owners ejected for a second, with one slot left for all requests for their keys.
 type vmPause struct{ start, end time.Time }
 
-// detectPause records a pause if one ends now. Every method of Core that handles an
-// event calls it first.
+// detectPause records a pause if one ends now. Offer, WaitOwner, Done, Report and Tick
+// call it first.
 func (c *Core) detectPause(now time.Time) {
 	since := c.healthCheckAt
 	if c.lastEvent.After(since) {
--- a/internal/node/netsim/simulation.go
+++ b/internal/node/netsim/simulation.go
@@ -87,62 +87,62 @@
 
 // Run simulates one configuration. The same configuration gives the same row.
 func Run(c Config) Row {
-	r := newSimulation(c)
-	r.runUntil(r.Length)
-	return r.row()
+	s := newSimulation(c)
+	s.runUntil(s.Length)
+	return s.row()
 }
 
 func newSimulation(c Config) *simulation {
 	c = c.withDefaults()
 	start := time.Date(2026, 10, 1, 6, 0, 0, 0, time.UTC)
-	r := &simulation{
+	s := &simulation{
 		Config: c, rnd: rand.New(rand.NewPCG(c.Seed, uint64(c.VMs))), now: start, start: start,
 		byVM: map[ident.VM]*node{}, changedAt: map[ident.Revision]time.Time{}, raw: make([]byte, c.Value), listSum: 1,
 	}
-	for i := range r.raw {
-		r.raw[i] = byte(r.rnd.Uint32())
+	for i := range s.raw {
+		s.raw[i] = byte(s.rnd.Uint32())
 	}
 	for i := range c.VMs {
-		r.addNode(i)
+		s.addNode(i)
 	}
-	r.updatePeers()
+	s.updatePeers()
 	for i := range c.Changes {
-		r.schedule(c.Length*time.Duration(i)/time.Duration(c.Changes)+time.Second, r.changeValue)
+		s.schedule(c.Length*time.Duration(i)/time.Duration(c.Changes)+time.Second, s.changeValue)
 	}
 	for i := range c.Restarts {
-		r.schedule(c.Length*time.Duration(i+1)/time.Duration(c.Restarts+2), r.restart)
+		s.schedule(c.Length*time.Duration(i+1)/time.Duration(c.Restarts+2), s.restart)
 	}
-	return r
+	return s
 }
 
 // runUntil advances the simulated time until d after the start.
-func (r *simulation) runUntil(d time.Duration) {
-	for len(r.queue) > 0 && r.queue[0].at.Sub(r.start) <= d {
-		e := heap.Pop(&r.queue).(event)
-		r.now = e.at
+func (s *simulation) runUntil(d time.Duration) {
+	for len(s.queue) > 0 && s.queue[0].at.Sub(s.start) <= d {
+		e := heap.Pop(&s.queue).(event)
+		s.now = e.at
 		e.run()
 	}
 }
 
-func (r *simulation) schedule(after time.Duration, f func()) {
-	r.seq++
-	heap.Push(&r.queue, event{at: r.start.Add(after), seq: r.seq, run: f})
+func (s *simulation) schedule(after time.Duration, f func()) {
+	s.seq++
+	heap.Push(&s.queue, event{at: s.start.Add(after), seq: s.seq, run: f})
 }
 
-func (r *simulation) scheduleAfter(d time.Duration, f func()) { r.schedule(r.now.Sub(r.start)+d, f) }
+func (s *simulation) scheduleAfter(d time.Duration, f func()) { s.schedule(s.now.Sub(s.start)+d, f) }
 
-func (r *simulation) addNode(i int) *node {
-	p := gossip.Peer{VM: ident.VM("vm" + strconv.Itoa(i)), Centre: ident.Centre("dc" + strconv.Itoa(i%r.Centres))}
-	n := &node{index: i, peer: p, model: gossip.New(r.now, p), startedAt: r.now, receivedAt: map[ident.Revision]time.Time{}, loadReadAt: map[ident.Server]time.Time{}}
-	r.nodes = append(r.nodes, n)
-	r.byVM[p.VM] = n
-	r.scheduleAfter(time.Duration(r.rnd.Int64N(int64(gossip.TickInterval))), func() { r.tick(n) })
+func (s *simulation) addNode(i int) *node {
+	p := gossip.Peer{VM: ident.VM("vm" + strconv.Itoa(i)), Centre: ident.Centre("dc" + strconv.Itoa(i%s.Centres))}
+	n := &node{index: i, peer: p, model: gossip.New(s.now, p), startedAt: s.now, receivedAt: map[ident.Revision]time.Time{}, loadReadAt: map[ident.Server]time.Time{}}
+	s.nodes = append(s.nodes, n)
+	s.byVM[p.VM] = n
+	s.scheduleAfter(time.Duration(s.rnd.Int64N(int64(gossip.TickInterval))), func() { s.tick(n) })
 	return n
 }
 
-func (r *simulation) livePeers() []gossip.Peer {
+func (s *simulation) livePeers() []gossip.Peer {
 	var live []gossip.Peer
-	for _, n := range r.nodes {
+	for _, n := range s.nodes {
 		if !n.dead {
 			live = append(live, n.peer)
 		}
@@ -150,109 +150,109 @@
 	return live
 }
 
-func (r *simulation) updatePeers() {
-	live := r.livePeers()
-	for _, n := range r.nodes {
-		r.update(n, gossip.PeersMsg{Live: live})
+func (s *simulation) updatePeers() {
+	live := s.livePeers()
+	for _, n := range s.nodes {
+		s.update(n, gossip.PeersMsg{Live: live})
 	}
 }
 
 // tick advances a VM's model. For a watcher it also simulates the store, which is
 // read twice a second.
-func (r *simulation) tick(n *node) {
+func (s *simulation) tick(n *node) {
 	if n.dead {
 		return
 	}
-	down := r.Outage && r.now.Sub(r.start) > r.Length/2
-	if n.watch && !down && r.now.Sub(n.startedAt)/gossip.TickInterval%5 == 0 {
-		r.update(n, gossip.StoreMsg{})
-		r.readStore(n)
+	down := s.Outage && s.now.Sub(s.start) > s.Length/2
+	if n.watch && !down && s.now.Sub(n.startedAt)/gossip.TickInterval%5 == 0 {
+		s.update(n, gossip.StoreMsg{})
+		s.readStore(n)
 	}
-	if r.now.Sub(n.startedAt)/gossip.TickInterval%10 == 0 {
-		r.update(n, gossip.ReportMsg{Rows: r.loadRows(n)})
+	if s.now.Sub(n.startedAt)/gossip.TickInterval%10 == 0 {
+		s.update(n, gossip.ReportMsg{Rows: s.loadRows(n)})
 	}
-	r.update(n, gossip.TickMsg{})
-	if r.onTick != nil {
-		r.onTick(n)
+	s.update(n, gossip.TickMsg{})
+	if s.onTick != nil {
+		s.onTick(n)
 	}
-	r.scheduleAfter(gossip.TickInterval, func() { r.tick(n) })
+	s.scheduleAfter(gossip.TickInterval, func() { s.tick(n) })
 }
 
 // loadRows returns the loads of the servers that are assigned to this VM.
-func (r *simulation) loadRows(n *node) []gossip.LoadRow {
+func (s *simulation) loadRows(n *node) []gossip.LoadRow {
 	var rows []gossip.LoadRow
-	for i := n.index % r.VMs; i < r.Servers; i += r.VMs {
-		rows = append(rows, gossip.LoadRow{Server: ident.Server("server" + strconv.Itoa(i)), Slots: 4, Busy: r.rnd.IntN(5)})
+	for i := n.index % s.VMs; i < s.Servers; i += s.VMs {
+		rows = append(rows, gossip.LoadRow{Server: ident.Server("server" + strconv.Itoa(i)), Slots: 4, Busy: s.rnd.IntN(5)})
 	}
 	return rows
 }
 
-func (r *simulation) readStore(n *node) {
-	if r.rev > 0 {
-		r.update(n, gossip.ValueMsg{Name: valueName, Rev: r.rev, Raw: r.raw})
+func (s *simulation) readStore(n *node) {
+	if s.rev > 0 {
+		s.update(n, gossip.ValueMsg{Name: valueName, Rev: s.rev, Raw: s.raw})
 	}
 }
 
-func (r *simulation) changeValue() {
-	r.rev++
-	r.raw = slices.Clone(r.raw)
-	from := r.rnd.IntN(max(1, len(r.raw)-r.Edit))
-	for i := range min(r.Edit, len(r.raw)) {
-		r.raw[from+i] = byte(r.rnd.Uint32())
+func (s *simulation) changeValue() {
+	s.rev++
+	s.raw = slices.Clone(s.raw)
+	from := s.rnd.IntN(max(1, len(s.raw)-s.Edit))
+	for i := range min(s.Edit, len(s.raw)) {
+		s.raw[from+i] = byte(s.rnd.Uint32())
 	}
-	r.changedAt[r.rev] = r.now
+	s.changedAt[s.rev] = s.now
 }
 
 // restart replaces a VM, half of the time one that watches the store. Its
 // successor holds no values and knows the new list; the others learn of the change
 // after the list's lag.
-func (r *simulation) restart() {
-	old := r.nodes[r.rnd.IntN(len(r.nodes))]
-	if i := slices.IndexFunc(r.nodes, func(n *node) bool { return n.watch && !n.dead }); i >= 0 && r.rnd.IntN(2) == 0 {
-		old = r.nodes[i]
+func (s *simulation) restart() {
+	old := s.nodes[s.rnd.IntN(len(s.nodes))]
+	if i := slices.IndexFunc(s.nodes, func(n *node) bool { return n.watch && !n.dead }); i >= 0 && s.rnd.IntN(2) == 0 {
+		old = s.nodes[i]
 	}
 	if old.dead {
 		return
 	}
 	old.dead = true
-	r.listSum++
-	n := r.addNode(len(r.nodes))
-	r.update(n, gossip.PeersMsg{Live: r.livePeers()})
-	r.scheduleAfter(r.Lag, r.updatePeers)
+	s.listSum++
+	n := s.addNode(len(s.nodes))
+	s.update(n, gossip.PeersMsg{Live: s.livePeers()})
+	s.scheduleAfter(s.Lag, s.updatePeers)
 }
 
-func (r *simulation) update(n *node, msg loop.Msg) {
+func (s *simulation) update(n *node, msg loop.Msg) {
 	if n.dead {
 		return
 	}
-	_, cmds := n.model.Update(r.now, msg)
+	_, cmds := n.model.Update(s.now, msg)
 	for _, c := range cmds {
-		if r.onCmd != nil {
-			r.onCmd(n, c)
+		if s.onCmd != nil {
+			s.onCmd(n, c)
 		}
 		switch c := c.(type) {
 		case gossip.SendCmd:
-			r.send(n, c)
+			s.send(n, c)
 		case gossip.WatchCmd:
 			n.watch = c.On
 		case gossip.ReadListCmd:
-			r.listReads++
-			r.scheduleAfter(0, func() { r.update(n, gossip.ListReadMsg{Sum: r.listSum, Asked: r.now}) })
+			s.listReads++
+			s.scheduleAfter(0, func() { s.update(n, gossip.ListReadMsg{Sum: s.listSum, Asked: s.now}) })
 		case gossip.ValueCmd:
-			n.receivedAt[c.Head.Rev] = r.now
+			n.receivedAt[c.Head.Rev] = s.now
 		case gossip.LoadCmd:
 			for _, x := range c.Rows {
-				n.loadReadAt[x.Server] = r.now.Add(-x.Age)
+				n.loadReadAt[x.Server] = s.now.Add(-x.Age)
 			}
 		case gossip.ContactCmd:
-			n.onContact(r.now, c)
+			n.onContact(s.now, c)
 		}
 	}
 }
 
-func (r *simulation) send(n *node, c gossip.SendCmd) {
-	if r.alterPacket != nil {
-		r.alterPacket(n, &c.Packet)
+func (s *simulation) send(n *node, c gossip.SendCmd) {
+	if s.alterPacket != nil {
+		s.alterPacket(n, &c.Packet)
 	}
 	raw, err := c.Packet.Encode()
 	if err != nil {
@@ -261,40 +261,40 @@
 	n.sent++
 	size := len(raw) + Overhead
 	if v := c.Packet.Value; v != nil && v.Base == 0 {
-		r.wholeBytes += size
+		s.wholeBytes += size
 		size = 0
 	}
 	n.bytes += size
-	to := r.byVM[c.To]
-	if to == nil || r.rnd.Float64() < r.Loss {
+	to := s.byVM[c.To]
+	if to == nil || s.rnd.Float64() < s.Loss {
 		return
 	}
-	r.scheduleAfter(r.Delay+time.Duration(r.rnd.Int64N(int64(r.Delay))), func() {
+	s.scheduleAfter(s.Delay+time.Duration(s.rnd.Int64N(int64(s.Delay))), func() {
 		p, err := gossip.DecodePacket(raw)
 		if err != nil || to.dead {
 			return
 		}
 		to.bytes += size
-		r.update(to, gossip.PacketMsg{From: n.peer.VM, Packet: p})
+		s.update(to, gossip.PacketMsg{From: n.peer.VM, Packet: p})
 	})
 }
 
-func (r *simulation) row() Row {
-	row := Row{VMs: r.VMs, Loss: r.Loss, Whole: float64(r.wholeBytes), Reads: float64(r.listReads) / r.Length.Seconds()}
+func (s *simulation) row() Row {
+	row := Row{VMs: s.VMs, Loss: s.Loss, Whole: float64(s.wholeBytes), Reads: float64(s.listReads) / s.Length.Seconds()}
 	var times []time.Duration
 	var age, ages time.Duration
-	for _, n := range r.nodes {
+	for _, n := range s.nodes {
 		if n.dead {
 			continue
 		}
 		for _, at := range n.loadReadAt {
-			age += r.now.Sub(at)
+			age += s.now.Sub(at)
 			ages++
 		}
-		lived := r.now.Sub(n.startedAt).Seconds()
-		row.Messages += float64(n.sent) / lived / float64(r.VMs)
+		lived := s.now.Sub(n.startedAt).Seconds()
+		row.Messages += float64(n.sent) / lived / float64(s.VMs)
 		rate := float64(n.bytes) / lived
-		row.Mean += rate / float64(r.VMs)
+		row.Mean += rate / float64(s.VMs)
 		row.Max = max(row.Max, rate)
 		if n.watch {
 			row.Watchers++
@@ -303,10 +303,10 @@
 		if !n.contact.Store && 2*n.contact.Heard <= n.contact.Live {
 			row.Blind++
 		}
-		if h, _ := n.model.Head(valueName); h.Rev != r.rev {
+		if h, _ := n.model.Head(valueName); h.Rev != s.rev {
 			row.Missing++
 		}
-		times = append(times, n.lags(r.changedAt)...)
+		times = append(times, n.lags(s.changedAt)...)
 	}
 	row.LoadAge = age / max(1, ages)
 	slices.Sort(times)
