--- a/internal/node/detect/detect.go
+++ b/internal/node/detect/detect.go
@@ -314,7 +314,7 @@
 	}
 	m.coveredUntil(now, x)
 	f(x)
-	if x.activity == idle && !x.healthy() {
+	if x.activity == activityIdle && !x.healthy() {
 		m.activate(x)
 	}
 }
--- a/internal/node/detect/schedule.go
+++ b/internal/node/detect/schedule.go
@@ -26,9 +26,9 @@
 type activity uint8
 
 const (
-	active  activity = iota
-	idle             // live and healthy
-	removed          // gone, until it is forgotten
+	activityActive activity = iota
+	activityIdle            // live and healthy
+	activityGone            // gone, until it is forgotten
 )
 
 // dueQueue holds the members that are not active, ordered by checkAt.
@@ -68,13 +68,13 @@
 // activate makes a member active, so that the next tick evaluates it.
 func (m *Model[K]) activate(x *member[K]) {
 	switch x.activity {
-	case active:
+	case activityActive:
 		return
-	case idle:
+	case activityIdle:
 		m.idleCount--
 		m.idleByGroup[x.Group]--
 	}
-	x.activity = active
+	x.activity = activityActive
 	heap.Remove(&m.queue, x.queueIndex)
 	m.active[x.ID] = x
 }
@@ -102,9 +102,9 @@
 	for _, x := range active {
 		switch {
 		case x.Is == Gone:
-			x.activity, x.checkAt = removed, x.Since.Add(forgetAfter)
+			x.activity, x.checkAt = activityGone, x.Since.Add(forgetAfter)
 		case x.healthy() && x.silentFor(now) < m.cfg.SilentAfter:
-			x.activity, x.checkAt = idle, m.nextCheck(now, x)
+			x.activity, x.checkAt = activityIdle, m.nextCheck(now, x)
 			m.idleCount++
 			m.idleByGroup[x.Group]++
 		default:
