--- a/internal/load/bench/gate.go
+++ b/internal/load/bench/gate.go
@@ -114,7 +114,7 @@
 // tick.
 func (p *gatePolicy) applyDecisions(vm int) {
 	c := p.cores[vm]
-	for _, t := range c.Ready() {
+	for _, t := range c.TakeDecided() {
 		gr := p.inFlight[t]
 		if t.Server() != "" {
 			p.handleStart(gr, t)
--- a/internal/load/gate/gate.go
+++ b/internal/load/gate/gate.go
@@ -21,6 +21,13 @@
 //	}
 //	outcome := forward(permit.Server())
 //	permit.Done(outcome)
+//
+// In this package, a request is keyed if it must go to the owner of its key. It waits in
+// a queue of that owner; other requests wait in shared queues. A move is the change of a
+// key's owner. A flow is all requests of one caller, or all for one key. A flow that
+// sends more than its fair share has a debt, and is hot if the debt is large (package
+// fair). A queue is standing when waits have been long for some time, which is overload
+// and not a burst (package queue).
 package gate
 
 import (
@@ -191,8 +198,8 @@
 	Slots   int           // requests that it processes concurrently
 }
 
-// Inspect returns the current state of the named server, or of all servers together for
-// the empty name.
+// Inspect returns the current state of the named server, or of all servers together if
+// the name is empty or not listed.
 func (g *Gate) Inspect(s ident.Server) Snapshot {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -214,8 +221,8 @@
 	g.scheduleTick()
 }
 
-// run is the gate's timer goroutine. It refuses requests whose deadline can no longer
-// be met, and updates health and limits while no calls come in.
+// run is the gate's timer goroutine: it calls [Core.Tick] when it is due, also while no
+// other calls come in.
 func (g *Gate) run(ctx context.Context) error {
 	timer := time.NewTimer(time.Hour)
 	defer timer.Stop()
@@ -261,7 +268,7 @@
 
 // notifyDecided signals the callers whose tickets were decided.
 func (g *Gate) notifyDecided() {
-	for _, t := range g.core.Ready() {
+	for _, t := range g.core.TakeDecided() {
 		t.wake <- struct{}{}
 	}
 }
--- a/internal/load/gate/reestimate_test.go
+++ b/internal/load/gate/reestimate_test.go
@@ -32,10 +32,9 @@
 	return &Ticket{Job: Job{Caller: ident.Caller(strconv.FormatInt(now.UnixNano(), 36)), Key: "k", Server: s, Size: 1, Deadline: now.Add(left)}}
 }
 
-// Guards against requests that wait until their deadline for a frozen owner. They were
-// admitted with 250 ms to go and expected to start within a few answers of 8 ms; once
-// the owner has been silent for half of the time to spare they cannot expect an answer
-// in time and must be refused then.
+// Guards against requests that wait until their deadline for a frozen owner. Admitted
+// with 250 ms to go and answers expected every 8 ms, they must be refused once the owner
+// has been silent for half of the time to spare.
 func TestWaitersForFrozenOwnerAreRefusedEarly(t *testing.T) {
 	c, now := newKeyedCore()
 	froze := now
@@ -50,7 +49,7 @@
 	for now.Sub(froze) < 200*time.Millisecond {
 		now = now.Add(time.Millisecond)
 		c.Tick(now)
-		for _, tk := range c.Ready() {
+		for _, tk := range c.TakeDecided() {
 			kind, after := tk.Refusal()
 			assert.Equal(t, kind, kinds.DeadlineMissed)
 			assert.Assert(t, after > 0)
@@ -79,11 +78,11 @@
 	for range 40 {
 		now = now.Add(time.Millisecond)
 		c.Tick(now)
-		assert.Equal(t, len(c.Ready()), 0)
+		assert.Equal(t, len(c.TakeDecided()), 0)
 	}
 	c.Done(now, first, Outcome{Latency: 40 * time.Millisecond})
 	for range 4 {
-		got := c.Ready()
+		got := c.TakeDecided()
 		assert.Equal(t, len(got), 1)
 		assert.Equal(t, got[0].Server(), ident.Server("a"))
 		now = now.Add(8 * time.Millisecond)
@@ -92,11 +91,9 @@
 	}
 }
 
-// Guards against queueing and retrying for an owner that refuses everything or cannot
-// be reached: no other server has the key, so both only delay the refusal. The first
-// request still goes there, so that the owner's recovery is noticed. Requests to a full
-// server must be refused as Busy; only for a lost one is it worth waiting until its
-// keys move.
+// Guards against queueing and retrying for an owner that refuses everything (Busy) or
+// cannot be reached (NoServer: waiting for a move may help). Both only delay the refusal.
+// One request at a time still goes there, so that the owner's recovery is noticed.
 func TestAFailingOwnerRefusesAtOnce(t *testing.T) {
 	for want, out := range map[kinds.Kind]Outcome{
 		kinds.Busy: {Kind: kinds.Busy, Refused: true}, kinds.NoServer: {Kind: kinds.NoServer},
@@ -153,7 +150,7 @@
 			now = now.Add(time.Millisecond)
 			c.Tick(now)
 		}
-		c.Ready()
+		c.TakeDecided()
 	}
 	assert.Equal(t, c.Offer(now, lookup()), Start)
 	assert.Equal(t, c.Offer(now, lookup()), Wait, "the limit for short requests must hold")
