--- a/internal/rules/match/accept.go
+++ b/internal/rules/match/accept.go
@@ -29,8 +29,8 @@
 }
 
 // sanitize makes a rule with faults safe to use. Limits are clamped to their valid range.
-// A rule with a fault in its path, key, split, durable or once is marked as unusable,
-// because this program does not know what the rule requires.
+// A rule with a fault in one of the fields path, key, split, durable and once is marked as
+// unusable, because this program does not know what the rule requires.
 func (r *Rule) sanitize(faults Faults) {
 	t := &r.Then
 	t.Retry = min(max(t.Retry, 0), MaxRetry)
@@ -79,6 +79,7 @@
 	return pattern[:strings.LastIndexByte(pattern, '/')+1]
 }
 
+// longer returns the longer of two texts.
 func longer(a, b string) string {
 	if len(b) > len(a) {
 		return b
--- a/internal/rules/match/check.go
+++ b/internal/rules/match/check.go
@@ -47,7 +47,7 @@
 
 // Service is what Compile needs to know about a service.
 type Service struct {
-	Divided bool // sharded by key: its rules must set a key source
+	Divided bool // sharded by key ("divided" in the settings): its rules must set a key source
 }
 
 // Option configures the checks of Compile.
--- a/internal/rules/match/glob.go
+++ b/internal/rules/match/glob.go
@@ -8,36 +8,36 @@
 // covers reports whether every text that matches inner also matches outer. It may return
 // false for patterns that do cover each other, but never true for patterns that do not.
 func covers(outer, inner string) bool {
-	pre, suf, open := strings.Cut(outer, wildcard)
-	if !open {
+	prefix, suffix, isGlob := strings.Cut(outer, wildcard)
+	if !isGlob {
 		return outer == inner
 	}
-	ipre, isuf, iopen := strings.Cut(inner, wildcard)
-	if !iopen {
+	innerPrefix, innerSuffix, innerIsGlob := strings.Cut(inner, wildcard)
+	if !innerIsGlob {
 		return globMatch(outer, inner)
 	}
-	return strings.HasPrefix(ipre, pre) && strings.HasSuffix(isuf, suf)
+	return strings.HasPrefix(innerPrefix, prefix) && strings.HasSuffix(innerSuffix, suffix)
 }
 
 // globMatch reports whether s matches a pattern with at most one wildcard.
 func globMatch(pattern, s string) bool {
-	pre, suf, open := strings.Cut(pattern, wildcard)
-	if !open {
+	prefix, suffix, isGlob := strings.Cut(pattern, wildcard)
+	if !isGlob {
 		return pattern == s
 	}
-	return len(s) >= len(pre)+len(suf) && strings.HasPrefix(s, pre) && strings.HasSuffix(s, suf)
+	return len(s) >= len(prefix)+len(suffix) && strings.HasPrefix(s, prefix) && strings.HasSuffix(s, suffix)
 }
 
 // hostMatch is globMatch ignoring case and port.
 func hostMatch(pattern, host string) bool {
 	host = stripPort(host)
-	pre, suf, open := strings.Cut(pattern, wildcard)
-	if !open {
+	prefix, suffix, isGlob := strings.Cut(pattern, wildcard)
+	if !isGlob {
 		return equalFold(pattern, host)
 	}
-	return len(host) >= len(pre)+len(suf) &&
-		equalFold(host[:len(pre)], pre) &&
-		equalFold(host[len(host)-len(suf):], suf)
+	return len(host) >= len(prefix)+len(suffix) &&
+		equalFold(host[:len(prefix)], prefix) &&
+		equalFold(host[len(host)-len(suffix):], suffix)
 }
 
 // equalFold compares two texts ignoring the case of ASCII letters. Unicode case folding
--- a/internal/rules/match/index.go
+++ b/internal/rules/match/index.go
@@ -243,12 +243,12 @@
 
 // addNode returns the child of a node for a text, and creates it if necessary.
 func (x *indexBuilder) addNode(from node, text string) node {
-	s := edge{from, text}
-	if n, ok := x.edges[s]; ok {
+	e := edge{from, text}
+	if n, ok := x.edges[e]; ok {
 		return n
 	}
 	n := node(len(x.nodes))
-	x.edges[s] = n
+	x.edges[e] = n
 	x.nodes = append(x.nodes, nodeInfo{parent: from})
 	x.ruleCount = append(x.ruleCount, 0)
 	return n
@@ -272,7 +272,8 @@
 	return best
 }
 
-// assign stores a rule at the given nodes, or at rootPath when there are none.
+// assign stores a rule at the given nodes, or at rootPath when there are none. Until layOut
+// runs, the field to of a node counts its rules.
 func (x *indexBuilder) assign(rule int, nodes []node) {
 	if len(nodes) == 0 {
 		nodes = []node{rootPath}
@@ -298,9 +299,9 @@
 		at += n
 	}
 	x.rules = make([]int32, at)
-	for _, f := range x.assignments {
-		e := &x.nodes[f.at]
-		x.rules[e.to] = f.rule
+	for _, a := range x.assignments {
+		e := &x.nodes[a.at]
+		x.rules[e.to] = a.rule
 		e.to++
 	}
 }
--- a/internal/rules/match/key.go
+++ b/internal/rules/match/key.go
@@ -52,7 +52,7 @@
 
 func pathKey(r *Rule, req *Request, name string) (string, error) {
 	p := r.path
-	if !p.nonEmpty {
+	if !p.nonEmpty { // the rule does not come from a Set, which compiles its path
 		var err error
 		if p, err = parsePath(r.When.Path); err != nil {
 			return "", err
--- a/internal/rules/match/match.go
+++ b/internal/rules/match/match.go
@@ -34,7 +34,7 @@
 type Request struct {
 	Service ident.Service       // service named by the request, empty if none
 	Method  string              // in upper case
-	Host    string              // as sent; a port is ignored
+	Host    string              // as the caller sent it; a port is ignored
 	Path    string              // escaped form, beginning with a slash
 	Query   string              // raw query, without the question mark
 	Header  map[string][]string // names in canonical form
@@ -122,7 +122,7 @@
 // blocks the other. The empty size counts as Short.
 type Size string
 
-// Values of Size.
+// The sizes.
 const (
 	Short Size = "short"
 	Long  Size = "long"
