--- a/internal/rules/quorum/quorum_test.go
+++ b/internal/rules/quorum/quorum_test.go
@@ -121,10 +121,9 @@
 	return n
 }
 
-// An operator edits the rules while six of ten entry VMs reach neither the store nor the
-// other four. The six reach each other and keep the old rules, so a route that the
-// operator closed would still serve. The edit must not be recorded as accepted before
-// more than half of the VMs hold it, one of the six among them.
+// Six of ten entry VMs reach each other, but neither the store nor the other four, and keep
+// the old rules. An edit must not be recorded as accepted before more than half of the VMs
+// hold it, or a route that the operator was told is closed would still serve.
 func TestAnEditIsNotAcceptedWithoutAMajority(t *testing.T) {
 	f := newFleet(10)
 	for _, vm := range f.order {
