--- a/internal/rules/revs/model.go
+++ b/internal/rules/revs/model.go
@@ -42,8 +42,8 @@
 }
 
 // DefaultLimits are 4 s of the 7 s of MaxApplyDelay. The remainder leaves 2 s for an
-// announcement to spread among the peers, and 1 s for the next TickMsg and for the load
-// balancer to stop sending requests to the VM.
+// announcement to spread among the peers, and 1 s for the next TickMsg and the load
+// balancer.
 var DefaultLimits = Limits{Isolated: 4 * time.Second, Behind: 4 * time.Second}
 
 // State says whether this VM may answer requests.
