--- a/internal/audit/dedup/claim.go
+++ b/internal/audit/dedup/claim.go
@@ -84,8 +84,8 @@
 	Done    Stage = "done"    // it ran and was answered
 )
 
-// Receipt is the value of a claim in the object API.
-type Receipt struct {
+// Record is the value of a claim in the object API.
+type Record struct {
 	FormatVersion int           `cbor:"v"`
 	Service       ident.Service `cbor:"service"`
 	ID            ident.Request `cbor:"id"`
@@ -137,9 +137,9 @@
 type attempt struct {
 	chart    *chart.Chart
 	state    chart.State
-	receipt  Receipt        // as written by this attempt
+	record   Record         // as written by this attempt
 	version  object.Version // last known version of the object
-	existing Receipt        // last one read
+	existing Record         // last one read
 	calls    int
 	// mayBeWritten is set once a write may have taken effect.
 	mayBeWritten bool
@@ -187,7 +187,7 @@
 
 func (a *attempt) onObject(o object.Object) {
 	a.version = o.Version
-	a.existing = Receipt{Stage: Claimed}
+	a.existing = Record{Stage: Claimed}
 	if err := wire.Decode(o.Value, &a.existing); err != nil || a.existing.FormatVersion > Version {
 		a.fire(others)
 		return
@@ -195,7 +195,7 @@
 	switch {
 	case a.existing.Stage == Free:
 		a.fire(free)
-	case a.existing.AttemptToken == a.receipt.AttemptToken && a.existing.Stage == Claimed:
+	case a.existing.AttemptToken == a.record.AttemptToken && a.existing.Stage == Claimed:
 		a.fire(mine)
 	default:
 		a.fire(others)
@@ -215,7 +215,7 @@
 	if a.state == reading {
 		return []loop.Cmd{GetCmd{}}
 	}
-	value, err := wire.Encode(a.receipt)
+	value, err := wire.Encode(a.record)
 	if err != nil {
 		a.fire(failed)
 		return nil
@@ -229,16 +229,16 @@
 var _ loop.Model = Claim{}
 
 // NewClaim returns a new attempt; the token in r must be unique to the attempt.
-func NewClaim(r Receipt) Claim {
+func NewClaim(r Record) Claim {
 	r.FormatVersion, r.Stage = Version, Claimed
-	return Claim{&attempt{chart: claimStates, state: claimStates.Start, receipt: r}}
+	return Claim{&attempt{chart: claimStates, state: claimStates.Start, record: r}}
 }
 
 // Update applies one message.
 func (c Claim) Update(now time.Time, msg loop.Msg) (loop.Model, []loop.Cmd) {
 	switch msg := msg.(type) {
 	case StartMsg:
-		c.receipt.WrittenAt = now
+		c.record.WrittenAt = now
 	case PutMsg:
 		c.onPut(msg)
 	case GetMsg:
@@ -254,7 +254,7 @@
 func (c Claim) Owned() bool { return c.state == owned }
 
 // Taken returns the claim of another attempt, if there is one.
-func (c Claim) Taken() (Receipt, bool) { return c.existing, c.state == taken }
+func (c Claim) Taken() (Record, bool) { return c.existing, c.state == taken }
 
 // Release releases a claim. It is a [loop.Model].
 type Release struct{ *attempt }
@@ -263,20 +263,20 @@
 
 // NewRelease returns a model that releases a claim whose request did not run.
 func NewRelease(c Claim) Release {
-	r := c.receipt
+	r := c.record
 	r.Stage = Free
 	begin := releaseStates.Start
 	if c.Owned() {
 		begin = writing // the version is known, and no other attempt may change it
 	}
-	return Release{&attempt{chart: releaseStates, state: begin, version: c.version, receipt: r}}
+	return Release{&attempt{chart: releaseStates, state: begin, version: c.version, record: r}}
 }
 
 // Update applies one message.
 func (r Release) Update(now time.Time, msg loop.Msg) (loop.Model, []loop.Cmd) {
 	switch msg := msg.(type) {
 	case StartMsg:
-		r.receipt.WrittenAt = now
+		r.record.WrittenAt = now
 		r.calls = 0
 		if r.Ended() {
 			r.state = releaseStates.Start // another try after the store did not answer
--- a/internal/audit/dedup/claim_test.go
+++ b/internal/audit/dedup/claim_test.go
@@ -16,7 +16,7 @@
 	"hawthornfield.org/hawthornfield/internal/plat/object"
 )
 
-// simStore is the object of one request id, with all attempts to claim it. The test chooses
+// simStore simulates the object of one request id and all attempts to claim it. The test chooses
 // when each store call is executed, which stands for paused VMs as well as a slow store.
 type simStore struct {
 	now       time.Time
@@ -49,7 +49,7 @@
 // submit starts another attempt to claim the id.
 func (sim *simStore) submit() {
 	sim.lastToken++
-	sim.step(call{model: NewClaim(Receipt{ID: "r-1", AttemptToken: fmt.Sprint(sim.lastToken)})}, StartMsg{})
+	sim.step(call{model: NewClaim(Record{ID: "r-1", AttemptToken: fmt.Sprint(sim.lastToken)})}, StartMsg{})
 }
 
 // step passes a message to a model and queues the store call that it asks for.
@@ -119,10 +119,9 @@
 	}
 }
 
-// A request is repeated through several entry VMs. Store calls are delayed, refused, not
-// answered, or take effect late, and VMs are lost between claim and forward. In any order
-// the request must run at most once, and it must still be possible to submit it when no
-// VM was lost and nothing ran.
+// A request is repeated through several entry VMs, store calls fail or take effect late, and
+// VMs are lost between claim and forward. The request must run at most once, and can still
+// be submitted if no VM was lost and nothing ran.
 func TestAtMostOnce(t *testing.T) {
 	seeds.Check(t, func(t *rapid.T) {
 		sim := &simStore{now: time.Unix(1_790_000_000, 0)}
@@ -176,7 +175,7 @@
 // A newer version of the program wrote the claim, or it was damaged. It is not known
 // whether the request ran, so it must not run again.
 func TestUnreadableClaimCountsAsTaken(t *testing.T) {
-	newer, err := wire.Encode(Receipt{FormatVersion: Version + 1, Stage: Free})
+	newer, err := wire.Encode(Record{FormatVersion: Version + 1, Stage: Free})
 	assert.NilError(t, err)
 	for _, value := range [][]byte{newer, {0xff}, nil} {
 		sim := &simStore{object: object.Object{Version: 3, Value: value}}
--- a/internal/audit/dedup/guard.go
+++ b/internal/audit/dedup/guard.go
@@ -21,7 +21,7 @@
 // Limits of a Guard.
 const (
 	// finalizeQueueSize is the number of claims that may wait to be finalized: at 100
-	// receipts a second, enough for a store outage of 40 s.
+	// requests a second, enough for a store outage of 40 s.
 	finalizeQueueSize = 4096
 	// retryDelay is the pause after the store did not answer.
 	retryDelay = time.Second
@@ -59,10 +59,10 @@
 
 // task is a claim to be finalized outside the request path.
 type task struct {
-	name    string
-	done    *Receipt // if set, written unchanged; otherwise release is run
-	old     object.Version
-	release Release
+	name       string
+	doneRecord *Record // if set, written unchanged; otherwise release is run
+	old        object.Version
+	release    Release
 }
 
 // Request identifies the request to be claimed.
@@ -117,7 +117,7 @@
 // released.
 func (g *Guard) Claim(ctx context.Context, req Request) (*Ticket, error) {
 	t := &Ticket{guard: g, name: ObjectName(req.Service, req.ID)}
-	t.claim = NewClaim(Receipt{Service: req.Service, ID: req.ID, AttemptToken: rand.Text(), VM: g.vm, Rule: req.Rule})
+	t.claim = NewClaim(Record{Service: req.Service, ID: req.ID, AttemptToken: rand.Text(), VM: g.vm, Rule: req.Rule})
 	g.runModel(ctx, t.name, t.claim)
 	if t.claim.Owned() {
 		return t, nil
@@ -146,13 +146,13 @@
 // Done records, outside the request path, that the request ran and the HTTP status of
 // its answer, so that a caller who repeats the request is told so. Above a few calls a
 // second it does nothing, as the claim alone prevents a second run.
-func (t *Ticket) Done(code int) {
+func (t *Ticket) Done(status int) {
 	if !t.guard.doneLimiter.Allow() {
 		return
 	}
-	r := t.claim.receipt
-	r.Stage, r.Status = Done, code
-	t.guard.enqueue(task{name: t.name, done: &r, old: t.claim.version})
+	r := t.claim.record
+	r.Stage, r.Status = Done, status
+	t.guard.enqueue(task{name: t.name, doneRecord: &r, old: t.claim.version})
 }
 
 // runModel executes the commands of a model until it is finished.
@@ -203,11 +203,11 @@
 func (g *Guard) finalize(ctx context.Context, t task) bool {
 	ctx, cancel := context.WithTimeout(ctx, finalizeTimeout)
 	defer cancel()
-	if t.done == nil {
+	if t.doneRecord == nil {
 		g.runModel(ctx, t.name, t.release)
 		return !t.release.Left()
 	}
-	value, err := wire.Encode(t.done)
+	value, err := wire.Encode(t.doneRecord)
 	if err != nil {
 		return true
 	}
--- a/internal/audit/dedup/sweep.go
+++ b/internal/audit/dedup/sweep.go
@@ -28,17 +28,17 @@
 // sweepLoop sweeps one shard in each interval. Each VM starts at a shard given by its
 // name, so that they differ.
 func (g *Guard) sweepLoop(ctx context.Context) error {
-	tick := time.NewTicker(sweepInterval)
-	defer tick.Stop()
-	turn := xxhash.Sum64String(string(g.vm))
+	ticker := time.NewTicker(sweepInterval)
+	defer ticker.Stop()
+	shard := xxhash.Sum64String(string(g.vm))
 	for {
 		select {
-		case <-tick.C:
+		case <-ticker.C:
 		case <-ctx.Done():
 			return nil
 		}
-		turn++
-		n, err := Sweep(ctx, g.store, byte(turn%shards), time.Now().Add(-Retention))
+		shard++
+		n, err := Sweep(ctx, g.store, byte(shard%shards), time.Now().Add(-Retention))
 		if n > 0 || err != nil {
 			g.log.Debug("old claims deleted", slog.Int("count", n), slog.Any("err", err))
 		}
@@ -56,7 +56,7 @@
 	pause := time.NewTicker(sweepPause)
 	defer pause.Stop()
 	for _, o := range all {
-		var r Receipt
+		var r Record
 		if wire.Decode(o.Value, &r) != nil || r.FormatVersion > Version || !r.WrittenAt.Before(before) {
 			continue
 		}
