--- a/internal/audit/ledger/compare_test.go
+++ b/internal/audit/ledger/compare_test.go
@@ -17,7 +17,7 @@
 
 // appender implements the rejected alternative: one object that is extended by
 // conditional updates. It also handles lost answers: it reads the object back and looks
-// for its own mark.
+// for the token of its own write.
 type appender struct {
 	store   *objmem.Store
 	objects int
@@ -27,18 +27,18 @@
 
 // appended is the value of one appended object.
 type appended struct {
-	Marks []string `cbor:"marks"`
-	Data  [][]byte `cbor:"data"`
-	bytes int
+	Tokens []string `cbor:"marks"`
+	Data   [][]byte `cbor:"data"`
+	bytes  int
 }
 
-func (a *appender) append(ctx context.Context, mark string, data []byte) {
+func (a *appender) append(ctx context.Context, token string, data []byte) {
 	if a.value.bytes+len(data) > compareMaxObject {
 		a.objects++
 		a.value, a.version = appended{}, 0
 	}
 	name := fmt.Sprint("naive/", a.objects)
-	a.value.Marks = append(a.value.Marks, mark)
+	a.value.Tokens = append(a.value.Tokens, token)
 	a.value.Data = append(a.value.Data, data)
 	a.value.bytes += len(data)
 	for {
@@ -50,7 +50,7 @@
 		}
 		o, err := a.store.Get(ctx, name)
 		var seen appended
-		if err == nil && wire.Decode(o.Value, &seen) == nil && len(seen.Marks) > 0 && seen.Marks[len(seen.Marks)-1] == mark {
+		if err == nil && wire.Decode(o.Value, &seen) == nil && len(seen.Tokens) > 0 && seen.Tokens[len(seen.Tokens)-1] == token {
 			a.version = o.Version
 			return
 		}
--- a/internal/audit/ledger/model_test.go
+++ b/internal/audit/ledger/model_test.go
@@ -17,7 +17,7 @@
 
 // simStore runs several models against one map of write-once objects. The test chooses
 // when each command is executed and in which order, so a write can take effect long
-// after its writer was reported that the outcome is unknown.
+// after its writer was answered Ambiguous.
 type simStore struct {
 	now     time.Time
 	models  []Model
