--- a/internal/audit/record/writer.go
+++ b/internal/audit/record/writer.go
@@ -88,8 +88,9 @@
 }
 
 // faultRateFactor is the ratio of the line rate of failures to that of plain decisions.
-// Failures are more useful to a reader, but their rate is limited too, so that a flood of
-// refusals leaves room for the lines about the state of the VM.
+// To a reader the line of one failure is worth ten lines of successes, but the rate of
+// failures is limited too, so that a flood of refusals leaves room for the lines about the
+// state of the VM.
 const faultRateFactor = 10
 
 // WithRate limits the log to n plain decisions a second, and to ten times as many of the
