--- a/internal/core/chart/chart.go
+++ b/internal/core/chart/chart.go
@@ -112,7 +112,7 @@
 
 // Can reports whether the chart has a transition from s for the trigger.
 func (c *Chart) Can(s State, on Trigger) bool {
-	return slices.ContainsFunc(c.Transitions, func(m Transition) bool { return m.From == s && m.On == on })
+	return slices.ContainsFunc(c.Transitions, func(tr Transition) bool { return tr.From == s && tr.On == on })
 }
 
 // States returns every state once, the start state first.
@@ -123,9 +123,9 @@
 			all = append(all, s)
 		}
 	}
-	for _, m := range c.Transitions {
-		add(m.From)
-		add(m.To)
+	for _, tr := range c.Transitions {
+		add(tr.From)
+		add(tr.To)
 	}
 	for _, s := range c.Final {
 		add(s)
@@ -151,14 +151,14 @@
 
 func (c *Chart) checkState(s State) error {
 	seen := map[Trigger]bool{}
-	for _, m := range c.Transitions {
-		if m.From != s {
+	for _, tr := range c.Transitions {
+		if tr.From != s {
 			continue
 		}
-		if seen[m.On] {
-			return kinds.New(kinds.Malformed, "chart "+c.Name+": more than one transition for trigger "+string(m.On)+" in state "+string(s))
+		if seen[tr.On] {
+			return kinds.New(kinds.Malformed, "chart "+c.Name+": more than one transition for trigger "+string(tr.On)+" in state "+string(s))
 		}
-		seen[m.On] = true
+		seen[tr.On] = true
 	}
 	final := slices.Contains(c.Final, s)
 	switch {
@@ -176,9 +176,9 @@
 func (c *Chart) reachable() []State {
 	found := []State{c.Start}
 	for i := 0; i < len(found); i++ {
-		for _, m := range c.Transitions {
-			if m.From == found[i] && !slices.Contains(found, m.To) {
-				found = append(found, m.To)
+		for _, tr := range c.Transitions {
+			if tr.From == found[i] && !slices.Contains(found, tr.To) {
+				found = append(found, tr.To)
 			}
 		}
 	}
--- a/internal/core/config/config.go
+++ b/internal/core/config/config.go
@@ -54,16 +54,16 @@
 // Service is one group of backend servers.
 type Service struct {
 	Name    ident.Service `toml:"name" validate:"required,max=64"`
-	Divided bool          `toml:"divided"` // keys are partitioned: each key is owned by one server
-	// Slices is the number of partitions that the keys of a divided service
-	// hash to. It cannot change while the service has owners.
+	Divided bool          `toml:"divided"` // sharded by key: each key is owned by one server
+	// Slices is the number of slices that the keys of a divided service hash
+	// to. It cannot change while the service has owners.
 	Slices uint32 `toml:"slices" validate:"max=65536"`
 	// FenceChecks says that the backend servers refuse orders with an old fencing
 	// token. The default, false, is the safe assumption: servers obey any sender.
 	FenceChecks bool `toml:"checks"`
 	// Standby lets another backend server own the keys of a lost one while the
 	// object store is down. The backend servers must then keep a separate lease
-	// for each lessor (server.Order.Lessor) that orders name.
+	// for each lessor that their orders name (server.Order.Lessor).
 	Standby bool     `toml:"stand"`
 	Weight  Weight   `toml:"weight"`
 	Servers []Server `toml:"server" validate:"dive"`
@@ -92,7 +92,7 @@
 type Lease struct {
 	TTL            Span    `toml:"ttl"`                            // lease of a backend server
 	Renew          Span    `toml:"renew"`                          // interval between renewals of that lease
-	Heartbeat      Span    `toml:"beat"`                           // interval of heartbeats from a holder to its deputy
+	Heartbeat      Span    `toml:"beat"`                           // interval of heartbeats from a holder of authority to its deputy
 	SilenceTimeout Span    `toml:"silent"`                         // a holder that sent no heartbeat for this long is suspected to be lost
 	Margin         Span    `toml:"margin"`                         // subtracted from the remaining lease time before every action under the lease
 	Term           Span    `toml:"term"`                           // term of a holder's authority record in the store
--- a/internal/core/ident/ident.go
+++ b/internal/core/ident/ident.go
@@ -32,18 +32,19 @@
 // Caller names the customer who sent a request, as identified by the front end.
 type Caller string
 
-// Key names a unit of data of a divided service that one backend server owns
-// exclusively, for example a scale or a ward.
+// Key names a unit of data that one backend server of a service sharded by key
+// owns exclusively, for example a scale or a ward.
 type Key string
 
 // Request is the identifier of a request. A caller may safely repeat a request
 // that is not idempotent under the same identifier.
 type Request string
 
-// Slice numbers one of the equal hash partitions of a service's keys.
+// Slice numbers one of the equal parts that a service's keys hash to.
 type Slice uint32
 
-// Epoch numbers the successive holders of one authority. It only increases.
+// Epoch numbers the successive holders of one authority, for example of the right
+// to give orders about the keys of a backend server. It only increases.
 type Epoch uint64
 
 // Revision numbers the accepted versions of a configuration, such as rules or a
--- a/internal/core/loop/results.go
+++ b/internal/core/loop/results.go
@@ -2,10 +2,11 @@
 
 import "sync"
 
-// resultQueue holds the results of the model's own commands, expired timers included. It has no limit of its
-// own, for two reasons: each command has one result, so the number of commands
-// limits it; and a result that waited for room in the inbox would deadlock the loop
-// when the runner reports it from the loop's goroutine.
+// resultQueue holds the results of the model's own commands, expired timers
+// included. It has no limit of its own, for two reasons: each command has one
+// result, so the number of commands limits it; and a result that waited for room in
+// the inbox would deadlock the loop when the runner reports it from the loop's
+// goroutine.
 type resultQueue struct {
 	mu    sync.Mutex
 	msgs  []Msg
--- a/internal/core/ring/ring.go
+++ b/internal/core/ring/ring.go
@@ -29,8 +29,8 @@
 }
 
 // New returns a ring for n items, or for one item if n is less than 1.
-func New[T any](n int, mode Overflow) *Ring[T] {
-	return &Ring[T]{items: make(chan T, max(n, 1)), overflow: mode}
+func New[T any](n int, overflow Overflow) *Ring[T] {
+	return &Ring[T]{items: make(chan T, max(n, 1)), overflow: overflow}
 }
 
 // Push adds an item and reports whether it was added. With policy Block it waits for
