--- a/internal/plat/srvcli/srvcli_test.go
+++ b/internal/plat/srvcli/srvcli_test.go
@@ -254,10 +254,9 @@
 	return r.Mark
 }
 
-// A connection breaks after an order was sent, so it is unknown whether the order was
-// obeyed. Taken for a failure, its keys could be given to a second server while the
-// first serves them; repeated by the client, it would be an order its sender does
-// not know of.
+// A connection breaks after an order was sent. If that counted as a failure, its keys could
+// be given to a second server while the first serves them; if the client repeated the order,
+// the server could get one that its sender does not know of.
 func TestAnOrderWithoutAnAnswerIsInDoubtAndNotRepeated(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFixture(serverConfig(false))
