--- a/internal/peer/certs/certs.go
+++ b/internal/peer/certs/certs.go
@@ -36,7 +36,7 @@
 }
 
 // Store holds the current credentials. The zero value has none and refuses every
-// connection until Load succeeds.
+// connection until Load succeeds for the first time.
 type Store struct {
 	current    atomic.Pointer[credentials]
 	generation atomic.Uint64
@@ -74,22 +74,22 @@
 		MinVersion: tls.VersionTLS13,
 		NextProtos: []string{Protocol},
 		GetConfigForClient: func(h *tls.ClientHelloInfo) (*tls.Config, error) {
-			b := s.current.Load()
-			if b == nil {
+			creds := s.current.Load()
+			if creds == nil {
 				return nil, kinds.New(kinds.Denied, "no credentials loaded")
 			}
-			return b.server(h.Conn), nil
+			return creds.server(h.Conn), nil
 		},
 	}
 }
 
-func (b *credentials) server(c net.Conn) *tls.Config {
+func (creds *credentials) server(c net.Conn) *tls.Config {
 	return &tls.Config{
 		MinVersion:   tls.VersionTLS13,
 		NextProtos:   []string{Protocol},
-		Certificates: []tls.Certificate{b.cert},
+		Certificates: []tls.Certificate{creds.cert},
 		ClientAuth:   tls.RequireAndVerifyClientCert,
-		ClientCAs:    b.authorities,
+		ClientCAs:    creds.authorities,
 		// With session tickets a peer could reconnect without presenting its
 		// certificate, even if its authority was withdrawn.
 		SessionTicketsDisabled: true,
@@ -106,15 +106,15 @@
 // Client returns the TLS configuration for connecting to the peer vm at addr. The
 // connection fails unless the certificate of the peer names that VM and address.
 func (s *Store) Client(vm ident.VM, addr netip.Addr) (*tls.Config, error) {
-	b := s.current.Load()
-	if b == nil {
+	creds := s.current.Load()
+	if creds == nil {
 		return nil, kinds.New(kinds.Denied, "no credentials loaded")
 	}
 	return &tls.Config{
 		MinVersion:   tls.VersionTLS13,
 		NextProtos:   []string{Protocol},
-		Certificates: []tls.Certificate{b.cert},
-		RootCAs:      b.authorities,
+		Certificates: []tls.Certificate{creds.cert},
+		RootCAs:      creds.authorities,
 		ServerName:   addr.Unmap().String(),
 		VerifyConnection: func(cs tls.ConnectionState) error {
 			if got := Name(cs.PeerCertificates[0]); got != vm {
--- a/internal/peer/link/link.go
+++ b/internal/peer/link/link.go
@@ -24,8 +24,8 @@
 
 // Limits and timeouts.
 const (
-	// MaxFrame is the largest message body in bytes: the size of a whole ownership table
-	// of 64k slices, and of the largest value that the platform stores.
+	// MaxFrame is the largest body of a message in bytes. It is the size of a whole
+	// ownership table of 64k slices, and of the largest value that the platform stores.
 	MaxFrame = 1 << 20
 	// MaxDatagram is the largest datagram in bytes; it fits the smallest packet size that
 	// QUIC allows.
@@ -43,7 +43,7 @@
 	maxRedialDelay = 2 * time.Second
 )
 
-// Kind identifies the package that handles a message. The numbers are part of the protocol.
+// Kind says which package handles a message. The numbers are part of the protocol.
 type Kind uint8
 
 // Kinds of messages, with the packages that handle them.
@@ -77,7 +77,7 @@
 	WrapPacketConn func(net.PacketConn) net.PacketConn
 }
 
-// Node sends and receives the messages of one VM. Create one with New.
+// Node is the endpoint of one VM: it sends and receives its messages. Create one with New.
 type Node struct {
 	Options
 	udp       *net.UDPConn
--- a/internal/peer/link/receive.go
+++ b/internal/peer/link/receive.go
@@ -63,10 +63,10 @@
 func (n *Node) serve(ctx context.Context, conn *quic.Conn) {
 	defer conn.CloseWithError(codeClosed, "")
 	from := certs.Name(conn.ConnectionState().TLS.PeerCertificates[0])
-	var duties group.Group
-	defer duties.Close()
+	var readers group.Group
+	defer readers.Close()
 	defer context.AfterFunc(ctx, func() { conn.CloseWithError(codeClosed, "closing") })()
-	duties.Go(func(ctx context.Context) error {
+	readers.Go(func(ctx context.Context) error {
 		n.readDatagrams(ctx, conn, from)
 		return nil
 	})
--- a/internal/peer/link/send.go
+++ b/internal/peer/link/send.go
@@ -77,11 +77,11 @@
 // once and not only when there is a message for it. It also ends when the credentials were
 // replaced, because connections made with the old ones must be closed.
 func (s *sender) write(ctx context.Context, conn *quic.Conn, stream *quic.SendStream, gen uint64) error {
-	live, cancel := context.WithCancel(ctx)
+	connCtx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	defer context.AfterFunc(conn.Context(), cancel)()
 	for {
-		f, ok := s.next(live)
+		f, ok := s.next(connCtx)
 		if !ok {
 			return context.Cause(conn.Context())
 		}
