--- a/internal/audit/ledger/journal.go
+++ b/internal/audit/ledger/journal.go
@@ -57,11 +57,11 @@
 // WithToken sets the writer token, which is random otherwise.
 func WithToken(token string) Option { return func(j *Journal) { j.token = token } }
 
-// Open starts the journal at path; see [LogPath] and [OwnPath]. It returns at
+// Open starts the journal at path; see [LogPath] and [OwnershipPath]. It returns at
 // once. Entries are buffered until the tail of the journal is found.
 //
 // A path that several VMs write, such as an ownership history, needs a Window
-// of one, which Open sets for every path under [OwnPrefix].
+// of one, which Open sets for every path under [OwnershipPrefix].
 func Open(store object.Store, path string, opts ...Option) *Journal {
 	j := &Journal{store: store, path: path, token: rand.Text(), log: slog.Default(), drained: make(chan struct{}), ended: make(chan struct{}), waiters: map[uint64]chan kinds.Kind{}}
 	for _, opt := range opts {
--- a/internal/audit/ledger/journal_test.go
+++ b/internal/audit/ledger/journal_test.go
@@ -168,7 +168,7 @@
 		var g group.Group
 		for vm := range 3 {
 			g.Go(func(context.Context) error {
-				j := Open(store, OwnPath("lookup"), WithLog(discardLog))
+				j := Open(store, OwnershipPath("lookup"), WithLog(discardLog))
 				for i := range 10 {
 					if err := j.Commit(t.Context(), decision(fmt.Sprint(vm, "/", i))); err != nil {
 						return err
--- a/internal/audit/ledger/reader.go
+++ b/internal/audit/ledger/reader.go
@@ -12,7 +12,7 @@
 )
 
 // isShared reports whether several VMs write the journal at path.
-func isShared(path string) bool { return strings.HasPrefix(path, OwnPrefix) }
+func isShared(path string) bool { return strings.HasPrefix(path, OwnershipPrefix) }
 
 // Read returns one segment. The error is of kind NotFound when nothing was written
 // there, and of kind NewerVersion when a newer program wrote it; the head is valid then.
--- a/internal/audit/ledger/segment.go
+++ b/internal/audit/ledger/segment.go
@@ -24,16 +24,16 @@
 
 // Name prefixes of the objects that this package writes.
 const (
-	LogPrefix   = "log/"  // log/<vm>/<n>: decisions of one entry VM
-	OwnPrefix   = "own/"  // own/<service>/<n>: ownership history of one service
-	IndexPrefix = "logs/" // logs/<path>: an index object for each journal ever created
+	LogPrefix       = "log/"  // log/<vm>/<n>: decisions of one entry VM
+	OwnershipPrefix = "own/"  // own/<service>/<n>: ownership history of one service
+	IndexPrefix     = "logs/" // logs/<path>: an index object for each journal ever created
 )
 
 // LogPath returns the path of the journal of one entry VM.
 func LogPath(vm ident.VM) string { return LogPrefix + string(vm) }
 
-// OwnPath returns the path of the ownership history of one service.
-func OwnPath(s ident.Service) string { return OwnPrefix + string(s) }
+// OwnershipPath returns the path of the ownership history of one service.
+func OwnershipPath(s ident.Service) string { return OwnershipPrefix + string(s) }
 
 // objectName returns the name of the object at one address of a journal.
 func objectName(path string, n uint64) string { return path + "/" + strconv.FormatUint(n, 10) }
--- a/internal/audit/report/report.go
+++ b/internal/audit/report/report.go
@@ -122,7 +122,7 @@
 // wantsJournal reports whether a journal is to be read. Ownership histories of other
 // services are not.
 func (q *Query) wantsJournal(path string) bool {
-	service, isHistory := strings.CutPrefix(path, ledger.OwnPrefix)
+	service, isHistory := strings.CutPrefix(path, ledger.OwnershipPrefix)
 	return !isHistory || q.Service == "" || q.Service == ident.Service(service)
 }
 
--- a/internal/audit/report/report_test.go
+++ b/internal/audit/report/report_test.go
@@ -46,7 +46,7 @@
 		}
 		assert.NilError(t, j.Close())
 	}
-	own := open(store, ledger.OwnPath("ledger"))
+	own := open(store, ledger.OwnershipPath("ledger"))
 	own.Append(record.Decision{At: time.Now(), Action: record.Place, Service: "ledger", Slice: slice, PrevOwner: "ledger-1", Server: "ledger-2", Rev: 9})
 	own.Append(record.Decision{At: time.Now(), Action: record.Place, Service: "ledger", Slice: (slice + 1) % slices, PrevOwner: "ledger-1", Server: "ledger-2", Rev: 9})
 	assert.NilError(t, own.Close())
--- a/internal/edge/daemon/journal.go
+++ b/internal/edge/daemon/journal.go
@@ -37,7 +37,7 @@
 		if !svc.Divided {
 			continue
 		}
-		all[svc.Name] = ledger.Open(store, ledger.OwnPath(svc.Name), ledger.WithLog(log),
+		all[svc.Name] = ledger.Open(store, ledger.OwnershipPath(svc.Name), ledger.WithLog(log),
 			ledger.WithLimits(ledger.LimitsFrom(cfg.Journal, cfg.Platform.Timeout.Duration)))
 		closeOnStop(lc, all[svc.Name])
 	}
