--- a/internal/rules/match/match_test.go
+++ b/internal/rules/match/match_test.go
@@ -283,7 +283,7 @@
 
 // An auditor asks who handled the receipts of one ground. If rules for a service that is
 // not sharded by key could not name a key source, the report would find none.
-func TestAServiceThatIsNotDividedMayHaveAKey(t *testing.T) {
+func TestAServiceThatIsNotShardedMayHaveAKey(t *testing.T) {
 	known := WithServices(map[ident.Service]Service{"ledger": {}})
 	rule := Rule{Name: "receipts", When: When{Path: "/receipts/{ground}"}, Then: Then{Service: "ledger", Key: "path:ground"}}
 	set, err := Compile([]Rule{rule}, known)
