--- a/internal/rules/quorum/quorum_test.go
+++ b/internal/rules/quorum/quorum_test.go
@@ -15,7 +15,7 @@
 	"hawthornfield.org/hawthornfield/internal/plat/object"
 )
 
-// fleet simulates a number of VMs, the network between them and one object.
+// fleet simulates several VMs, the network between them and the object of the record.
 type fleet struct {
 	now        time.Time
 	order      []ident.VM
