--- a/internal/audit/dedup/cost_test.go
+++ b/internal/audit/dedup/cost_test.go
@@ -184,7 +184,7 @@
 }
 
 // Claims older than a week are deleted; newer and undecodable ones stay.
-func TestSweepDeletesOnlyWhatIsOld(t *testing.T) {
+func TestSweepDeletesOnlyOldClaims(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := objmem.New()
 		guard := newGuard(store, "vm-1")
--- a/internal/audit/dedup/guard.go
+++ b/internal/audit/dedup/guard.go
@@ -54,7 +54,7 @@
 	queue       *ring.Ring[task]
 	doneLimiter *rate.Limiter
 	group       group.Group
-	stuck       atomic.Uint64 // claims dropped because the queue was full
+	stuck       atomic.Uint64 // claims not finalized because the queue was full
 }
 
 // task is a claim to be finalized outside the request path.
@@ -172,7 +172,8 @@
 	}
 }
 
-// enqueue queues a claim to be finalized, or drops and counts it when the queue is full.
+// enqueue queues a claim to be finalized. When the queue is full the claim stays as it is
+// and is counted.
 func (g *Guard) enqueue(t task) {
 	if !g.queue.Push(context.Background(), t) {
 		g.stuck.Add(1)
