--- a/internal/audit/ledger/filter.go
+++ b/internal/audit/ledger/filter.go
@@ -18,7 +18,7 @@
 const skipInterval = 5 * time.Second
 
 // Filter passes decisions to a journal, without those that a retention policy leaves
-// out. It counts the latter by rule, and writes the counts to the journal as decisions
+// out. It counts those by rule, and writes the counts to the journal as decisions
 // with the action [record.Skip]. Without the counts an auditor could not tell that the
 // requests took place.
 //
--- a/internal/audit/ledger/journal_test.go
+++ b/internal/audit/ledger/journal_test.go
@@ -138,7 +138,7 @@
 
 // A newer version of the program wrote segments that this one cannot decode. It must
 // report them, write after them, and still read all others.
-func TestNewerSegmentsAreLeftAloneAndReported(t *testing.T) {
+func TestNewerSegmentsAreKeptAndReported(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := objmem.New()
 		path := LogPath("vm-1")
