--- a/internal/plat/call/call.go
+++ b/internal/plat/call/call.go
@@ -26,7 +26,7 @@
 // largest responses.
 const MaxAnswerBytes = 64 << 20
 
-// Headers of a conditional read, which returns no body if nothing changed.
+// Headers of a conditional read, whose response has no body if nothing changed.
 const (
 	HeaderIfNoneMatch = "If-None-Match"
 	HeaderETag        = "Etag"
--- a/internal/plat/srvcli/srvcli_test.go
+++ b/internal/plat/srvcli/srvcli_test.go
@@ -287,7 +287,7 @@
 // A backend server of another version answers an order with status 200 and a body that
 // cannot be decoded. The order was obeyed; if the sender took it for refused, it
 // would give the keys to another server while this one serves them.
-func TestAnUnreadableAnswerToAnOrderIsInDoubt(t *testing.T) {
+func TestAnUnreadableAnswerToAnOrderIsAmbiguous(t *testing.T) {
 	for name, kind := range map[string]string{"JSON": srvcli.TypeJSON, "CBOR": srvcli.TypeCBOR, "neither": "text/html; charset", "none": ""} {
 		for _, body := range []string{"", "{", "\xff", "\xa1\x01", "[7]", "\x9f\xff", `{"obeyed":true}`} {
 			web := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
