--- a/internal/peer/certs/certs_test.go
+++ b/internal/peer/certs/certs_test.go
@@ -22,7 +22,7 @@
 
 // An operator sets new credentials with the key of another VM, or without the authority.
 // The VM must refuse them and keep using the old ones.
-func TestABadBundleLeavesTheOldOneInForce(t *testing.T) {
+func TestInvalidCredentialsLeaveTheOldOnesInUse(t *testing.T) {
 	a, err := NewAuthority(time.Hour)
 	assert.NilError(t, err)
 	b, err := NewAuthority(time.Hour)
@@ -47,7 +47,7 @@
 	assert.NilError(t, err)
 }
 
-func TestZeroStoreRefusesToCall(t *testing.T) {
+func TestZeroStoreRefusesConnections(t *testing.T) {
 	var s Store
 	_, err := s.Client("vm-1", loopback)
 	assert.Equal(t, kinds.Of(err), kinds.Denied)
