--- a/internal/audit/ledger/journal_test.go
+++ b/internal/audit/ledger/journal_test.go
@@ -138,7 +138,7 @@
 
 // A newer version of the program wrote segments that this one cannot decode. It must
 // report them, write after them, and still read all others.
-func TestNewerSegmentsAreLeftAloneAndReported(t *testing.T) {
+func TestNewerSegmentsAreKeptAndReported(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := objmem.New()
 		path := LogPath("vm-1")
@@ -168,7 +168,7 @@
 		var g group.Group
 		for vm := range 3 {
 			g.Go(func(context.Context) error {
-				j := Open(store, OwnPath("lookup"), WithLog(discardLog))
+				j := Open(store, OwnershipPath("lookup"), WithLog(discardLog))
 				for i := range 10 {
 					if err := j.Commit(t.Context(), decision(fmt.Sprint(vm, "/", i))); err != nil {
 						return err
--- a/internal/plat/srvcli/srvcli_test.go
+++ b/internal/plat/srvcli/srvcli_test.go
@@ -254,10 +254,9 @@
 	return r.Mark
 }
 
-// A connection breaks after an order was sent, so it is unknown whether the order was
-// obeyed. Taken for a failure, its keys could be given to a second server while the
-// first serves them; repeated by the client, it would be an order its sender does
-// not know of.
+// A connection breaks after an order was sent. If that counted as a failure, its keys could
+// be given to a second server while the first serves them; if the client repeated the order,
+// the server could get one that its sender does not know of.
 func TestAnOrderWithoutAnAnswerIsInDoubtAndNotRepeated(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFixture(serverConfig(false))
@@ -288,7 +287,7 @@
 // A backend server of another version answers an order with status 200 and a body that
 // cannot be decoded. The order was obeyed; if the sender took it for refused, it
 // would give the keys to another server while this one serves them.
-func TestAnUnreadableAnswerToAnOrderIsInDoubt(t *testing.T) {
+func TestAnUnreadableAnswerToAnOrderIsAmbiguous(t *testing.T) {
 	for name, kind := range map[string]string{"JSON": srvcli.TypeJSON, "CBOR": srvcli.TypeCBOR, "neither": "text/html; charset", "none": ""} {
 		for _, body := range []string{"", "{", "\xff", "\xa1\x01", "[7]", "\x9f\xff", `{"obeyed":true}`} {
 			web := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
