--- a/examples/ownership/main.go
+++ b/examples/ownership/main.go
@@ -32,7 +32,7 @@
 	}
 	for _, loop := range e.loops {
 		defer loop.Close()
-		loop.Send(hawthornfield.RoleMsg{Lead: true})
+		loop.Send(hawthornfield.RoleMsg{Preferred: true})
 	}
 	e.waitServed("scale-a", movedSlice)
 	fmt.Println("slice", movedSlice, "is served by scale-a")
--- a/internal/admin/bench/lessors.go
+++ b/internal/admin/bench/lessors.go
@@ -122,7 +122,7 @@
 			pair.lessors[i] = lessor.New(lessor.Config{Self: vm, Service: "lookup", Server: name, FenceChecks: true})
 		}
 		sim.pairs = append(sim.pairs, pair)
-		sim.send(pair, 0, lessor.RoleMsg{Lead: true, Deputy: simVMs[1]})
+		sim.send(pair, 0, lessor.RoleMsg{Preferred: true, Deputy: simVMs[1]})
 	}
 	return sim, nil
 }
--- a/internal/fake/world/roles.go
+++ b/internal/fake/world/roles.go
@@ -92,7 +92,7 @@
 // sendRole sends a VM its role for one server, unless it was the last one sent.
 func (w *World) sendRole(v *VM, s *Server) {
 	first, next := w.rankVMs(s, v)
-	m := lessor.RoleMsg{Lead: first == v}
+	m := lessor.RoleMsg{Preferred: first == v}
 	if next != nil {
 		m.Deputy = next.ID
 	}
@@ -159,7 +159,7 @@
 	for _, v := range w.VMs {
 		for _, s := range w.Servers {
 			holder := v.lessors[s.Name].(lessor.Lessor).Status().Holder
-			if !v.Dead && v.lastRoles[s.Name].Lead && holder != v.ID && holder != "" {
+			if !v.Dead && v.lastRoles[s.Name].Preferred && holder != v.ID && holder != "" {
 				v.Send(s.Name, lessor.TakeOverMsg{VM: holder})
 			}
 		}
