--- a/examples/ownership/main.go
+++ b/examples/ownership/main.go
@@ -31,7 +31,7 @@
 	}
 	for _, seat := range w.seats {
 		defer seat.Close()
-		seat.Send(hawthornfield.RoleMsg{Lead: true})
+		seat.Send(hawthornfield.RoleMsg{Preferred: true})
 	}
 	w.waitFor("scale-a", moved)
 	fmt.Println("slice", moved, "is served by scale-a")
--- a/internal/admin/bench/seats.go
+++ b/internal/admin/bench/seats.go
@@ -118,7 +118,7 @@
 			c.vms[i] = lessor.New(lessor.Config{Self: vm, Service: "lookup", Server: name, FenceChecks: true})
 		}
 		b.chairs = append(b.chairs, c)
-		b.send(c, 0, lessor.RoleMsg{Lead: true, Deputy: benchVMs[1]})
+		b.send(c, 0, lessor.RoleMsg{Preferred: true, Deputy: benchVMs[1]})
 	}
 	return b, nil
 }
--- a/internal/edge/leases/batch_test.go
+++ b/internal/edge/leases/batch_test.go
@@ -52,7 +52,7 @@
 		mgr.SetVMs([]vmlist.VM{{ID: "vm-1", State: vmlist.Live}})
 		time.Sleep(2 * time.Second)
 		for name := range mgr.lessors {
-			mgr.lessors[name].loop.Send(lessor.RoleMsg{Lead: true, Deputy: "vm-2"})
+			mgr.lessors[name].loop.Send(lessor.RoleMsg{Preferred: true, Deputy: "vm-2"})
 		}
 		time.Sleep(time.Second)
 		rec.take()
--- a/internal/edge/leases/manager.go
+++ b/internal/edge/leases/manager.go
@@ -231,7 +231,7 @@
 		if deputy == mgr.VM {
 			deputy = leader // this VM may still hold the lessor from before
 		}
-		h.loop.Send(lessor.RoleMsg{Lead: leader == mgr.VM, Deputy: deputy})
+		h.loop.Send(lessor.RoleMsg{Preferred: leader == mgr.VM, Deputy: deputy})
 	}
 }
 
--- a/internal/fake/world/roster.go
+++ b/internal/fake/world/roster.go
@@ -90,7 +90,7 @@
 
 func (w *World) planSeat(v *VM, s *Server) {
 	first, next := w.ranked(s, v)
-	m := lessor.RoleMsg{Lead: first == v}
+	m := lessor.RoleMsg{Preferred: first == v}
 	if next != nil {
 		m.Deputy = next.ID
 	}
@@ -153,7 +153,7 @@
 	for _, v := range w.VMs {
 		for _, s := range w.Servers {
 			holder := v.seats[s.Name].(lessor.Lessor).Status().Holder
-			if !v.Dead && v.plans[s.Name].Lead && holder != v.ID && holder != "" {
+			if !v.Dead && v.plans[s.Name].Preferred && holder != v.ID && holder != "" {
 				v.Send(s.Name, lessor.TakeOverMsg{VM: holder})
 			}
 		}
--- a/internal/owner/lessor/acquire.go
+++ b/internal/owner/lessor/acquire.go
@@ -24,7 +24,7 @@
 	// On its first role message a new process checks whether its predecessor on
 	// this VM was the holder: the roster sees the VM as live, so no other VM
 	// would take over.
-	if !t.hasRole || m.Lead && !t.role.Lead {
+	if !t.hasRole || m.Preferred && !t.role.Preferred {
 		t.checkRecord = true
 	}
 	t.role, t.hasRole = m, true
@@ -38,7 +38,7 @@
 		}
 	}
 	t.suspicions = append(kept, suspicion{vm: m.VM, until: t.now.Add(suspicionLifetime)})
-	t.checkRecord = t.checkRecord || t.role.Lead
+	t.checkRecord = t.checkRecord || t.role.Preferred
 }
 
 // onTakeOver notes which holder to replace. Like a suspicion it only makes the
@@ -46,7 +46,7 @@
 // seconds: two VMs that both believe to be the lead would take the authority
 // from each other all that time.
 func (t *turn) onTakeOver(m TakeOverMsg) {
-	if t.role.Lead && !t.leaving {
+	if t.role.Preferred && !t.leaving {
 		t.replaceHolder, t.checkRecord = m.VM, true
 	}
 }
@@ -61,7 +61,7 @@
 		return t.deputy.epoch >= t.record.Epoch
 	}
 	h := t.record.Holder
-	return h == t.cfg.Self || t.role.Lead && (h == "" || h == t.replaceHolder || t.vmIsGone(h) || t.isSuspect(h))
+	return h == t.cfg.Self || t.role.Preferred && (h == "" || h == t.replaceHolder || t.vmIsGone(h) || t.isSuspect(h))
 }
 
 func (t *turn) isSuspect(vm ident.VM) bool {
--- a/internal/owner/lessor/loop_test.go
+++ b/internal/owner/lessor/loop_test.go
@@ -112,7 +112,7 @@
 		p := &platform{table: tab, tableVer: 1, boot: time.Now(), gap: -time.Hour}
 		l := loop.New(lessor.New(lessor.Config{Self: "vm0", Service: "lookup", Server: "s0"}), p)
 		defer l.Close()
-		l.Send(lessor.RoleMsg{Lead: true})
+		l.Send(lessor.RoleMsg{Preferred: true})
 		time.Sleep(time.Second)
 		epoch, ok := l.Model().(lessor.Lessor).Holds(time.Now())
 		assert.Assert(t, ok && epoch == 1)
@@ -140,7 +140,7 @@
 		p := &platform{table: tab, tableVer: 1, boot: time.Now(), gap: -time.Hour}
 		l := loop.New(lessor.New(lessor.Config{Self: "vm0", Service: "lookup", Server: "s0", FenceChecks: true}), p)
 		defer l.Close()
-		l.Send(lessor.RoleMsg{Lead: true})
+		l.Send(lessor.RoleMsg{Preferred: true})
 		time.Sleep(2 * time.Second)
 		p.outage(true)
 		l.Send(lessor.MoveMsg{Moves: []table.Move{{Slice: 0, To: "s1"}}})
--- a/internal/owner/lessor/messages.go
+++ b/internal/owner/lessor/messages.go
@@ -20,9 +20,9 @@
 	// RoleMsg says what the roster of live VMs wants of this VM. Send it at the
 	// start and whenever it changes.
 	RoleMsg struct {
-		// Lead means: take over when the holder is gone, suspected, or not
+		// Preferred means: take over when the holder is gone, suspected, or not
 		// named yet. A healthy holder stays, until a TakeOverMsg.
-		Lead bool
+		Preferred bool
 		// Deputy is whom this VM should name as deputy when it is the holder,
 		// "" for none. Prefer a VM in another data centre than the backend
 		// server.
--- a/internal/owner/lessor/promise.go
+++ b/internal/owner/lessor/promise.go
@@ -51,7 +51,7 @@
 		t.others[i].apply(n)
 	}
 	if n.gone {
-		t.checkRecord = t.checkRecord || t.role.Lead
+		t.checkRecord = t.checkRecord || t.role.Preferred
 	}
 }
 
--- a/internal/owner/lessor/standby_test.go
+++ b/internal/owner/lessor/standby_test.go
@@ -106,7 +106,7 @@
 			next = v.ID
 		}
 	}
-	holder.Send(s.Name, lessor.RoleMsg{Lead: true, Deputy: next})
+	holder.Send(s.Name, lessor.RoleMsg{Preferred: true, Deputy: next})
 	for end := w.Now() + time.Second; w.Now() < end; w.Run(w.Now() + 50*time.Microsecond) {
 		if holder.Lessor(s.Name).(lessor.Lessor).Status().Authority == "taking" {
 			return holder, rec
@@ -222,7 +222,7 @@
 			for _, to := range []string{"store", string(s.Name)} {
 				w.Partition(string(rec.Holder), to, 10*time.Second)
 			}
-			third.Send(s.Name, lessor.RoleMsg{Lead: true, Deputy: rec.Deputy})
+			third.Send(s.Name, lessor.RoleMsg{Preferred: true, Deputy: rec.Deputy})
 			third.Send(s.Name, lessor.TakeOverMsg{VM: rec.Holder})
 			w.Run(w.Now() + 5*time.Second)
 			assert.Equal(t, w.Store.Record(s.Name).Holder, third.ID, "nobody took over")
