--- a/internal/owner/elect/elect.go
+++ b/internal/owner/elect/elect.go
@@ -41,14 +41,14 @@
 	// again. Without it, two VMs that cannot reach each other would replace each other
 	// continuously.
 	TakeoverBackoff = 5 * time.Second
-	// MinTenure is the minimum time a VM leads before it steps down for a stronger one: a
+	// MinTenure is the minimum time a VM leads before it steps down for a better suited one: a
 	// change of leader costs three store calls and one to ten kilobytes to each VM.
 	MinTenure = 5 * time.Second
 	// retryDelay is the pause before a failed store call is made again.
 	retryDelay = 250 * time.Millisecond
-	// maxBackoff bounds the doubling of retryDelay for followers: with one call every two
-	// seconds, the return of the store is still noticed soon.
-	maxBackoff = 4
+	// maxBackoffSteps bounds how often a follower's retryDelay doubles. At the bound it makes
+	// one call every two seconds, so the return of the store is still noticed soon.
+	maxBackoffSteps = 4
 	// overdueFailures is the number of consecutive failed calls that cannot be
 	// explained by a single lost answer.
 	overdueFailures = 2
@@ -56,7 +56,7 @@
 	// lease once other VMs reach the store. It retries every quarter of a second.
 	RegainWindow = 700 * time.Millisecond
 	// FirstClaimDelay is how long a VM that no leader has ever answered leaves the claim
-	// to other VMs after it heard from one that a leader did answer.
+	// to other VMs after it received a message from one that a leader did answer.
 	FirstClaimDelay = 1500 * time.Millisecond
 	// FirstClaimMaxDelay bounds that delay, counted from the VM's start, because those
 	// other VMs may be unable to reach the store.
@@ -93,7 +93,7 @@
 	callPending    bool
 	nextCall       time.Time // time of the next store call
 	writeUncertain bool      // the last write may or may not have been applied
-	failedReads    int       // consecutive failed reads
+	failedReads    int       // consecutive failed reads, at most maxBackoffSteps
 	failedCalls    int       // consecutive failed calls while leading
 }
 
@@ -181,7 +181,7 @@
 	return m, nil
 }
 
-// stepDown gives up the lead for a VM that is better suited. It does so only while the
+// stepDown gives up leadership for a VM that is better suited. It does so only while the
 // store confirms the lease, because nobody could take over otherwise, and only after
 // MinTenure, so that two VMs don't alternate.
 func (m Model) stepDown(now time.Time) (loop.Model, []loop.Cmd) {
--- a/internal/owner/elect/elect_test.go
+++ b/internal/owner/elect/elect_test.go
@@ -266,10 +266,9 @@
 	})
 }
 
-// The leader and the first VMs in line are cut off from the store together, and the leader
-// keeps answering that it cannot reach the store. If each answer restarted the takeover
-// timer, VMs whose turn comes later than the polling interval would never take over, and
-// new rules would reach nobody until the leader's term ends five seconds later.
+// The leader and the first VMs in line cannot reach the store, and the leader keeps saying so. If
+// each such answer restarted the takeover timer, VMs whose turn comes after the polling interval
+// would not take over, and new rules would reach nobody until the term ends five seconds later.
 func TestALeaderWithoutTheStoreIsReplacedWhoeverIsCutOffBesideIt(t *testing.T) {
 	seeds.Check(t, func(t *rapid.T) {
 		c := newCluster(t, 10)
@@ -286,7 +285,7 @@
 }
 
 // After a store outage the same VM must still lead, because it knows which grants it gave.
-func TestALeaderOutlastsAnAbsenceOfTheStore(t *testing.T) {
+func TestALeaderOutlastsAStoreOutage(t *testing.T) {
 	seeds.Check(t, func(t *rapid.T) {
 		c := newCluster(t, 3)
 		c.advance(3 * time.Second)
@@ -329,7 +328,7 @@
 
 // The lease is removed while its leader is healthy. It must rewrite the lease before another
 // VM claims it, without an interruption: grants last four seconds.
-func TestALeaderWritesItsLostLeaseAnew(t *testing.T) {
+func TestALeaderRewritesItsLostLease(t *testing.T) {
 	for _, removed := range []bool{true, false} {
 		seeds.Check(t, func(t *rapid.T) {
 			c := newCluster(t, 3)
--- a/internal/owner/elect/msg.go
+++ b/internal/owner/elect/msg.go
@@ -9,7 +9,8 @@
 	"hawthornfield.org/hawthornfield/internal/plat/object"
 )
 
-// Lease is the stored leadership record.
+// Lease is the stored leadership record. It is unrelated to the leases of backend servers
+// in package lease.
 type Lease struct {
 	Epoch       uint64         `json:"epoch"` // rises with each change of leader
 	Holder      ident.VM       `json:"holder"`
--- a/internal/owner/elect/store.go
+++ b/internal/owner/elect/store.go
@@ -22,7 +22,7 @@
 func (m Model) readDone(now time.Time, msg ReadMsg) (loop.Model, []loop.Cmd) {
 	m.callPending = false
 	if msg.Kind != kinds.None && msg.Kind != kinds.NotFound {
-		m.failedReads, m.failedCalls = min(m.failedReads+1, maxBackoff), m.failedCalls+1
+		m.failedReads, m.failedCalls = min(m.failedReads+1, maxBackoffSteps), m.failedCalls+1
 		m.nextCall = now.Add(retryDelay)
 		if m.role != Leader {
 			m.nextCall = now.Add(retryDelay << m.failedReads / 2)
