--- a/internal/owner/assign/assign.go
+++ b/internal/owner/assign/assign.go
@@ -70,8 +70,9 @@
 	// unreadableRetryDelay is the pause before an undecodable table is read again: it has to
 	// be repaired first.
 	unreadableRetryDelay = 3 * time.Second
-	// MaxMissedGrants is how many consecutive grants a server may leave unanswered before it
-	// counts as silent. A server that loses every second answer stays in use.
+	// MaxMissedGrants is how many consecutive grants of one OrderCmd a server may leave
+	// unanswered before the rest are not sent. A server that loses every second answer still
+	// gets all of them.
 	MaxMissedGrants = 5
 	// silentProbes is how many grants are sent at once to a silent server.
 	silentProbes = 3
@@ -81,7 +82,7 @@
 	// SilenceTimeout is how long a server must fail to answer before its keys are assigned to
 	// other servers. They become free no sooner than GrantTTL after their last renewal.
 	SilenceTimeout = 700 * time.Millisecond
-	// settleTime is how long a leader waits for more servers after the first one is listed.
+	// settleTime is how long a leader that knew no servers waits for more after the first one is listed.
 	// When a whole system starts, all its servers are listed within it.
 	settleTime = time.Second
 	// flushDelay is how long a completed move may wait before it is stored: the next change
@@ -131,31 +132,31 @@
 
 // Model is the assignment of one service. Create one with New for each term as leader.
 type Model struct {
-	auth            Authority
-	table           ranges.Table
-	version         object.Version
-	loaded          bool   // the table has been read
-	unassigned      bool   // no table is stored yet: the key space is split once servers are known
-	writtenEpoch    uint64 // last epoch under which this VM wrote the table, or may have written it
-	mustReread      bool   // the stored table may differ: read it before the next write
-	callPending     bool
-	pendingDraft    *draft
-	nextCall        time.Time
-	dirtySince      time.Time // since when the table here differs from the stored one
-	rows            []rowState
-	backends        map[ident.Server]*backend
-	loads           cellLoads
-	nextPlan        time.Time
-	nextBalance     time.Time // when keys may next move for balance, unless a server is far above the others
-	learnedAt       time.Time
-	overloadedUntil time.Time // until then this VM uses the slow renewal interval
-	seq             uint64
-	publishedFull   bool          // a full view has been published
-	maxGrant        time.Duration // longest grant that servers accept; zero: no limit
-	flaw            flaw          // always flawNone outside tests
-	serversKnown    bool          // servers have been listed
-	idleServers     int           // accepting servers in excess of rows, as of the last plan
-	logs            []LogCmd      // log entries for the next update to return
+	auth               Authority
+	table              ranges.Table
+	version            object.Version
+	loaded             bool   // the table has been read
+	unassigned         bool   // no table is stored yet: the key space is split once servers are known
+	writtenEpoch       uint64 // last epoch under which this VM wrote the table, or may have written it
+	mustReread         bool   // the stored table may differ: read it before the next write
+	callPending        bool
+	pendingDraft       *draft
+	nextCall           time.Time
+	dirtySince         time.Time // since when the table here differs from the stored one
+	rows               []rowState
+	backends           map[ident.Server]*backend
+	loads              cellLoads
+	nextPlan           time.Time
+	nextBalance        time.Time // when keys may next move for balance, unless a server is far above the others
+	latenciesDecayedAt time.Time // when the servers' latency sums were last decayed
+	overloadedUntil    time.Time // until then this VM uses the slow renewal interval
+	seq                uint64
+	publishedFull      bool          // a full view has been published
+	maxGrant           time.Duration // longest grant that servers accept; zero: no limit
+	flaw               flaw          // always flawNone outside tests
+	serversKnown       bool          // servers have been listed
+	idleServers        int           // accepting servers in excess of rows, as of the last plan
+	logs               []LogCmd      // log entries for the next update to return
 	// settledAt is when all servers that start together should be listed. Assigned earlier,
 	// the whole key space would go to the first one.
 	settledAt time.Time
--- a/internal/owner/assign/faults_test.go
+++ b/internal/owner/assign/faults_test.go
@@ -86,10 +86,9 @@
 	return sim.violation
 }
 
-// Guards against two servers that own the same keys at the same time, so that callers see a
-// record on one of them and not on the other. Servers crash, disappear, freeze, restart under
-// their names, leave, and are cut off; orders are lost, unanswered or executed seconds later;
-// leaders freeze and are replaced while they go on; the store fails and loses answers.
+// Guards against two servers that own the same keys at once, so that callers see a record on only
+// one of them. Servers crash, freeze, restart, leave and are cut off; orders are lost, unanswered
+// or late; leaders freeze and go on after they are replaced; the store fails and loses answers.
 func TestNoTwoServersHoldTheSameKeys(t *testing.T) {
 	seeds.Check(t, func(t *rapid.T) {
 		assert.Equal(t, runFaults(t, flawNone), "")
@@ -117,7 +116,7 @@
 
 // A server restarts under its name without any keys. Until it is granted its keys under a
 // new fence, every request for them is rejected.
-func TestAServerThatStartedAgainGetsItsKeysBack(t *testing.T) {
+func TestARestartedServerGetsItsKeysBack(t *testing.T) {
 	seeds.Check(t, func(t *rapid.T) {
 		sim := newSim(t, flawNone)
 		sim.calm = true
@@ -153,10 +152,9 @@
 	})
 }
 
-// A platform may allow only shorter grants than usual and rejects all longer ones. If that
-// were ignored, no key would have an owner, or none once the store fails and grants become
-// long. If grants lasted no longer than the renewal interval, keys would have no owner
-// between two renewals.
+// A platform may allow only shorter grants than usual and rejects all longer ones. If that were
+// ignored, no key would have an owner, or none once the store fails and grants become long. If
+// grants lasted no longer than the renewal interval, keys would have no owner between two renewals.
 func TestGrantsAreNoLongerThanThePlatformAllows(t *testing.T) {
 	seeds.Check(t, func(t *rapid.T) {
 		sim := newSim(t, flawNone)
--- a/internal/owner/assign/first_table_test.go
+++ b/internal/owner/assign/first_table_test.go
@@ -16,7 +16,7 @@
 // A service starts for the first time, and its leader reads the store before any server is
 // listed. If the key space were split for zero servers, a service of two hundred servers
 // would give some twice the keys of others for as long as the table lasts.
-func TestTheFirstTableIsCutForTheNumberOfServers(t *testing.T) {
+func TestTheFirstTableIsSplitForTheNumberOfServers(t *testing.T) {
 	for servers, rows := range map[int]int{10: 256, 200: 1024} {
 		now := time.Unix(1000, 0)
 		m := New()
@@ -24,13 +24,13 @@
 		update := func(msg loop.Msg) []loop.Cmd { _, cmds := m.Update(now, msg); return cmds }
 		update(tick)
 		update(ReadResultMsg{Kind: kinds.NotFound})
-		var hosts []Server
+		var listed []Server
 		for n := range servers {
-			hosts = append(hosts, Server{
+			listed = append(listed, Server{
 				Name: ident.Server("s" + strconv.Itoa(n)), Addr: netip.MustParseAddrPort("10.0.0.1:80"), Incarnation: 1, Slots: 2,
 			})
 		}
-		update(ServersMsg{Servers: hosts})
+		update(ServersMsg{Servers: listed})
 		wrote := false
 		for end := now.Add(5 * time.Second); now.Before(end) && !wrote; now = now.Add(50 * time.Millisecond) {
 			for _, c := range update(tick) {
@@ -59,13 +59,13 @@
 	update := func(msg loop.Msg) []loop.Cmd { _, cmds := m.Update(now, msg); return cmds }
 	update(tick)
 	update(ReadResultMsg{Kind: kinds.NotFound})
-	var hosts []Server
+	var listed []Server
 	for n := range servers {
-		hosts = append(hosts, Server{
+		listed = append(listed, Server{
 			Name: ident.Server("s" + strconv.Itoa(n)), Addr: netip.MustParseAddrPort("10.0.0.1:80"), Incarnation: 1, Slots: 2,
 		})
 	}
-	update(ServersMsg{Servers: hosts})
+	update(ServersMsg{Servers: listed})
 	logged, held := 0, map[ident.Server]bool{}
 	for end := now.Add(5 * time.Second); now.Before(end); now = now.Add(50 * time.Millisecond) {
 		cmds := update(tick)
--- a/internal/owner/assign/load.go
+++ b/internal/owner/assign/load.go
@@ -102,10 +102,10 @@
 // recordLatencies adds the servers' latencies from a report.
 func (m *Model) recordLatencies(now time.Time, msg LoadMsg) {
 	keep := 1.0
-	if !m.learnedAt.IsZero() {
-		keep = math.Exp2(-now.Sub(m.learnedAt).Seconds() / speedHalfLife.Seconds())
+	if !m.latenciesDecayedAt.IsZero() {
+		keep = math.Exp2(-now.Sub(m.latenciesDecayedAt).Seconds() / speedHalfLife.Seconds())
 	}
-	m.learnedAt = now
+	m.latenciesDecayedAt = now
 	for name, b := range m.backends {
 		sum := msg.Servers[name]
 		b.latencySum = b.latencySum*keep + sum.Total.Seconds()
--- a/internal/owner/assign/msg.go
+++ b/internal/owner/assign/msg.go
@@ -27,7 +27,7 @@
 	Incarnation int64
 	Slots       int
 	Leaving     bool
-	Cold        time.Duration // warm-up time after its start
+	Cold        time.Duration // how long it takes to warm up after its start
 }
 
 // Messages.
@@ -94,8 +94,8 @@
 		Table ranges.Table
 		Old   object.Version
 	}
-	// OrderCmd sends orders to a server, each only before Until. Grants are sent one after the
-	// other, up to the first that is not answered.
+	// OrderCmd sends orders to a server, each only before Until. Grants are sent until
+	// MaxMissedGrants in a row were not answered, or another server has the address.
 	OrderCmd struct {
 		Server      ident.Server
 		Incarnation int64
@@ -110,7 +110,7 @@
 		Changes    []ranges.Assignment
 	}
 	// StaleEpochCmd reports that another leader wrote the table at an epoch that is not below
-	// this one's. Either another VM leads and this one has not heard of it yet, or the lease
+	// this one's. Either another VM leads and this one does not know it yet, or the lease
 	// was lost and its epochs restarted.
 	StaleEpochCmd struct{ Epoch uint64 }
 	// LogCmd is an event for the log.
--- a/internal/owner/assign/sim_test.go
+++ b/internal/owner/assign/sim_test.go
@@ -253,15 +253,15 @@
 		}
 		return kinds.None
 	}
-	fate := sim.drawFate(19, "write")
+	outcome := sim.drawOutcome(19, "write")
 	switch {
 	case !sim.storeOK:
 		l.update(WriteResultMsg{Kind: kinds.Unavailable})
-	case fate == 0 || sim.loseWriteAnswer:
+	case outcome == 0 || sim.loseWriteAnswer:
 		sim.loseWriteAnswer = false
 		apply()
 		l.update(WriteResultMsg{Kind: kinds.Ambiguous})
-	case fate == 1:
+	case outcome == 1:
 		sim.schedule(time.Duration(rapid.IntRange(1, 5).Draw(sim.t, "late"))*time.Second, func() { apply() })
 		l.update(WriteResultMsg{Kind: kinds.Ambiguous})
 	default:
@@ -324,8 +324,8 @@
 	})
 }
 
-// drawFate draws the outcome of a call: the lowest numbers mean a fault.
-func (sim *simulation) drawFate(highest int, label string) int {
+// drawOutcome draws the outcome of a call: the lowest numbers mean a fault.
+func (sim *simulation) drawOutcome(highest int, label string) int {
 	if sim.calm {
 		return highest
 	}
@@ -339,13 +339,13 @@
 func (sim *simulation) sendOrder(l *leader, name ident.Server, o Order, answer func(kinds.Kind, string)) {
 	s := sim.server(name)
 	lost := func() { sim.schedule(orderTimeout, func() { answer(kinds.Ambiguous, "") }) }
-	fate := sim.drawFate(39, "order")
+	outcome := sim.drawOutcome(39, "order")
 	switch {
 	case !s.up && !s.silent:
 		sim.schedule(delay, func() { answer(kinds.Unavailable, "") })
 	case !s.up, s.silent, l.unreachable[name]:
 		lost()
-	case fate == 0:
+	case outcome == 0:
 		arrived, incarnation := sim.now.Add(delay), s.incarnation
 		sim.schedule(time.Duration(rapid.IntRange(2, 12).Draw(sim.t, "late"))*time.Second, func() {
 			if s.up && s.incarnation == incarnation {
@@ -353,7 +353,7 @@
 			}
 		})
 		lost()
-	case fate == 1:
+	case outcome == 1:
 		sim.schedule(delay, func() { s.execute(sim, o, sim.now) })
 		lost()
 	default:
--- a/internal/owner/assign/speed_test.go
+++ b/internal/owner/assign/slow_servers_test.go
@@ -44,10 +44,9 @@
 	return end, min(pending, len(s.slotFreeAt)), max(pending-len(s.slotFreeAt), 0)
 }
 
-// Fourteen servers whose speeds differ by up to three to one start with equally many keys.
-// The slow ones are overloaded from the first second on, so requests are waiting there at
-// nearly every answer. If only answers without waiting requests counted, their speed would
-// never be learned, and callers of their keys would be delayed or refused indefinitely.
+// Servers of different speeds start with equally many keys, so requests always wait at the slow
+// ones. If only answers without waiting requests counted, their speed would never be learned,
+// and callers of their keys would be delayed or refused indefinitely.
 func TestSlowServersGetFewerKeysWhileTheyAreOverloaded(t *testing.T) {
 	const (
 		work  = 150 * time.Millisecond
@@ -59,11 +58,11 @@
 	m := New()
 	tick := TickMsg{Authority: Authority{Epoch: 1, Until: now.Add(time.Hour), OldTermEnd: now}}
 	servers := map[ident.Server]*simServer{}
-	var hosts []Server
+	var listed []Server
 	for n := range 14 {
 		name := ident.Server("s" + strconv.Itoa(n))
 		servers[name] = &simServer{speed: []float64{0.5, 1, 1, 1.5}[n%4], slotFreeAt: make([]time.Time, slots)}
-		hosts = append(hosts, Server{Name: name, Addr: netip.MustParseAddrPort("10.0.0.1:80"), Incarnation: 1, Slots: slots})
+		listed = append(listed, Server{Name: name, Addr: netip.MustParseAddrPort("10.0.0.1:80"), Incarnation: 1, Slots: slots})
 	}
 	var execute func(cmds []loop.Cmd)
 	update := func(msg loop.Msg) { _, cmds := m.Update(now, msg); execute(cmds) }
@@ -83,7 +82,7 @@
 	}
 	update(tick)
 	update(ReadResultMsg{Kind: kinds.NotFound})
-	update(ServersMsg{Servers: hosts})
+	update(ServersMsg{Servers: listed})
 
 	type counts struct{ asked, late int }
 	const period = 40 * time.Second
