--- a/internal/owner/ranges/table.go
+++ b/internal/owner/ranges/table.go
@@ -26,9 +26,9 @@
 	// neighbouring busy keys over four servers before their load has been noticed; with wider
 	// ones, that takes splitting in one or two plans.
 	//
-	// Compared with 64, the value of a day's service rises by 0.033 of the total where traffic
-	// is expensive (18 days), and by 0.007 and 0.005 where it is not (12 days each). A width
-	// of 128 gives four fifths of that.
+	// Compared with a width of 64, the value of a day's service rises by 0.033 of the
+	// total where traffic is expensive (18 days), and by 0.007 and 0.005 where it is not (12
+	// days each). A width of 128 gives four fifths of that.
 	InitialWidth = 256
 	// minInitialWidth is the initial width where servers are many: a leader renews a
 	// thousand rows with a tenth of a core.
--- a/internal/owner/ranges/table_test.go
+++ b/internal/owner/ranges/table_test.go
@@ -59,7 +59,7 @@
 
 // A faulty writer stored a table with a gap. If it were accepted, the keys in the gap would
 // have no owner and nobody would notice.
-func TestATableWithAHoleIsRefused(t *testing.T) {
+func TestATableWithAGapIsRefused(t *testing.T) {
 	for _, text := range []string{
 		``, `{}`, `{"rows":[]}`, `{"rows":[[4,0,0,0,0]]}`, `{"rows":[[0,0,0,-1,0]]}`,
 		`{"rows":[[0,0,0,0,0],[0,0,0,0,0]]}`, `{"rows":[[0,0,0,9223372036854775807,0]]}`, `{"rows":[[0,0,0,0,0],[70000,0,0,0,0]]}`,
