--- a/internal/owner/lessor/acquire.go
+++ b/internal/owner/lessor/acquire.go
@@ -7,7 +7,7 @@
 	"hawthornfield.org/hawthornfield/internal/core/kinds"
 )
 
-// Retry periods. They are short compared with a lease, so that a take-over
+// Retry periods. They are short compared with a lease, so that a takeover
 // survives a lost message, and long compared with the response time of a
 // healthy store.
 const (
@@ -22,7 +22,7 @@
 
 func (t *turn) onRole(m RoleMsg) {
 	// On its first role message a new process checks whether its predecessor on
-	// this VM was the holder: the roster sees the VM as live, so no other VM
+	// this VM was the holder: other VMs see this VM as live, so none of them
 	// would take over.
 	if !t.hasRole || m.Preferred && !t.role.Preferred {
 		t.checkRecord = true
@@ -42,9 +42,9 @@
 }
 
 // onTakeOver notes which holder to replace. Like a suspicion it only makes the
-// lead read the record. It does not last, because a suspicion counts for
-// seconds: two VMs that both believe to be the lead would take the authority
-// from each other all that time.
+// preferred VM read the record. Unlike a suspicion, which counts for seconds, it
+// applies to one read: two VMs that both consider themselves preferred would
+// otherwise take the authority from each other all that time.
 func (t *turn) onTakeOver(m TakeOverMsg) {
 	if t.role.Preferred && !t.leaving {
 		t.replaceHolder, t.checkRecord = m.VM, true
@@ -73,7 +73,7 @@
 	return false
 }
 
-// startTakeOver reads the record if a take-over is wanted.
+// startTakeOver reads the record if a takeover is wanted.
 func (t *turn) startTakeOver() {
 	if t.auth != authIdle || t.leaving {
 		return
@@ -242,7 +242,7 @@
 	t.readRecord()
 }
 
-// resolveTakeOver decides a take-over with an unknown outcome from the record
+// resolveTakeOver decides a takeover with an unknown outcome from the record
 // that was read back.
 func (t *turn) resolveTakeOver() {
 	switch {
--- a/internal/owner/lessor/batch.go
+++ b/internal/owner/lessor/batch.go
@@ -277,7 +277,7 @@
 
 // onEditWritten handles the store's confirmation that an edit was written.
 // Another VM may have taken over while the answer was on its way: the moves are
-// in force, and no other VM learned so. Unless they are reported here, the
+// in force, and no other VM knows that. Unless they are reported here, the
 // ownership history would still name the server that gave the keys away.
 func (t *turn) onEditWritten(e table.Edit, rev ident.Revision) {
 	switch {
--- a/internal/owner/lessor/batch_test.go
+++ b/internal/owner/lessor/batch_test.go
@@ -13,10 +13,9 @@
 	"hawthornfield.org/hawthornfield/internal/owner/table"
 )
 
-// A lost server has a hot key, and the plan moves the key and its slice to two
-// servers, the slice first. In that order the table refuses the whole batch
-// each time, and every key of the lost server has no owner until the hot key
-// has cooled down.
+// A lost server has a hot key, and the plan moves the key and its slice to two servers, the slice
+// first. In that order the table refuses the whole batch each time, and every key of the lost
+// server has no owner until the hot key has cooled down.
 func TestHotKeyAndItsSliceCanMoveTogether(t *testing.T) {
 	const key = ident.Key("scale-7")
 	x := ident.SliceOf(key, 2)
@@ -24,9 +23,9 @@
 	assert.NilError(t, err)
 	tab, err = tab.WithAssigned(table.Move{Slice: 0, To: "a"}, table.Move{Slice: 1, To: "a"})
 	assert.NilError(t, err)
-	at := &turn{}
-	at.table, at.cfg.Server = tab, "a"
-	moves := at.applicable([]table.Move{{Slice: x, To: "b"}, {Slice: 1 - x, To: "c"}, {Slice: x, Key: key, To: "c"}})
+	tn := &turn{}
+	tn.table, tn.cfg.Server = tab, "a"
+	moves := tn.applicable([]table.Move{{Slice: x, To: "b"}, {Slice: 1 - x, To: "c"}, {Slice: x, Key: key, To: "c"}})
 	assert.Equal(t, len(moves), 3)
 	next, err := tab.WithMoves("a", 0, moves...)
 	assert.NilError(t, err)
@@ -36,10 +35,9 @@
 	assert.Equal(t, owner.Server, ident.Server("c"))
 }
 
-// The keys of a lost server move to b, which is full at once and moves some on
-// to c before the first VM hears that its own write took effect. If that VM
-// reported the newest table it knows, the ownership history would say that b
-// gave a key away before it had it.
+// The keys of a lost server move to b, which is full at once and moves some on to c before the
+// first VM learns that its own write took effect. If that VM reported the newest table it knows,
+// the ownership history would say that b gave a key away before it had it.
 func TestMoveIsReportedWithTheRevisionThatMadeIt(t *testing.T) {
 	first, err := table.New("lookup", 1, "a", "b", "c")
 	assert.NilError(t, err)
@@ -63,16 +61,16 @@
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			at := &turn{}
-			at.cfg.Server, at.auth, at.move = "a", authHolding, moveWriting
-			at.table, at.tableVer, at.tableWritePending = first, 1, true
-			at.batch = batch{moves: cmd.Edit.Moves, writeRev: given.Rev, uncertain: true, edit: cmd.Edit}
+			tn := &turn{}
+			tn.cfg.Server, tn.auth, tn.move = "a", authHolding, moveWriting
+			tn.table, tn.tableVer, tn.tableWritePending = first, 1, true
+			tn.batch = batch{moves: cmd.Edit.Moves, writeRev: given.Rev, uncertain: true, edit: cmd.Edit}
 			for _, m := range answers {
-				at.handle(m)
+				tn.handle(m)
 			}
-			moved := slices.IndexFunc(at.cmds, func(c loop.Cmd) bool { _, ok := c.(MovedCmd); return ok })
-			assert.Assert(t, moved >= 0, "%v", at.cmds)
-			assert.Equal(t, at.cmds[moved].(MovedCmd).Rev, given.Rev)
+			moved := slices.IndexFunc(tn.cmds, func(c loop.Cmd) bool { _, ok := c.(MovedCmd); return ok })
+			assert.Assert(t, moved >= 0, "%v", tn.cmds)
+			assert.Equal(t, tn.cmds[moved].(MovedCmd).Rev, given.Rev)
 		})
 	}
 }
@@ -89,21 +87,21 @@
 	assert.NilError(t, err)
 	row, _ := tab.Row("a")
 	for name, end := range map[string]func(*turn){
-		"another VM took it": func(at *turn) { at.stepDown("fenced", "another VM took over") },
-		"this VM leaves":     func(at *turn) { at.leaving = true; at.now = at.now.Add(2 * leaveWriteTimeout); at.runLeave() },
+		"another VM took it": func(tn *turn) { tn.stepDown("fenced", "another VM took over") },
+		"this VM leaves":     func(tn *turn) { tn.leaving = true; tn.now = tn.now.Add(2 * leaveWriteTimeout); tn.runLeave() },
 	} {
 		t.Run(name, func(t *testing.T) {
-			at := &turn{Lessor: New(Config{Server: "a"}), now: time.Unix(1000, 0)}
-			at.leaveStartedAt = at.now
-			at.auth, at.move, at.epoch = authHolding, moveWriting, 3
-			at.table, at.tableVer = tab, 1
-			at.batch.moves = []table.Move{{To: "b"}}
-			at.writeBatch()
-			put := at.cmds[0].(PutTableCmd)
-			end(at)
-			assert.Equal(t, at.move, moveIdle)
+			tn := &turn{Lessor: New(Config{Server: "a"}), now: time.Unix(1000, 0)}
+			tn.leaveStartedAt = tn.now
+			tn.auth, tn.move, tn.epoch = authHolding, moveWriting, 3
+			tn.table, tn.tableVer = tab, 1
+			tn.batch.moves = []table.Move{{To: "b"}}
+			tn.writeBatch()
+			put := tn.cmds[0].(PutTableCmd)
+			end(tn)
+			assert.Equal(t, tn.move, moveIdle)
 			reports := func(msg loop.Msg) (all []MovedCmd) {
-				_, cmds := at.Update(at.now, msg)
+				_, cmds := tn.Update(tn.now, msg)
 				for _, c := range cmds {
 					if m, ok := c.(MovedCmd); ok {
 						all = append(all, m)
@@ -118,8 +116,8 @@
 			done := TablePutMsg{Cmd: put, Version: 2, Rev: row.Rev + 7}
 			want := []MovedCmd{{Moves: []table.Move{{To: "b"}}, Epoch: 3, Rev: row.Rev + 7}}
 			assert.DeepEqual(t, reports(done), want)
-			next, _ := at.Update(at.now, done)
-			_, again := next.Update(at.now, done)
+			next, _ := tn.Update(tn.now, done)
+			_, again := next.Update(tn.now, done)
 			assert.Assert(t, !slices.ContainsFunc(again, func(c loop.Cmd) bool { _, ok := c.(MovedCmd); return ok }))
 		})
 	}
--- a/internal/owner/lessor/batching_test.go
+++ b/internal/owner/lessor/batching_writer_test.go
@@ -137,10 +137,9 @@
 	}
 }
 
-// A request to the store was duplicated: the store refused the first copy and
-// carried out the second a second later. Found by rapid seed
-// 5170231746833311480; the fault was in the fake store, which promises that a
-// call it refuses has no effect.
+// A request to the store was duplicated: the store refused the first copy and carried out the
+// second a second later. Found by rapid seed 5170231746833311480; the fault was in the fake store,
+// which promises that a call it refuses has no effect.
 func TestDuplicatedRefusedWriteTakesNoEffect(t *testing.T) {
 	const ms = time.Millisecond
 	h := history{opt: world.Options{
--- a/internal/owner/lessor/clock_test.go
+++ b/internal/owner/lessor/clock_test.go
@@ -92,10 +92,9 @@
 	return times.Term/100 + times.Margin + 2*times.Heartbeat
 }
 
-// A deputy that sent its clock after every heartbeat would double the messages
-// of an idle fleet. One that sent it too rarely would have a short term when
-// the store and its holder are lost together, and its keys would become
-// unavailable.
+// A deputy that sent its clock after every heartbeat would double the messages of an idle fleet.
+// One that sent it too rarely would have a short term when the store and its holder are lost
+// together, and its keys would become unavailable.
 func TestDeputySendsItsClockRarelyAndKeepsNearlyTheWholeTerm(t *testing.T) {
 	p := newPair()
 	p.run(t, 10*time.Minute)
--- a/internal/owner/lessor/deputy.go
+++ b/internal/owner/lessor/deputy.go
@@ -11,20 +11,20 @@
 // deputy is the state of a VM as deputy. Without a deputy, a holder that is
 // lost during a store outage would make its server's keys unavailable until the
 // store is back: no VM could prove that it may renew the lease. The deputy may,
-// because the holder told it so while it lived, and because a renewal changes
-// no ownership (rule 10).
+// because the holder authorised it by its heartbeats, and because a renewal
+// changes no ownership (rule 10).
 type deputy struct {
 	state            chart.State
 	epoch            ident.Epoch
 	holder           ident.VM
-	termEnd          time.Time // as the holder told, counted from before we sent our clock
+	termEnd          time.Time // end of the holder's term, counted from before we sent our clock
 	heartbeatAt      time.Time
 	rev              ident.Revision
 	seq              uint64
 	sendAt           time.Time
 	probedAt         time.Time // when we read from the server for a holder that cannot reach it
 	takeOver         bool      // the holder left, or we reach a server that it does not
-	anchored         bool      // the holder has answered this very process under this epoch
+	clockEchoed      bool      // the holder has echoed this process's clock under this epoch
 	noEarlierStandby bool      // no standby of an earlier epoch can hold the keys
 }
 
@@ -96,7 +96,7 @@
 	if m.Echo > 0 && m.Incarnation == t.startedAt.UnixNano() {
 		termEnd := t.cfg.Times.AuthorityEnd(t.startedAt.Add(m.Echo), m.Left)
 		t.deputy.termEnd = later(t.deputy.termEnd, termEnd)
-		t.deputy.anchored = true
+		t.deputy.clockEchoed = true
 	}
 	t.sendClock(m)
 }
--- a/internal/owner/lessor/drain_leave.go
+++ b/internal/owner/lessor/drain_leave.go
@@ -14,7 +14,8 @@
 const leaveWriteTimeout = time.Second
 
 // onDrain notes that the server is to be drained, or stays after all. Every
-// member is told, so that a successor continues where the holder stopped.
+// member gets the message, so that a successor continues where the holder
+// stopped.
 func (t *turn) onDrain(msg loop.Msg) {
 	_, want := msg.(DrainMsg)
 	switch {
@@ -38,13 +39,13 @@
 	case t.drain == drainDone && !empty:
 		t.fire(drainChart, &t.drain, "fill")
 	case t.drain == drainActive && t.lease == leaseHeld && t.move == moveIdle && len(t.moveQueue) == 0 && t.due(t.planRequestAt):
-		t.planRequestAt = t.now.Add(askInterval)
+		t.planRequestAt = t.now.Add(requestInterval)
 		t.emit(PlanCmd{Server: t.cfg.Server})
 	}
 }
 
 // runLeave hands the authority over and closes. The holder stops first and then
-// tells its deputy, which has most of a lease's time to take over.
+// notifies its deputy, which has most of a lease's time to take over.
 func (t *turn) runLeave() {
 	if !t.leaving || t.auth == authClosed {
 		return
--- a/internal/owner/lessor/earlier_standby.go
+++ b/internal/owner/lessor/earlier_standby.go
@@ -37,7 +37,7 @@
 	if t.epoch != 0 && t.epoch < e && t.lastStandbyEpoch < t.epoch {
 		t.noStandbyEpoch = max(t.noStandbyEpoch, t.epoch)
 	}
-	if t.deputy.state != deputyOff && t.deputy.anchored && t.deputy.epoch < e && t.agreedEpoch < t.deputy.epoch {
+	if t.deputy.state != deputyOff && t.deputy.clockEchoed && t.deputy.epoch < e && t.agreedEpoch < t.deputy.epoch {
 		t.noStandbyEpoch = max(t.noStandbyEpoch, t.deputy.epoch)
 	}
 }
--- a/internal/owner/lessor/history_test.go
+++ b/internal/owner/lessor/history_test.go
@@ -33,15 +33,16 @@
 	"move", "move", "move", "hot",
 }
 
-// settleTime bounds the recovery after the faults have ended: a term that must
-// be waited out, the platform's lag in listing a lost VM as gone, and the time
-// of a take-over and a move.
+// Times of a history. settleTime bounds the recovery after the faults have
+// ended: a term that must be waited out, the platform's lag in listing a lost
+// VM as gone, and the time of a takeover and a move.
 const (
 	faultsEnd  = 8 * time.Second
 	shortTerm  = 7 * time.Second
 	settleTime = shortTerm + 8*time.Second
 )
 
+// history is one run of the simulated fleet: its options and its faults.
 type history struct {
 	opt    world.Options
 	noise  world.Noise
@@ -276,11 +277,9 @@
 	return out
 }
 
-// Draws faults at any moment, also together: VMs pause, die, restart and leave,
-// links and the store fail, servers freeze or lose their memory, messages are
-// late or duplicated. Guards against two servers that serve one key, and
-// against keys that stay unserved. Each lessor writes the table itself, or one
-// writer on each VM batches the edits of its lessors.
+// Guards against two servers that serve one key, and against keys that stay unserved. At any moment,
+// also together, VMs pause, die, restart and leave, links and the store fail, servers freeze or lose
+// their memory, messages are late or duplicated. Lessors write alone or through one writer per VM.
 func TestHistoriesKeepOneOwner(t *testing.T) {
 	for _, m := range modes {
 		t.Run(m.String(), func(t *testing.T) {
--- a/internal/owner/lessor/lessor.go
+++ b/internal/owner/lessor/lessor.go
@@ -11,15 +11,16 @@
 // alternatives are in docs/design/ownership.md; comments here refer to them as
 // "rule n". The reasons for the periods are in package lease.
 //
-// Lessor is a pure loop.Model: it is told the time, and returns effects as
-// values. lessor.go holds the state and the dispatch of messages, messages.go
-// and commands.go the inputs and outputs, and record.go the stored record.
+// Lessor is a pure loop.Model: Update receives the time and a message, and
+// returns effects as values. lessor.go holds the state and the dispatch of
+// messages, messages.go and commands.go the inputs and outputs, charts.go the
+// state charts, and record.go the stored record.
 // acquire.go takes the authority, term.go renews and ends it, and table.go
 // raises the minimum epoch in the ownership table. server.go talks to the
 // backend server, batch.go and release.go move keys away from it, and
 // silent_server.go detects that it stopped answering. standby.go and
 // earlier_standby.go let another server stand in for a lost one during a store
-// outage. deputy.go, promise.go and successor.go deal with the other members.
+// outage. deputy.go, promise.go and successor.go handle the other members.
 // drain_leave.go drains the server and hands the authority over at shutdown.
 package lessor
 
--- a/internal/owner/lessor/loop_test.go
+++ b/internal/owner/lessor/loop_test.go
@@ -18,7 +18,8 @@
 	"hawthornfield.org/hawthornfield/internal/plat/server"
 )
 
-// platform answers one lessor's commands at once, under the runtime's clock.
+// platform is a fake platform: a store and one backend server that answer a
+// lessor's commands at once, under the runtime's clock.
 type platform struct {
 	mu          sync.Mutex // the loop runs commands while the test reads
 	down        bool
--- a/internal/owner/lessor/messages.go
+++ b/internal/owner/lessor/messages.go
@@ -17,11 +17,12 @@
 	// clock, and must then be set again.
 	TickMsg struct{ At time.Time }
 
-	// RoleMsg says what the roster of live VMs wants of this VM. Send it at the
-	// start and whenever it changes.
+	// RoleMsg gives this VM its role for the server, which is derived from the
+	// list of live VMs. Send it at the start and whenever it changes.
 	RoleMsg struct {
-		// Preferred means: take over when the holder is gone, suspected, or not
-		// named yet. A healthy holder stays, until a TakeOverMsg.
+		// Preferred says that this VM is the first choice for holder: it takes
+		// over when the holder is gone, suspected, or not named yet. A healthy
+		// holder stays, until a TakeOverMsg.
 		Preferred bool
 		// Deputy is whom this VM should name as deputy when it is the holder,
 		// "" for none. Prefer a VM in another data centre than the backend
@@ -30,10 +31,11 @@
 	}
 
 	// SuspectMsg says that a VM seems frozen, cut off or lost. It can be wrong:
-	// it only makes the lead take over, and is no proof that the VM has ended.
+	// it only makes the preferred VM take over, and is no proof that the suspected
+	// VM has ended.
 	SuspectMsg struct{ VM ident.VM }
 
-	// TakeOverMsg asks the lead to take over from a healthy holder, to spread
+	// TakeOverMsg asks the preferred VM to take over from a healthy holder, to spread
 	// the authorities evenly over the VMs. It counts for the next read of the
 	// record only: a holder that is not VM stays, and the request ends if the
 	// store does not answer.
--- a/internal/owner/lessor/move_delay_test.go
+++ b/internal/owner/lessor/move_delay_test.go
@@ -33,10 +33,9 @@
 	return w.Count.Moves - before, first, w.Store.Table().OwnerOf(0)
 }
 
-// Servers stop for a second now and then, to collect garbage. Without a move
-// delay a third of the keys changes owner each time, with cold caches and more
-// load. With it the keys stay, and are served again as soon as the server
-// resumes.
+// Servers stop for a second now and then, to collect garbage. Without a move delay a third of the
+// keys changes owner each time, with cold caches and more load. With it the keys stay, and are
+// served again as soon as the server resumes.
 func TestMoveDelayKeepsTheKeysOfAStalledServer(t *testing.T) {
 	for _, checks := range []bool{false, true} {
 		t.Run(fmt.Sprintf("checks=%v", checks), func(t *testing.T) {
--- a/internal/owner/lessor/mutant_test.go
+++ b/internal/owner/lessor/mutant_test.go
@@ -19,7 +19,7 @@
 // mutants names, for each broken safety rule, the property that detects it and
 // the number of a drawn history in which it does. When a change of the code
 // changes the drawn histories, find a new number with HAWTHORN_SCAN=flaw. The
-// flaw agree is detected by
+// flaw "agree" is detected by
 // TestHolderActivatesNoStandbyAfterItsDeputyRuledItOut.
 var mutants = []struct {
 	flaw     string
@@ -72,10 +72,9 @@
 	}
 }
 
-// A server that is cut off from every entry VM serves until its lease ends on
-// its own clock, which may run slower than the clock of the VM that waits.
-// Without drift and margin in the wait, its keys move a few milliseconds too
-// early.
+// A server that is cut off from every entry VM serves until its lease ends on its own clock, which
+// may run slower than the clock of the VM that waits. Without drift and margin in the wait, its
+// keys move a few milliseconds too early.
 func TestWaitCoversDriftOfClocks(t *testing.T) {
 	for name, early := range map[string]bool{"none": false, "margin": true} {
 		bad := 0
--- a/internal/owner/lessor/promise.go
+++ b/internal/owner/lessor/promise.go
@@ -7,11 +7,11 @@
 	"hawthornfield.org/hawthornfield/internal/core/ident"
 )
 
-// Bounds and periods of asking other members for their promise to stop.
+// Bounds and periods of requests to other members and to the planner.
 const (
-	maxEndNotices     = 256 // notices remembered; a forgotten one only costs another question
-	askInterval       = 500 * time.Millisecond
-	deputyAskInterval = 100 * time.Millisecond
+	maxEndNotices     = 256                    // notices remembered; a forgotten one only costs another question
+	requestInterval   = 500 * time.Millisecond // between requests for a promise or a plan
+	deputyAskInterval = 100 * time.Millisecond // between questions to the deputy about a silent server
 )
 
 // otherMember is a member that could act beside this VM (rule 6).
@@ -35,7 +35,7 @@
 }
 
 // noteEnd remembers a notice and applies it. Notices can arrive before the
-// take-over that needs them.
+// takeover that needs them.
 func (t *turn) noteEnd(n endNotice) {
 	n.learnedAt = t.now
 	if n.gone && t.vmIsGone(n.vm) {
@@ -124,7 +124,7 @@
 	if !unfinished || !t.due(t.prepareAt) {
 		return
 	}
-	t.prepareAt = t.now.Add(askInterval)
+	t.prepareAt = t.now.Add(requestInterval)
 	for i, o := range t.others {
 		first := slices.IndexFunc(t.others, func(p otherMember) bool { return p.VM == o.VM }) == i
 		if !o.ended && o.Epoch < t.epoch && first {
--- a/internal/owner/lessor/reassign_test.go
+++ b/internal/owner/lessor/reassign_test.go
@@ -12,10 +12,9 @@
 	"hawthornfield.org/hawthornfield/internal/fake/world"
 )
 
-// Authorities move from one healthy VM to the next every second or so, during
-// all the faults of the other histories. Nothing else makes two healthy VMs
-// hold and claim the same authority so often; a mistake would let two servers
-// serve one key.
+// Authorities move from one healthy VM to the next every second or so, during all the faults of the
+// other histories. Nothing else makes two healthy VMs hold and claim the same authority so often; a
+// mistake would let two servers serve one key.
 func TestHistoriesKeepOneOwnerWhileAuthoritiesMove(t *testing.T) {
 	for _, m := range modes {
 		t.Run(m.String(), func(t *testing.T) {
--- a/internal/owner/lessor/record.go
+++ b/internal/owner/lessor/record.go
@@ -17,7 +17,7 @@
 	formatNoStandby = 1
 )
 
-// maxPastMembers bounds the members that a decoded record may list. A take-over
+// maxPastMembers bounds the members that a decoded record may list. A takeover
 // adds two, and all leave the list within a term.
 const maxPastMembers = 1024
 
--- a/internal/owner/lessor/regression_test.go
+++ b/internal/owner/lessor/regression_test.go
@@ -38,7 +38,7 @@
 			{"lendkill", 313 * ms, 488 * ms, 3, 0},
 		},
 	},
-	// A process of vm1 sent its take-over of s1 and ended, and the next process
+	// A process of vm1 sent its takeover of s1 and ended, and the next process
 	// read the record before the write took effect. The record named vm1, which
 	// did not know it, and the keys of s1 stayed unserved (successor.go).
 	"a holder that does not know": {
--- a/internal/owner/lessor/server.go
+++ b/internal/owner/lessor/server.go
@@ -252,9 +252,9 @@
 const lateRetryDelay = 10 * time.Millisecond
 
 // onFenceRefusal handles an order that was refused for a higher fence. A later
-// epoch has ended ours. So has our own deputy, if it acted because it did not
-// hear from us: it goes on while no other VM takes over, and takes over itself
-// when it can.
+// epoch has ended ours. So has our own deputy, if it acted because our heartbeats
+// did not arrive: it goes on while no other VM takes over, and takes over
+// itself when it can.
 func (t *turn) onFenceRefusal(f ident.Fence) {
 	if f.Epoch > t.epoch || f.Epoch == t.epoch && f.Seq >= deputySeqBase {
 		t.stepDown("fenced", "the server obeys a higher fence")
--- a/internal/owner/lessor/settling_test.go
+++ b/internal/owner/lessor/settling_test.go
@@ -22,14 +22,14 @@
 	tab, err = tab.WithMinEpoch("a", 1)
 	assert.NilError(t, err)
 	now := time.Unix(1000, 0)
-	w := &turn{Lessor: New(Config{Self: "vm", Service: "lookup", Server: "a", flaw: f}), now: now}
-	w.auth, w.epoch, w.termEnd = authHolding, 1, now.Add(time.Hour)
-	w.table, w.tableVer = tab, 1
-	w.srv.mark = lease.Mark{Mark: server.Mark{Boot: 1, At: time.Minute}, Read: now}
-	w.srv.newestGrant = w.srv.mark
-	w.move = moveSettling
-	w.batch = batch{moves: []table.Move{{Slice: 0, To: "b"}}, remainingRev: reducedRevBit | 1, confirmed: true}
-	return w
+	tn := &turn{Lessor: New(Config{Self: "vm", Service: "lookup", Server: "a", flaw: f}), now: now}
+	tn.auth, tn.epoch, tn.termEnd = authHolding, 1, now.Add(time.Hour)
+	tn.table, tn.tableVer = tab, 1
+	tn.srv.mark = lease.Mark{Mark: server.Mark{Boot: 1, At: time.Minute}, Read: now}
+	tn.srv.newestGrant = tn.srv.mark
+	tn.move = moveSettling
+	tn.batch = batch{moves: []table.Move{{Slice: 0, To: "b"}}, remainingRev: reducedRevBit | 1, confirmed: true}
+	return tn
 }
 
 func tableWrites(cmds []loop.Cmd) int {
@@ -42,20 +42,19 @@
 	return n
 }
 
-// The network duplicated a full grant, and the copy arrives after the server
-// confirmed a revocation. A server that does not check fences obeys it, and
-// serves again a slice that is about to get another owner. Only the second read
-// shows it.
+// The network duplicated a full grant, and the copy arrives after the server confirmed a
+// revocation. A server that does not check fences obeys it, and serves again a slice that is about
+// to get another owner. Only the second read shows it.
 func TestGrantObeyedAfterTheRevocationIsDetected(t *testing.T) {
-	w := settlingTurn(t, flawNone)
-	w.runBatch()
-	assert.Equal(t, tableWrites(w.cmds), 0, "moved the key without a second read")
-	w.onReply(ReplyMsg{
-		Read:  ReadServerCmd{At: w.now},
+	tn := settlingTurn(t, flawNone)
+	tn.runBatch()
+	assert.Equal(t, tableWrites(tn.cmds), 0, "moved the key without a second read")
+	tn.onReply(ReplyMsg{
+		Read:  ReadServerCmd{At: tn.now},
 		Reply: server.Reply{Done: true, Rev: 3, Left: time.Second / 2, Mark: server.Mark{Boot: 1, At: 2 * time.Minute}},
 	})
-	assert.Equal(t, w.move, moveRevoking)
-	assert.Equal(t, tableWrites(w.cmds), 0)
+	assert.Equal(t, tn.move, moveRevoking)
+	assert.Equal(t, tableWrites(tn.cmds), 0)
 
 	broken := settlingTurn(t, flawNoReadBack)
 	broken.runBatch()
--- a/internal/owner/lessor/silent_server.go
+++ b/internal/owner/lessor/silent_server.go
@@ -60,7 +60,7 @@
 		return
 	}
 	if t.due(expireAt.Add(-planRequestLead)) && t.due(t.planRequestAt) {
-		t.planRequestAt = t.now.Add(askInterval)
+		t.planRequestAt = t.now.Add(requestInterval)
 		t.emit(PlanCmd{Server: t.cfg.Server, Lost: true})
 		if t.now.Sub(t.storeAnsweredAt) > storeFreshFor-planRequestLead {
 			t.readTable() // so that the store has answered recently when the plan is carried out
--- a/internal/owner/lessor/standby.go
+++ b/internal/owner/lessor/standby.go
@@ -138,7 +138,7 @@
 	if !t.storeAnsweredRecently() || !t.due(t.planRequestAt) || !t.canWriteOnceRevoked() {
 		return
 	}
-	t.planRequestAt = t.now.Add(askInterval)
+	t.planRequestAt = t.now.Add(requestInterval)
 	if _, known := t.table.Row(t.standby); !known {
 		t.emit(PlanCmd{Server: t.cfg.Server})
 		return
--- a/internal/owner/lessor/standby_agreement_test.go
+++ b/internal/owner/lessor/standby_agreement_test.go
@@ -11,13 +11,13 @@
 	"hawthornfield.org/hawthornfield/internal/plat/server"
 )
 
-// asDeputy returns VM b as the deputy of epoch 3, held by a. If anchored is
+// asDeputy returns VM b as the deputy of epoch 3, held by a. If echoed is
 // set, the holder has echoed b's clock.
-func asDeputy(now time.Time, anchored bool) Lessor {
+func asDeputy(now time.Time, echoed bool) Lessor {
 	s := loop.Model(New(Config{Self: "b", Service: "lookup", Server: "s", Standby: true}))
 	s, _ = s.Update(now, RoleMsg{})
 	m := HeartbeatMsg{From: "a", Epoch: 3, Mark: server.Mark{Boot: 1, At: time.Second}, Rev: 2, NoStandby: true}
-	if anchored {
+	if echoed {
 		m.Left, m.Echo, m.Incarnation = time.Minute, time.Millisecond, now.UnixNano()
 	}
 	s, _ = s.Update(now, m)
@@ -72,26 +72,26 @@
 // holder must not take that as an agreement.
 func TestTheAgreementOfARestartedDeputyDoesNotCount(t *testing.T) {
 	now := time.Unix(1000, 0)
-	holder := func(asks ...int64) *turn {
-		w := &turn{Lessor: New(Config{Self: "a", Service: "lookup", Server: "s", Standby: true}), now: now}
-		w.auth, w.epoch, w.termEnd, w.standbyAllowed = authHolding, 3, now.Add(time.Hour), true
-		w.record = Record{Epoch: 3, Holder: "a", Deputy: "b", Standby: true}
-		for _, born := range asks {
-			w.onClock(ClockMsg{From: "b", Epoch: 3, At: time.Second, Incarnation: born})
+	holder := func(incarnations ...int64) *turn {
+		tn := &turn{Lessor: New(Config{Self: "a", Service: "lookup", Server: "s", Standby: true}), now: now}
+		tn.auth, tn.epoch, tn.termEnd, tn.standbyAllowed = authHolding, 3, now.Add(time.Hour), true
+		tn.record = Record{Epoch: 3, Holder: "a", Deputy: "b", Standby: true}
+		for _, incarnation := range incarnations {
+			tn.onClock(ClockMsg{From: "b", Epoch: 3, At: time.Second, Incarnation: incarnation})
 		}
-		return w
+		return tn
 	}
 	yes := PromiseMsg{From: "b", Below: 4, StandbyAgreed: true, Incarnation: 7}
 
-	w := holder(7)
-	w.onPromise(yes)
-	assert.Equal(t, w.deputyAgreedEpoch, ident.Epoch(3))
+	tn := holder(7)
+	tn.onPromise(yes)
+	assert.Equal(t, tn.deputyAgreedEpoch, ident.Epoch(3))
 
-	for name, asks := range map[string][]int64{
+	for name, incarnations := range map[string][]int64{
 		"not known yet": {}, "another process": {6}, "restarted": {6, 7}, "a late question of the first": {7, 6, 7},
 	} {
-		w := holder(asks...)
-		w.onPromise(yes)
-		assert.Equal(t, w.deputyAgreedEpoch, ident.Epoch(0), name)
+		tn := holder(incarnations...)
+		tn.onPromise(yes)
+		assert.Equal(t, tn.deputyAgreedEpoch, ident.Epoch(0), name)
 	}
 }
--- a/internal/owner/lessor/standby_test.go
+++ b/internal/owner/lessor/standby_test.go
@@ -78,8 +78,8 @@
 }
 
 // failStoreDuringDeputyChange fails the store while the holder of a server
-// names another deputy, before the record is written or before the holder is
-// told so.
+// names another deputy, either before the record is written or before the
+// holder receives the answer to that write.
 func failStoreDuringDeputyChange(t *testing.T, w *world.World, s *world.Server, written bool) {
 	t.Helper()
 	holder, rec := beginDeputyChange(t, w, s)
@@ -174,10 +174,9 @@
 	}
 }
 
-// The holder alone is cut off from the store and its server, and activates a
-// standby. Its deputy, which agreed, reaches both and takes over. It must not
-// renew or grant anything before the holder is known to have ended, or a key
-// would have two owners for seconds.
+// The holder alone is cut off from the store and its server, and activates a standby. Its deputy,
+// which agreed, reaches both and takes over. It must not renew or grant anything before the holder
+// is known to have ended, or a key would have two owners for seconds.
 func TestSuccessorWaitsForTheEarlierStandby(t *testing.T) {
 	for name, early := range map[string]bool{"none": false, "forget": true} {
 		w := newStandbyWorld(false, lessor.Flaws[name])
@@ -202,10 +201,9 @@
 	}
 }
 
-// The holder alone is cut off from the store and its server. A third VM takes
-// over, has the deputy's declaration that there is no standby, and renews the
-// server's lease. The holder then asks the same deputy. If it activated a
-// standby although the deputy has not agreed, a key would have two owners.
+// The holder alone is cut off from the store and its server. A third VM takes over, has the deputy's
+// declaration that there is no standby, and renews the server's lease. If the holder then asked the
+// same deputy and activated a standby without its agreement, a key would have two owners.
 func TestHolderActivatesNoStandbyAfterItsDeputyRuledItOut(t *testing.T) {
 	for _, checks := range []bool{false, true} {
 		for name, two := range map[string]bool{"none": false, "agree": true} {
@@ -234,7 +232,7 @@
 
 // A program that does not know standbys must not take over from a record that
 // allows one, and must still read a record that does not.
-func TestARecordWithAStandByIsOfALaterFormat(t *testing.T) {
+func TestARecordWithAStandbyIsOfALaterFormat(t *testing.T) {
 	for _, r := range []lessor.Record{
 		{Epoch: 3, Holder: "a", Deputy: "b"},
 		{Epoch: 3, Holder: "a", Deputy: "b", Standby: true},
--- a/internal/owner/lessor/successor.go
+++ b/internal/owner/lessor/successor.go
@@ -2,13 +2,13 @@
 
 import "time"
 
-// A replaced holder tells its successor that it is the holder now.
+// A replaced holder notifies its successor that it is the holder now.
 //
 // The successor can be a process that does not know it: an earlier process on
 // its VM sent the write and ended, the write took effect later, and the present
 // process had read the record before. The record then names a holder that does
 // not act, every other VM sees that VM as healthy, and the server's keys stay
-// unserved for good. Only the replaced holder can tell the successor. To a
+// unserved for good. Only the replaced holder can notify the successor. To a
 // successor that does act, the same message is the promise that it would have
 // asked for.
 const (
@@ -26,8 +26,8 @@
 	t.sendPromise(PrepareMsg{From: successor, Below: t.record.Epoch})
 }
 
-// onUnknownEpoch makes this process read the record when it hears of an epoch
-// that it does not know.
+// onUnknownEpoch makes this process read the record when a message names an
+// epoch that it does not know.
 func (t *turn) onUnknownEpoch(m PromiseMsg) {
 	if t.auth == authIdle && m.Below > t.record.Epoch && m.Below > t.deputy.epoch+1 {
 		t.checkRecord = true
