--- a/internal/owner/commit/commit.go
+++ b/internal/owner/commit/commit.go
@@ -14,7 +14,7 @@
 // applied to: the table's minimum epoch is still its holder's epoch, and the
 // server's set is still the one that the holder saw ([table.Table.WithEdit]).
 // An edit that no longer applies is returned with kind Conflict, and its lessor
-// reads the table again; the others proceed. Each lessor is told the outcome of
+// reads the table again; the others proceed. Each lessor gets the outcome of
 // a write as if it had written alone: if the answer was lost, the outcome is
 // unknown for each edit in the write, and none of them is retried here (rule 13
 // of docs/design/ownership.md).
--- a/internal/owner/commit/coordinator.go
+++ b/internal/owner/commit/coordinator.go
@@ -22,8 +22,8 @@
 // table's minimum epoch is its holder's epoch, the server's set is the one that
 // the holder saw) keep it harmless however late it comes. So only "done" is
 // believed of the coordinator's answers: a copy that the network delivered
-// twice is refused although the first one took effect. The lessor is told of
-// every other answer as an unknown outcome.
+// twice is refused although the first one took effect. Every
+// other answer is reported to the lessor as an unknown outcome.
 const (
 	// forwardTimeout is how long an edit waits for the coordinator. It is
 	// several calls to a healthy store, and leaves the lessor time within its
--- a/internal/owner/commit/messages.go
+++ b/internal/owner/commit/messages.go
@@ -44,7 +44,7 @@
 	}
 
 	// CoordinatorsMsg names the VMs that may batch the edits of all VMs, the
-	// first choice first. Every VM should be told the same.
+	// first choice first. Every VM should get the same list.
 	CoordinatorsMsg struct{ VMs []ident.VM }
 
 	// SuspectMsg says that a VM seems lost. It can be wrong: it only makes the
