--- a/internal/owner/table/delta.go
+++ b/internal/owner/table/delta.go
@@ -152,7 +152,7 @@
 func (t *Table) removeServers(names []ident.Server) error {
 	for _, s := range names {
 		rev := t.Rev
-		e, err := t.Removed(s)
+		e, err := t.WithoutServer(s)
 		if err != nil {
 			return kinds.New(kinds.Malformed, "table delta drops a server that owns keys")
 		}
--- a/internal/owner/table/moves.go
+++ b/internal/owner/table/moves.go
@@ -97,9 +97,9 @@
 	return e, nil
 }
 
-// Removed returns the table without a server. It fails with kind Conflict while the server
-// owns anything: a removal must never leave a key without an owner.
-func (t Table) Removed(s ident.Server) (Table, error) {
+// WithoutServer returns the table without a server. It fails with kind Conflict while the
+// server owns anything: a removal must never leave a key without an owner.
+func (t Table) WithoutServer(s ident.Server) (Table, error) {
 	i, ok := t.rowIndex(s)
 	if !ok {
 		return t, kinds.New(kinds.NotFound, "remove an unknown server")
--- a/internal/owner/table/table.go
+++ b/internal/owner/table/table.go
@@ -2,8 +2,8 @@
 //
 // A [Table] is the agreed assignment, stored as one object for each service. It gives every
 // slice an owner, lists the few hot keys that are owned apart from their slice, and keeps a
-// minimum epoch for each server: the epoch of the only lessor that may still change that
-// server's rows. Its revision only rises.
+// minimum epoch for each server: the epoch of the only lessor that may still move keys away
+// from that server. The table's revision only rises.
 //
 // Users hold 460 million keys, which cannot be listed in one place. Slices keep the agreed
 // state small (64k slices take two bytes each) and moves cheap. Since the load of a single
--- a/internal/owner/table/table_test.go
+++ b/internal/owner/table/table_test.go
@@ -47,12 +47,12 @@
 	assert.Equal(t, kinds.Of(err), kinds.Conflict)
 	_, err = tab.WithAssigned(Move{Slice: 0, To: "b"})
 	assert.Equal(t, kinds.Of(err), kinds.Conflict)
-	_, err = tab.Removed("a")
+	_, err = tab.WithoutServer("a")
 	assert.Equal(t, kinds.Of(err), kinds.Conflict)
 	more, err := tab.WithServer("aa")
 	assert.NilError(t, err)
 	assert.Equal(t, more.OwnerOf(2), ident.Server("b"))
-	less, err := more.Removed("aa")
+	less, err := more.WithoutServer("aa")
 	assert.NilError(t, err)
 	assert.Equal(t, less.OwnerOf(2), ident.Server("b"))
 }
@@ -125,7 +125,7 @@
 	case 0:
 		return t.WithServer(name())
 	case 1:
-		return t.Removed(name())
+		return t.WithoutServer(name())
 	case 2:
 		return t.WithMinEpoch(name(), ident.Epoch(rapid.IntRange(0, 9).Draw(rt, "epoch")))
 	case 3:
