--- a/internal/owner/place/place.go
+++ b/internal/owner/place/place.go
@@ -74,7 +74,7 @@
 // Reason says why a move is made.
 type Reason string
 
-// The reasons, in the order of the moves of a plan.
+// The reasons. A plan lists its moves in the order Hold, Orphan, Drain, Join, Excess, Fill.
 const (
 	Orphan Reason = "orphan" // the owner is lost, or there was none
 	Drain  Reason = "drain"  // the owner is leaving
--- a/internal/owner/place/place_test.go
+++ b/internal/owner/place/place_test.go
@@ -27,14 +27,14 @@
 			Accepting: rapid.IntRange(0, 4).Draw(t, "takes") > 0,
 		})
 	}
-	slots := rapid.IntRange(1, 60).Draw(t, "slices")
-	for range slots {
+	numSlices := rapid.IntRange(1, 60).Draw(t, "slices")
+	for range numSlices {
 		in.Owners = append(in.Owners, rapid.SampledFrom([]ident.Server{"", "lost", serverID(0), serverID(0), serverID(n - 1), serverID(n / 2)}).Draw(t, "owner"))
 		in.Loads = append(in.Loads, float64(rapid.SampledFrom([]int{0, 1, 1, 2, 3, 10, 60}).Draw(t, "load")))
 		in.Homes = append(in.Homes, rapid.SampledFrom([]ident.Centre{"", "east", "north"}).Draw(t, "home"))
 	}
 	for i := range rapid.IntRange(0, 4).Draw(t, "hot") {
-		s := rapid.IntRange(0, slots-1).Draw(t, "slice")
+		s := rapid.IntRange(0, numSlices-1).Draw(t, "slice")
 		h := Hot{Key: ident.Key("k" + strconv.Itoa(i)), Slice: ident.Slice(s), Load: in.Loads[s] / 8}
 		h.Owner = rapid.SampledFrom([]ident.Server{"", "", "lost", serverID(0)}).Draw(t, "apart")
 		in.Hot = append(in.Hot, h)
@@ -179,12 +179,12 @@
 	assert.Assert(t, !oneMoveHelps(applyAll(in, Plan(in))))
 }
 
-func evenInput(servers, slots int, band Band) Input {
+func evenInput(servers, numSlices int, band Band) Input {
 	in := Input{Band: band}
 	for i := range servers {
 		in.Servers = append(in.Servers, Server{ID: serverID(i), Accepting: true})
 	}
-	for s := range slots {
+	for s := range numSlices {
 		in.Owners = append(in.Owners, serverID(s%servers))
 		in.Loads = append(in.Loads, 1)
 	}
@@ -238,10 +238,9 @@
 	assert.Assert(t, Imbalance(applyAll(in, moves)) < 1.04)
 }
 
-// A server is lost while there are no requests, or only for half of the keys. Keys without
-// requests add no load, so if they were placed by load alone, the least loaded server would
-// get all of them: it would have twice the keys of the others, and its callers would wait once
-// requests come.
+// A server is lost while there are no requests, or only for half of the keys. Keys without requests
+// add no load, so if they were placed by load alone, the least loaded server would get all of them:
+// it would have twice the keys of the others, and its callers would wait once requests come.
 func TestKeysThatNobodyAsksForSpreadEvenly(t *testing.T) {
 	for _, idle := range []int{1, 2} { // every slice, every second one
 		in := evenInput(16, 512, Band{High: 0.2, Low: 0.4, Budget: 2})
