--- a/internal/owner/outage/cost.go
+++ b/internal/owner/outage/cost.go
@@ -30,7 +30,7 @@
 )
 
 // Cost measures an idle fleet of n VMs and n backend servers, each with one
-// slice. It counts the lessors' own calls; watches, the roster and the exchange
+// slice. It counts the lessors' own calls; watches, membership and the exchange
 // of tables between peers are not included. Each lessor's first read of its
 // record counts as one read here, while a VM's runner answers them all from one
 // List.
--- a/internal/owner/outage/faults.go
+++ b/internal/owner/outage/faults.go
@@ -15,8 +15,8 @@
 	horizon    time.Duration // how long the fleet is observed after the fault
 	term       time.Duration // of an authority; zero: the default
 	smallFleet bool          // use a smaller fleet, for long histories
-	// inject causes the fault around a server, and returns which slices count;
-	// nil means all of them.
+	// inject causes the fault around a server, and returns which slices are
+	// measured; nil means all of them.
 	inject func(w *world.World, s *world.Server) func(slice int) bool
 	naive  naiveModel
 }
@@ -30,7 +30,8 @@
 	longStoreOutage = 10 * time.Minute
 )
 
-// Faults are the rows of the table.
+// Faults are the faults that are measured, in the order of the rows of the
+// fault table.
 var Faults = []Fault{
 	{Name: "owner lost", horizon: 15 * time.Second, inject: ownerLost, naive: naiveExpiry},
 	{Name: "owner frozen 3 s and back", horizon: 15 * time.Second, inject: ownerFrozen, naive: naiveAbsence(freezeTime)},
--- a/internal/owner/outage/naive.go
+++ b/internal/owner/outage/naive.go
@@ -7,7 +7,7 @@
 
 // The naive baseline: an entry VM keeps a lease of 10 s for each server in the
 // store and renews it there every third of that; the server serves until the
-// end of the lease that it was last told of. The other VMs read the store every
+// end of the last lease that it received. The other VMs read the store every
 // second and take over a lease 1 % after it expired. The store takes 5 ms for a
 // write.
 const (
@@ -52,7 +52,7 @@
 	}
 }
 
-// naiveHandover: the old owner is told, the lease released, and the next VM
+// naiveHandover: the old owner is notified, the lease released, and the next VM
 // reads the store.
 func naiveHandover(rng *rand.Rand) time.Duration { return uniform(rng, naivePoll) + 2*naiveWrite }
 
