--- a/internal/edge/leases/assign.go
+++ b/internal/edge/leases/assign.go
@@ -11,16 +11,16 @@
 	"hawthornfield.org/hawthornfield/internal/plat/vmlist"
 )
 
-// Assign picks the VM that should hold a server's lessor (the leader) and the VM
-// that should be its deputy, out of the live VMs, by rendezvous hashing: every VM
-// computes the same result, and when a VM comes or goes only its own lessors move.
+// Assign picks the VM that should hold a server's lessor (the preferred holder) and
+// the VM that should be its deputy, out of the live VMs, by rendezvous hashing: every
+// VM computes the same result, and when a VM comes or goes only its own lessors move.
 // Both VMs are in another data centre than the server where that is possible, so
 // that the loss of one data centre never takes a server and its authority
 // together, and in two different data centres where that is possible too.
-// The deputy depends on the leader, not on the server: the lessors of one leader
-// then share one deputy for each data centre of their servers, and their
-// heartbeats share packets.
-func Assign(svc ident.Service, srv ident.Server, centre ident.Centre, live []vmlist.VM) (leader, deputy ident.VM) {
+// The deputy depends on the preferred holder, not on the server: the lessors of one
+// preferred holder then share one deputy for each data centre of their servers, and
+// their heartbeats share packets.
+func Assign(svc ident.Service, srv ident.Server, centre ident.Centre, live []vmlist.VM) (preferred, deputy ident.VM) {
 	first := best(string(svc)+"\x00"+string(srv), live, func(vm vmlist.VM) int {
 		if vm.Centre == centre {
 			return 1
@@ -33,13 +33,14 @@
 	return first.ID, deputyOf(first, centre, live)
 }
 
-// deputyOf picks the deputy for a leader's lessors whose servers are in centre.
-func deputyOf(leader *vmlist.VM, centre ident.Centre, live []vmlist.VM) ident.VM {
-	vm := best("deputy\x00"+string(leader.ID), live, func(vm vmlist.VM) int {
+// deputyOf picks the deputy for a preferred holder's lessors whose servers are in
+// centre.
+func deputyOf(preferred *vmlist.VM, centre ident.Centre, live []vmlist.VM) ident.VM {
+	vm := best("deputy\x00"+string(preferred.ID), live, func(vm vmlist.VM) int {
 		switch {
-		case vm.ID == leader.ID:
+		case vm.ID == preferred.ID:
 			return skip
-		case vm.Centre != centre && vm.Centre != leader.Centre:
+		case vm.Centre != centre && vm.Centre != preferred.Centre:
 			return 0
 		case vm.Centre != centre:
 			return 1
--- a/internal/edge/leases/balance.go
+++ b/internal/edge/leases/balance.go
@@ -47,8 +47,8 @@
 	Centre  ident.Centre
 }
 
-// Pair is the VMs that a lessor is assigned to, empty where there are too few VMs.
-type Pair struct{ Leader, Deputy ident.VM }
+// Pair is the preferred holder and the deputy of a lessor, empty where there are too few VMs.
+type Pair struct{ Preferred, Deputy ident.VM }
 
 // AssignAll assigns each lessor as [Assign] does, but gives no VM more than its fair
 // share of them, rounded up, unless all VMs in other data centres than the server's
@@ -67,10 +67,10 @@
 	hashes := hashIDs(live)
 	pairs := make(map[Target]Pair, len(targets))
 	for _, t := range sorted {
-		i := pickLeader(t, live, hashes, held, share)
+		i := pickPreferred(t, live, hashes, held, share)
 		held[i]++
-		leader := &live[i]
-		pairs[t] = Pair{Leader: leader.ID, Deputy: deputyOf(leader, t.Centre, live)}
+		preferred := &live[i]
+		pairs[t] = Pair{Preferred: preferred.ID, Deputy: deputyOf(preferred, t.Centre, live)}
 	}
 	return pairs
 }
@@ -83,9 +83,10 @@
 	return all
 }
 
-// pickLeader returns the index of the VM for a lessor: one in another data centre
-// that has not reached its share; among several, the first in rendezvous order.
-func pickLeader(t Target, live []vmlist.VM, hashes []uint64, held []int, share int) int {
+// pickPreferred returns the index of the preferred holder of a lessor: one in
+// another data centre that has not reached its share; among several, the first in
+// rendezvous order.
+func pickPreferred(t Target, live []vmlist.VM, hashes []uint64, held []int, share int) int {
 	seed := xxhash.Sum64String(string(t.Service) + "\x00" + string(t.Server))
 	rank := func(i int) int {
 		over := max(held[i]+1-share, 0)
@@ -209,7 +210,7 @@
 	}
 	var mine []*hostedLessor
 	for _, h := range mgr.lessors {
-		if mgr.assigned.pairs[h.target()].Leader == mgr.VM {
+		if mgr.assigned.pairs[h.target()].Preferred == mgr.VM {
 			mine = append(mine, h)
 		}
 	}
--- a/internal/edge/leases/balance_test.go
+++ b/internal/edge/leases/balance_test.go
@@ -44,8 +44,8 @@
 func maxHeld(pairs map[Target]Pair) int {
 	held, most := map[ident.VM]int{}, 0
 	for _, p := range pairs {
-		held[p.Leader]++
-		most = max(most, held[p.Leader])
+		held[p.Preferred]++
+		most = max(most, held[p.Preferred])
 	}
 	return most
 }
@@ -69,18 +69,18 @@
 		plain := map[ident.VM]int{}
 		worst := 0
 		for target, pair := range pairs {
-			leader, _ := Assign(target.Service, target.Server, target.Centre, live)
-			plain[leader]++
-			worst = max(worst, plain[leader])
-			assert.Assert(t, centre[pair.Leader] != target.Centre && centre[pair.Deputy] != target.Centre)
-			assert.Assert(t, centre[pair.Leader] != centre[pair.Deputy])
+			preferred, _ := Assign(target.Service, target.Server, target.Centre, live)
+			plain[preferred]++
+			worst = max(worst, plain[preferred])
+			assert.Assert(t, centre[pair.Preferred] != target.Centre && centre[pair.Deputy] != target.Centre)
+			assert.Assert(t, centre[pair.Preferred] != centre[pair.Deputy])
 		}
 		assert.Assert(t, maxHeld(pairs) <= c.most, "%d", maxHeld(pairs))
 		others, trials := 0, min(c.vms, 20)
 		for gone := range trials {
 			rest := append(append([]vmlist.VM{}, live[:gone]...), live[gone+1:]...)
 			for target, pair := range AssignAll(targets, rest) {
-				if was := pairs[target].Leader; was != live[gone].ID && was != pair.Leader {
+				if was := pairs[target].Preferred; was != live[gone].ID && was != pair.Preferred {
 					others++
 				}
 			}
@@ -98,7 +98,7 @@
 func TestAssignAllPrefersOtherDataCentres(t *testing.T) {
 	live := []vmlist.VM{{ID: "a", Centre: "c0"}, {ID: "b", Centre: "c0"}, {ID: "x", Centre: "c1"}}
 	for p, pair := range AssignAll(targetsIn(6, 1), live) {
-		assert.Equal(t, pair.Leader, ident.VM("x"), "%v", p)
+		assert.Equal(t, pair.Preferred, ident.VM("x"), "%v", p)
 	}
 	assert.Equal(t, maxHeld(AssignAll(targetsIn(6, 1), live[:2])), 3)
 	assert.Equal(t, len(AssignAll(targetsIn(6, 1), nil)), 0)
@@ -300,7 +300,7 @@
 			}
 			f.run(at)
 			srv := 0 // one whose lessor is to be taken over
-			for f.vms["vm-0"].Pair("lookup", f.cfg.Servers[srv].Name).Leader == "vm-0" {
+			for f.vms["vm-0"].Pair("lookup", f.cfg.Servers[srv].Name).Preferred == "vm-0" {
 				srv++
 			}
 			f.lostServer.Store(new(addr(srv)))
--- a/internal/edge/leases/batch_test.go
+++ b/internal/edge/leases/batch_test.go
@@ -126,18 +126,18 @@
 	})
 }
 
-func TestLessorsOfALeaderShareFewDeputies(t *testing.T) {
+func TestLessorsOfAPreferredHolderShareFewDeputies(t *testing.T) {
 	var live []vmlist.VM
 	for i := range 520 {
 		live = append(live, vmlist.VM{ID: ident.VM(fmt.Sprint("vm-", i)), Centre: ident.Centre(fmt.Sprint("c", i%4))})
 	}
 	deputies := map[ident.VM]map[ident.VM]bool{}
 	for i := range 1800 {
-		leader, deputy := Assign("lookup", ident.Server(fmt.Sprint("s", i)), ident.Centre(fmt.Sprint("c", i%4)), live)
-		if deputies[leader] == nil {
-			deputies[leader] = map[ident.VM]bool{}
+		preferred, deputy := Assign("lookup", ident.Server(fmt.Sprint("s", i)), ident.Centre(fmt.Sprint("c", i%4)), live)
+		if deputies[preferred] == nil {
+			deputies[preferred] = map[ident.VM]bool{}
 		}
-		deputies[leader][deputy] = true
+		deputies[preferred][deputy] = true
 	}
 	pairs := 0
 	for _, d := range deputies {
--- a/internal/edge/leases/command.go
+++ b/internal/edge/leases/command.go
@@ -198,10 +198,10 @@
 	return lessor.MoveMsg{Moves: mgr.Plan(h.svc, v.Table(), h.srv, mgr.usable(h.svc, h.srv)), Lost: cmd.Lost}
 }
 
-// onMoved handles an acknowledged move: it notifies the new owners' leaders and
-// records one decision for each slice or key.
+// onMoved handles an acknowledged move: it notifies the new owners' preferred
+// holders and records one decision for each slice or key.
 func (mgr *Manager) onMoved(h *hostedLessor, cmd lessor.MovedCmd) {
-	mgr.notifyLeaders(h.lessorID.svc, cmd.Rev, cmd.Moves)
+	mgr.notifyPreferred(h.lessorID.svc, cmd.Rev, cmd.Moves)
 	mgr.Log.Info("keys moved", "service", h.lessorID.svc, "from", h.srv, "count", len(cmd.Moves), "rev", cmd.Rev)
 	if mgr.Record == nil {
 		return
--- a/internal/edge/leases/fleet_test.go
+++ b/internal/edge/leases/fleet_test.go
@@ -27,8 +27,8 @@
 )
 
 // Sizes and delays of a fleet on the fake clock. A manager here runs only the
-// lessors whose leader or deputy it is: the others do nothing when servers are
-// lost, and 520 times 440 loops would not fit in memory.
+// lessors whose preferred holder or deputy it is: the others do nothing when
+// servers are lost, and 520 times 440 loops would not fit in memory.
 const (
 	fleetCentres      = 4
 	fleetSlices       = 10          // slices of each server
@@ -293,7 +293,7 @@
 	}
 	pairs := AssignAll(targets, f.vms)
 	for i, s := range f.servers {
-		for _, vm := range []ident.VM{pairs[targets[i]].Leader, pairs[targets[i]].Deputy} {
+		for _, vm := range []ident.VM{pairs[targets[i]].Preferred, pairs[targets[i]].Deputy} {
 			assigned[vm] = append(assigned[vm], s)
 		}
 	}
--- a/internal/edge/leases/manager.go
+++ b/internal/edge/leases/manager.go
@@ -3,9 +3,9 @@
 // object API, to the control API of the backend servers and to the other entry
 // VMs.
 //
-// A lessor has three roles for VMs: the leader should hold it, the holder has its
-// authority at present, and the deputy renews its leases while the holder is
-// silent.
+// A lessor has three roles for VMs: the preferred holder should have its authority,
+// the holder has it at present, and the deputy renews its leases while the holder
+// is silent.
 //
 // The decisions are made by owner/lessor; this package carries them out. It adds
 // one rule: the authority behind an order is checked again on this process's
@@ -227,11 +227,11 @@
 	}
 	pairs := mgr.assignLive(live)
 	for _, h := range mgr.lessors {
-		leader, deputy := pairs[h.target()].Leader, pairs[h.target()].Deputy
+		preferred, deputy := pairs[h.target()].Preferred, pairs[h.target()].Deputy
 		if deputy == mgr.VM {
-			deputy = leader // this VM may still hold the lessor from before
+			deputy = preferred // this VM may still hold the lessor from before
 		}
-		h.loop.Send(lessor.RoleMsg{Preferred: leader == mgr.VM, Deputy: deputy})
+		h.loop.Send(lessor.RoleMsg{Preferred: preferred == mgr.VM, Deputy: deputy})
 	}
 }
 
--- a/internal/edge/leases/manager_test.go
+++ b/internal/edge/leases/manager_test.go
@@ -144,7 +144,7 @@
 	assert.Equal(t, callOutcome(kinds.New(kinds.Malformed, "x")), kinds.Unavailable)
 }
 
-func TestAssignKeepsServerLeaderAndDeputyApart(t *testing.T) {
+func TestAssignKeepsServerPreferredHolderAndDeputyApart(t *testing.T) {
 	live := []vmlist.VM{
 		{ID: "n1", Centre: "north"},
 		{ID: "n2", Centre: "north"},
@@ -159,19 +159,19 @@
 	moved := 0
 	for i := range 100 {
 		srv := ident.Server(string(rune('a'+i%26)) + string(rune('a'+i/26)))
-		leader, deputy := Assign("lookup", srv, "south", live)
-		assert.Assert(t, centre[leader] != "south" && centre[deputy] != "south")
-		assert.Assert(t, centre[leader] != centre[deputy])
+		preferred, deputy := Assign("lookup", srv, "south", live)
+		assert.Assert(t, centre[preferred] != "south" && centre[deputy] != "south")
+		assert.Assert(t, centre[preferred] != centre[deputy])
 		again, _ := Assign("lookup", srv, "south", live[1:])
-		if leader != "n1" {
-			assert.Equal(t, again, leader, "a lessor moved although its VM stayed")
+		if preferred != "n1" {
+			assert.Equal(t, again, preferred, "a lessor moved although its VM stayed")
 		} else {
 			moved++
 		}
 	}
 	assert.Assert(t, moved > 0)
-	leader, deputy := Assign("lookup", "x", "south", live[2:3])
-	assert.Equal(t, leader, ident.VM("s1"))
+	preferred, deputy := Assign("lookup", "x", "south", live[2:3])
+	assert.Equal(t, preferred, ident.VM("s1"))
 	assert.Equal(t, deputy, ident.VM(""))
 }
 
--- a/internal/edge/leases/tables.go
+++ b/internal/edge/leases/tables.go
@@ -79,15 +79,16 @@
 // OnTable sets the hooks.
 func (mgr *Manager) OnTable(hooks TableHooks) { mgr.hooks.Store(&hooks) }
 
-// notifyLeaders tells the VMs that hold the new owners' lessors of a move at once.
-func (mgr *Manager) notifyLeaders(svc ident.Service, rev ident.Revision, moves []table.Move) {
+// notifyPreferred tells the preferred holders of the new owners' lessors of a move at
+// once.
+func (mgr *Manager) notifyPreferred(svc ident.Service, rev ident.Revision, moves []table.Move) {
 	hooks := mgr.hooks.Load()
 	if hooks == nil {
 		return
 	}
 	var to []ident.VM
 	for _, m := range moves {
-		if vm := mgr.Pair(svc, m.To).Leader; vm != "" && vm != mgr.VM && !slices.Contains(to, vm) {
+		if vm := mgr.Pair(svc, m.To).Preferred; vm != "" && vm != mgr.VM && !slices.Contains(to, vm) {
 			to = append(to, vm)
 		}
 	}
--- a/internal/edge/rebal/rebalancer.go
+++ b/internal/edge/rebal/rebalancer.go
@@ -4,9 +4,9 @@
 // the servers concerned.
 //
 // Requests are counted from decision records, off the request path. One VM per
-// service plans, chosen in the same way as the leaders of lessors. When two VMs
-// both consider themselves the planner, both plans are safe, since only a lessor's
-// holder can carry out moves, and it checks each of them against the table.
+// service plans, chosen in the same way as the preferred holders of lessors. When
+// two VMs both consider themselves the planner, both plans are safe, since only a
+// lessor's holder can carry out moves, and it checks each of them against the table.
 package rebal
 
 import (
@@ -168,8 +168,8 @@
 
 // planner returns the VM that plans for a service. The caller holds the lock.
 func (r *Rebalancer) planner(svc ident.Service) ident.VM {
-	leader, _ := leases.Assign(svc, "", "", r.live)
-	return leader
+	vm, _ := leases.Assign(svc, "", "", r.live)
+	return vm
 }
 
 // sendReports sends this VM's counts to the planning VM of each service.
@@ -242,7 +242,7 @@
 		}
 		r.Lessors.Move(svc.Name, srv.Name, list)
 		pair := r.Lessors.Pair(svc.Name, srv.Name)
-		for _, vm := range []ident.VM{pair.Leader, pair.Deputy} {
+		for _, vm := range []ident.VM{pair.Preferred, pair.Deputy} {
 			if vm != "" && vm != r.vm {
 				r.send(vm, message{Svc: svc.Name, From: srv.Name, Move: list})
 			}
--- a/internal/edge/rebal/rebalancer_test.go
+++ b/internal/edge/rebal/rebalancer_test.go
@@ -42,8 +42,8 @@
 
 // Pair assigns lessors to the VMs of the list.
 func (f *fakeLessors) Pair(svc ident.Service, srv ident.Server) leases.Pair {
-	leader, deputy := leases.Assign(svc, srv, "", f.list)
-	return leases.Pair{Leader: leader, Deputy: deputy}
+	preferred, deputy := leases.Assign(svc, srv, "", f.list)
+	return leases.Pair{Preferred: preferred, Deputy: deputy}
 }
 
 // network connects rebalancers.
