--- a/internal/fake/world/record.go
+++ b/internal/fake/world/record.go
@@ -171,8 +171,8 @@
 	return false
 }
 
-// StandBy returns the server that now serves the lessor's keys as a standby, or nil.
-func (w *World) StandBy(lessor ident.Server) *Server {
+// Standby returns the server that now serves the lessor's keys as a standby, or nil.
+func (w *World) Standby(lessor ident.Server) *Server {
 	for _, s := range w.Servers {
 		if s.Name != lessor && s.lease(lessor).servesNow(^uint64(0)) {
 			return s
--- a/internal/fake/world/roles.go
+++ b/internal/fake/world/roles.go
@@ -17,8 +17,8 @@
 	pauseDetectionDelay = 400 * time.Millisecond // until other VMs suspect a paused one
 )
 
-// refreshRoles stands in for failure detection and leader election: it periodically
-// tells the VMs whom to suspect and who leads.
+// refreshRoles stands in for failure detection and the assignment of lessors: it
+// periodically tells the VMs whom to suspect and which servers' lessors they should hold.
 func (w *World) refreshRoles() {
 	w.updateVMs()
 	w.after(roleInterval, w.refreshRoles)
@@ -122,8 +122,8 @@
 	return w.seemsLive(w.VMs[i])
 }
 
-// rankVMs returns the VM that is to lead for a server, and the best candidate other
-// than v. VMs in the server's own data centre rank last.
+// rankVMs returns the preferred holder of a server's lessor, and the best candidate
+// other than v. VMs in the server's own data centre rank last.
 func (w *World) rankVMs(s *Server, v *VM) (first, next *VM) {
 	from := s.index + w.roleShift()
 	for _, near := range []bool{false, true} {
@@ -153,8 +153,8 @@
 	return int(w.now / w.Opt.ReassignEvery)
 }
 
-// takeOverLessors periodically makes each leader take over the lessors it leads from
-// the holders that it knows of.
+// takeOverLessors periodically makes each preferred holder take over its lessors from the
+// holders that it knows of.
 func (w *World) takeOverLessors() {
 	for _, v := range w.VMs {
 		for _, s := range w.Servers {
--- a/internal/fake/world/vm.go
+++ b/internal/fake/world/vm.go
@@ -62,7 +62,7 @@
 	for _, s := range v.w.Servers {
 		v.lessors[s.Name] = v.w.Opt.NewLessor(lessor.Config{
 			Self: v.ID, Service: Service, Server: s.Name, FenceChecks: v.w.Opt.FenceChecks,
-			Times: v.w.times, MoveDelay: v.w.Opt.Patience, Standby: v.w.Opt.Standby,
+			Times: v.w.times, MoveDelay: v.w.Opt.MoveDelay, Standby: v.w.Opt.Standby,
 		})
 	}
 }
--- a/internal/fake/world/world.go
+++ b/internal/fake/world/world.go
@@ -36,7 +36,7 @@
 	Slices      int           // default 6; slices and hot keys together at most 64
 	Centres     int           // default 3
 	FenceChecks bool          // servers refuse orders with a fence below the highest one applied
-	Patience    time.Duration // how long a silent server keeps its keys after its lease ended
+	MoveDelay   time.Duration // how long a silent server keeps its keys after its lease ended
 	Standby     bool          // standby servers serve the keys of lost servers while the store is down
 	// NewLessor creates a lessor; tests set a deliberately flawed one here.
 	NewLessor func(lessor.Config) loop.Model
--- a/internal/fake/world/world_test.go
+++ b/internal/fake/world/world_test.go
@@ -28,8 +28,9 @@
 }
 
 // A paused VM must handle the messages queued meanwhile in order, as on one connection.
-// Were an older role delivered after a newer one, the VM would believe that it does not
-// lead, no VM would take over, and keys would stay unserved after all faults have ended.
+// Were an older role delivered after a newer one, the VM would believe that it is not
+// the preferred holder, no VM would take over, and keys would stay unserved after all
+// faults have ended.
 func TestAPausedVMReadsItsMessagesInTheirOrder(t *testing.T) {
 	ms := time.Millisecond
 	for name, during := range map[string]func(*World, *VM){
--- a/internal/owner/lessor/history_test.go
+++ b/internal/owner/lessor/history_test.go
@@ -207,11 +207,11 @@
 			deputy.Kill(f.For / 2)
 		}
 	case "lendkill":
-		if by := w.StandBy(s.Name); by != nil {
+		if by := w.Standby(s.Name); by != nil {
 			by.Kill(f.For)
 		}
 	case "lendfreeze":
-		if by := w.StandBy(s.Name); by != nil {
+		if by := w.Standby(s.Name); by != nil {
 			by.Freeze(f.For)
 		}
 	}
--- a/internal/owner/lessor/move_delay_test.go
+++ b/internal/owner/lessor/move_delay_test.go
@@ -16,7 +16,7 @@
 // server's first slice at the end.
 func runStall(t *testing.T, seed uint64, checks bool, moveDelay, stall time.Duration) (int, time.Duration, ident.Server) {
 	w := world.New(world.Options{
-		Seed: seed, VMs: 3, Servers: 3, FenceChecks: checks, Skew: 5, Patience: moveDelay, NewWriter: newBatchingWriter,
+		Seed: seed, VMs: 3, Servers: 3, FenceChecks: checks, Skew: 5, MoveDelay: moveDelay, NewWriter: newBatchingWriter,
 	})
 	w.Run(2*time.Second + time.Duration(seed)*7*time.Millisecond)
 	before, from := w.Count.Moves, w.Now()
--- a/internal/owner/lessor/standby_test.go
+++ b/internal/owner/lessor/standby_test.go
@@ -42,12 +42,12 @@
 		lost := w.Now()
 		s.Kill(-1)
 		w.Run(lost + 5*time.Second)
-		by := w.StandBy(s.Name)
+		by := w.Standby(s.Name)
 		assert.Assert(t, by != nil, "no standby is active")
 		assert.Equal(t, w.Store.Table().OwnerOf(0), s.Name, "the store is down and cannot know")
 		w.Run(lost + 40*time.Second)
 		assert.Equal(t, w.Store.Table().OwnerOf(0), by.Name)
-		assert.Assert(t, w.StandBy(s.Name) == nil, "it still serves as a standby")
+		assert.Assert(t, w.Standby(s.Name) == nil, "it still serves as a standby")
 		assert.Assert(t, w.Unavailable(0, lost, w.Now()) < time.Second, "%v", w.Unavailable(0, lost, w.Now()))
 		assert.Equal(t, len(w.Check()), 0, "%v", w.Check())
 	}
@@ -66,11 +66,11 @@
 			lost := w.Now()
 			s.Kill(-1)
 			w.Run(lost + 5*time.Second)
-			by := w.StandBy(s.Name)
+			by := w.Standby(s.Name)
 			assert.Assert(t, by != nil, "no standby is active")
 			w.Run(lost + 40*time.Second)
 			assert.Equal(t, w.Store.Table().OwnerOf(0), by.Name)
-			assert.Assert(t, w.StandBy(s.Name) == nil, "it still serves as a standby")
+			assert.Assert(t, w.Standby(s.Name) == nil, "it still serves as a standby")
 			assert.Assert(t, w.Unavailable(0, lost, w.Now()) < 1500*time.Millisecond, "%v", w.Unavailable(0, lost, w.Now()))
 			assert.Equal(t, len(w.Check()), 0, "%v", w.Check())
 		}
@@ -130,7 +130,7 @@
 	w.Run(w.Now() + time.Second)
 	s.Kill(-1)
 	w.Run(w.Now() + 5*time.Second)
-	assert.Assert(t, w.StandBy(s.Name) != nil, "no standby is active")
+	assert.Assert(t, w.Standby(s.Name) != nil, "no standby is active")
 }
 
 // The standby dies in the same outage. The next one is granted the keys only
@@ -142,12 +142,12 @@
 	w.Run(w.Now() + time.Second)
 	s.Kill(-1)
 	w.Run(w.Now() + 3*time.Second)
-	first := w.StandBy(s.Name)
+	first := w.Standby(s.Name)
 	assert.Assert(t, first != nil, "no standby is active")
 	lost := w.Now()
 	first.Kill(-1)
 	w.Run(lost + 3*time.Second)
-	second := w.StandBy(s.Name)
+	second := w.Standby(s.Name)
 	assert.Assert(t, second != nil && second != first, "the standby was not replaced")
 	assert.Assert(t, w.Unavailable(0, lost, w.Now()) < 1500*time.Millisecond, "%v", w.Unavailable(0, lost, w.Now()))
 	assert.Equal(t, len(w.Check()), 0, "%v", w.Check())
@@ -164,7 +164,7 @@
 		w.Run(w.Now() + time.Second)
 		s.Kill(-1)
 		w.Run(w.Now() + 3*time.Second)
-		assert.Assert(t, w.StandBy(s.Name) != nil, "no standby is active")
+		assert.Assert(t, w.Standby(s.Name) != nil, "no standby is active")
 		for _, v := range w.VMs {
 			v.Send(s.Name, lessor.ServerGoneMsg{})
 		}
@@ -186,7 +186,7 @@
 		partitionServer(w, s, 1500*time.Millisecond)
 		w.Partition(string(rec.Holder), string(s.Name), 20*time.Second)
 		w.Run(w.Now() + 1600*time.Millisecond)
-		assert.Assert(t, w.StandBy(s.Name) != nil, "no standby is active")
+		assert.Assert(t, w.Standby(s.Name) != nil, "no standby is active")
 		for _, v := range w.VMs {
 			w.Partition(string(rec.Holder), string(v.ID), 10*time.Second)
 		}
