--- a/internal/load/gate/core.go
+++ b/internal/load/gate/core.go
@@ -19,7 +19,7 @@
 	Service  ident.Service
 	Deadline time.Duration // for jobs without one; zero means DefaultDeadline
 	Queue    int           // most requests in one queue; zero means the queue's default
-	MaxHeld  int           // most requests in all move queues, waiting for an owner; zero means DefaultHeld
+	MaxHeld  int           // most requests in all move queues, waiting for an owner; zero means DefaultMaxHeld
 	Seed     uint64        // for random choices; zero means a random seed
 	// RetryBudget bounds the attempts beyond the first of all VMs together: a share of
 	// the requests, and a burst that the VMs divide among them. Zero means the defaults
