--- a/internal/edge/state/state.go
+++ b/internal/edge/state/state.go
@@ -205,7 +205,7 @@
 type Standby struct {
 	Epoch ident.Epoch
 	Seq   uint16
-	To    ident.Server // empty if no server stands by
+	To    ident.Server // empty if there is no standby
 }
 
 // newer reports whether s was announced after t.
