--- a/hawthornfield.go
+++ b/hawthornfield.go
@@ -11,7 +11,7 @@
 //	})
 //	loop := hawthornfield.NewLoop(lessor, runner)
 //	defer loop.Close()
-//	loop.Send(hawthornfield.RoleMsg{Lead: true})
+//	loop.Send(hawthornfield.RoleMsg{Preferred: true})
 //
 // Each file holds one part:
 //
